--- a/src/main/java/ringspindle/edge/Events.java
+++ b/src/main/java/ringspindle/edge/Events.java
@@ -8,9 +8,14 @@
 
 /** Cuts a stream's bytes into whole events and reads their ids. */
 final class Events {
+    /** The event names no id. */
+    static final long NO_ID = -1;
+    /** The event names an id that is no number. */
+    static final long UNREADABLE_ID = -2;
+
     private static final int EVENT_MAX = 4 << 20;
 
-    /** One whole event, with its closing blank line. id is -1 without one; weights is -1 where none are named. */
+    /** One whole event, with its closing blank line. id is NO_ID without one; weights is -1 where none are named. */
     record Event(byte[] bytes, long id, long weights) {}
 
     private byte[] buffer = new byte[1024];
@@ -51,24 +56,25 @@
     }
 
     private static Event event(byte[] bytes) {
-        long id = -1;
+        long id = NO_ID;
         long weights = -1;
         String text = new String(bytes, StandardCharsets.ISO_8859_1);
         for (String line : text.split("\n")) {
             if (line.startsWith("id:")) {
-                id = number(line.substring(3));
+                id = number(line.substring(3), UNREADABLE_ID);
             } else if (line.startsWith("weight-versions:")) {
-                weights = number(line.substring(16));
+                weights = number(line.substring(16), -1);
             }
         }
         return new Event(bytes, id, weights);
     }
 
-    private static long number(String s) {
+    private static long number(String text, long otherwise) {
         try {
-            return Long.parseLong(s.trim());
+            long number = Long.parseLong(text.trim());
+            return number < 0 ? otherwise : number;
         } catch (NumberFormatException x) {
-            return -1;
+            return otherwise;
         }
     }
 }
--- a/src/main/java/ringspindle/edge/Flow.java
+++ b/src/main/java/ringspindle/edge/Flow.java
@@ -65,6 +65,8 @@
         boolean writing;
         /** The engine's time ran out while a write to the client was under way, so that nobody read from the engine. */
         boolean heldUpByClient;
+        /** An event came whose id does not follow the one before it: once what came before is written, this is over. */
+        boolean outOfOrder;
 
         Result deferred;
 
@@ -529,6 +531,12 @@
         Result done;
         synchronized (this) {
             t.writing = false;
+            if (t.outOfOrder) {
+                if (!t.over) {
+                    end(t, Action.End.BROKEN);
+                }
+                return;
+            }
             if (t.heldUpByClient) {
                 t.heldUpByClient = false;
                 t.heardMs = front.nowMs();
@@ -546,7 +554,7 @@
         }
     }
 
-    /** Whole events whose ids follow each other; null if none is whole yet. */
+    /** Whole events whose ids follow each other, up to the first that does not; null if there is none. */
     private byte[] pass(Try t, ByteBuffer b) {
         List<Events.Event> events;
         try {
@@ -560,9 +568,10 @@
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (Events.Event e : events) {
-            if (e.id() >= 0) {
-                if (lastId >= 0 && e.id() != lastId + 1) {
+            if (e.id() != Events.NO_ID) {
+                if (e.id() < 0 || lastId >= 0 && e.id() != lastId + 1) {
                     LOG.atWarning().log("event %s after %s from %s", e.id(), lastId, t.chosen.id());
+                    t.outOfOrder = true;
                     break;
                 }
                 lastId = e.id();
--- a/src/main/java/ringspindle/edge/Wires.java
+++ b/src/main/java/ringspindle/edge/Wires.java
@@ -18,7 +18,6 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import ringspindle.wire.LifeCycleQuietly;
 import ringspindle.wire.NodeId;
-import ringspindle.wire.PlainConnector;
 import ringspindle.wire.Steady;
 
 /** Open connections to engines, owned here one by one: no pool, queue or resending of the client's own. */
@@ -69,7 +68,7 @@
 
     Wires(QueuedThreadPool pool, org.eclipse.jetty.util.thread.Scheduler beats, Steady clock) throws Exception {
         this.clock = clock;
-        ClientConnector connector = new PlainConnector();
+        ClientConnector connector = new EngineEndPoint.Connector();
         client = new HttpClient(new EngineTransport(connector));
         client.setExecutor(pool);
         client.setScheduler(beats);
--- a/src/main/java/ringspindle/wire/PlainConnector.java
+++ b/src/main/java/ringspindle/wire/PlainConnector.java
@@ -4,7 +4,7 @@
 import org.eclipse.jetty.util.ssl.SslContextFactory;
 
 /** A dialler without TLS: the machine's trust store is not read, which would cost a start much time. */
-public final class PlainConnector extends ClientConnector {
+public class PlainConnector extends ClientConnector {
     /** {@code new HttpClient(new HttpClientTransportOverHTTP(new PlainConnector()))}. */
     public PlainConnector() {
         setSelectors(1);
