--- a/src/test/java/ringspindle/edge/BrokenStreamTest.java
+++ b/src/test/java/ringspindle/edge/BrokenStreamTest.java
@@ -97,8 +97,8 @@
         engine(
                 "i-1",
                 "z",
-                (seen, out, socket) -> StandIn.say(
-                        out, StandIn.streamHead(seen) + StandIn.chunk(events.toString()) + END_OF_CHUNKS));
+                (seen, out, socket) ->
+                        StandIn.say(out, StandIn.streamHead(seen) + StandIn.chunk(events.toString()) + END_OF_CHUNKS));
         String got = ok("/short/x", "t1");
         assertFalse(looksComplete(got), got);
         long before = -1;
