--- a/src/main/java/ringspindle/Main.java
+++ b/src/main/java/ringspindle/Main.java
@@ -7,15 +7,15 @@
 import java.nio.file.Path;
 import java.util.concurrent.CountDownLatch;
 import java.util.logging.Level;
-import ringspindle.conf.Checked;
-import ringspindle.conf.NodeConfig;
-import ringspindle.conf.Settings;
-import ringspindle.cp.ControlPlane;
-import ringspindle.dp.DataPlane;
-import ringspindle.log.JsonLines;
-import ringspindle.ops.Cli;
-import ringspindle.ops.CommandLine;
-import ringspindle.ops.SelfTest;
+import ringspindle.cli.Cli;
+import ringspindle.cli.CommandLine;
+import ringspindle.cli.SelfTest;
+import ringspindle.config.NodeConfig;
+import ringspindle.config.Settings;
+import ringspindle.config.Validated;
+import ringspindle.controlplane.ControlPlane;
+import ringspindle.dataplane.DataPlane;
+import ringspindle.logging.JsonLines;
 
 /** The program: {@code data-plane}, {@code control-plane}, and the operator's command line. */
 public final class Main {
@@ -115,12 +115,12 @@
         if (d.settings == null || d.settings.isEmpty()) {
             throw new ParameterException("no settings file: give --settings or RINGSPINDLE_SETTINGS");
         }
-        Checked<NodeConfig> c = NodeConfig.read(Path.of(d.settings));
-        if (c instanceof Checked.Refused<NodeConfig> bad) {
+        Validated<NodeConfig> c = NodeConfig.read(Path.of(d.settings));
+        if (c instanceof Validated.Invalid<NodeConfig> bad) {
             bad.problems().forEach(p -> LOG.atSevere().log("settings: %s", p.text()));
             return USAGE;
         }
-        NodeConfig config = ((Checked.Good<NodeConfig>) c).value();
+        NodeConfig config = ((Validated.Valid<NodeConfig>) c).value();
         CountDownLatch term = new CountDownLatch(1);
         sun.misc.Signal.handle(new sun.misc.Signal("TERM"), s -> term.countDown());
         sun.misc.Signal.handle(new sun.misc.Signal("INT"), s -> term.countDown());
--- a/src/main/java/ringspindle/ops/Cli.java
+++ b/src/main/java/ringspindle/cli/Cli.java
@@ -1,4 +1,4 @@
-package ringspindle.ops;
+package ringspindle.cli;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -37,16 +37,16 @@
 import org.eclipse.jetty.client.Request;
 import org.eclipse.jetty.client.transport.HttpClientTransportOverHTTP;
 import ringspindle.api.Operation;
-import ringspindle.conf.Checked;
-import ringspindle.conf.Checked.Good;
-import ringspindle.conf.Checked.Refused;
-import ringspindle.conf.FleetConfig;
-import ringspindle.conf.Problem;
-import ringspindle.rule.Asked;
-import ringspindle.rule.ServingRules;
-import ringspindle.wire.LifeCycleQuietly;
-import ringspindle.wire.NodeId;
-import ringspindle.wire.PlainConnector;
+import ringspindle.config.ConfigError;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.Validated;
+import ringspindle.config.Validated.Invalid;
+import ringspindle.config.Validated.Valid;
+import ringspindle.protocol.NodeId;
+import ringspindle.routing.RequestAttributes;
+import ringspindle.routing.ServingRules;
+import ringspindle.transport.LifeCycles;
+import ringspindle.transport.PlainConnector;
 
 /** The operator's command line over the whole fleet, through any control node. */
 public final class Cli {
@@ -174,7 +174,7 @@
     }
 
     @Parameters(commandDescription = "what became of the requests, by class and revision of the serving rules")
-    static final class Ledger extends Common {}
+    static final class RequestLedger extends Common {}
 
     /** What came back: an HTTP status, 0 if nobody was reached. */
     record Reply(int status, String body) {}
@@ -194,7 +194,7 @@
         commands.put("restore", new Restore());
         commands.put("rollout", new Rollout());
         commands.put("rules", new Rules());
-        commands.put("ledger", new Ledger());
+        commands.put("ledger", new RequestLedger());
     }
 
     /** The operator's commands, for the program's own list; {@code Cli.create(System.out, System.err)}. */
@@ -246,7 +246,7 @@
                 throw new ParameterException("not an address: " + s);
             }
         }
-        try (Fleet fleet = new Fleet(nodes)) {
+        try (FleetStatus fleet = new FleetStatus(nodes)) {
             if (c instanceof Status) {
                 return show(c, fleet.call(Operation.STATUS, "", null, null), this::status);
             }
@@ -295,7 +295,7 @@
             if (c instanceof Rules r) {
                 return rules(fleet, r);
             }
-            if (c instanceof Ledger) {
+            if (c instanceof RequestLedger) {
                 return ledger(fleet, c);
             }
             return rollout(fleet, (Rollout) c);
@@ -329,7 +329,7 @@
         } catch (IOException x) {
             return unreadable(file);
         }
-        if (FleetConfig.read(body) instanceof Refused<FleetConfig> bad) {
+        if (FleetConfig.read(body) instanceof Invalid<FleetConfig> bad) {
             bad.problems().forEach(p -> err.println("refused: " + p.text()));
             return REFUSED;
         }
@@ -344,21 +344,21 @@
     /** The control plane's very checks, offline. */
     private int check(Rules r, String name) {
         try {
-            Checked<ServingRules> rules = ServingRules.read(file(name));
-            List<Problem> problems = new ArrayList<>();
-            if (rules instanceof Refused<ServingRules> bad) {
+            Validated<ServingRules> rules = ServingRules.read(file(name));
+            List<ConfigError> problems = new ArrayList<>();
+            if (rules instanceof Invalid<ServingRules> bad) {
                 problems.addAll(bad.problems());
             } else {
                 FleetConfig config = null;
                 if (r.config != null) {
-                    Checked<FleetConfig> c = FleetConfig.read(file(r.config));
-                    if (c instanceof Refused<FleetConfig> bad) {
+                    Validated<FleetConfig> c = FleetConfig.read(file(r.config));
+                    if (c instanceof Invalid<FleetConfig> bad) {
                         bad.problems().forEach(p -> err.println("refused: the configuration: " + p.text()));
                         return REFUSED;
                     }
-                    config = ((Good<FleetConfig>) c).value();
+                    config = ((Valid<FleetConfig>) c).value();
                 }
-                problems.addAll(((Good<ServingRules>) rules).value().problems(config, new TreeSet<>(r.regions)));
+                problems.addAll(((Valid<ServingRules>) rules).value().problems(config, new TreeSet<>(r.regions)));
             }
             problems.forEach(p -> err.println("refused: " + p.text()));
             if (problems.isEmpty()) {
@@ -379,17 +379,17 @@
     }
 
     private int explain(Rules r, byte[] rules, List<Explain.Candidate> engines) {
-        if (ServingRules.read(rules) instanceof Refused<ServingRules> bad) {
+        if (ServingRules.read(rules) instanceof Invalid<ServingRules> bad) {
             bad.problems().forEach(p -> err.println("refused: " + p.text()));
             return REFUSED;
         }
-        Asked asked = new Asked(r.route, r.host, r.path, r.model, r.prompt, r.home);
-        Explain.lines(((Good<ServingRules>) ServingRules.read(rules)).value(), asked, r.prefix, engines)
+        RequestAttributes asked = new RequestAttributes(r.route, r.host, r.path, r.model, r.prompt, r.home);
+        Explain.lines(((Valid<ServingRules>) ServingRules.read(rules)).value(), asked, r.prefix, engines)
                 .forEach(out::println);
         return OK;
     }
 
-    private int rules(Fleet fleet, Rules r) throws Exception {
+    private int rules(FleetStatus fleet, Rules r) throws Exception {
         String word = r.words.isEmpty() ? "" : r.words.get(0);
         if (word.equals("get") && r.words.size() == 1) {
             return show(r, fleet.call(Operation.RULES_GET, "", null, null), o -> out.println(o));
@@ -428,7 +428,7 @@
                             : Long.valueOf(current.getJsonNumber("revision").longValue());
         }
         if (word.equals("diff")) {
-            if (!(FleetConfig.json(body) instanceof Good<JsonObject> mine)) {
+            if (!(FleetConfig.json(body) instanceof Valid<JsonObject> mine)) {
                 err.println("refused: not a whole JSON object");
                 return REFUSED;
             }
@@ -470,16 +470,16 @@
         return names;
     }
 
-    private List<Explain.Candidate> candidates(Fleet fleet, Rules r) throws Exception {
+    private List<Explain.Candidate> candidates(FleetStatus fleet, Rules r) throws Exception {
         Reply engines = fleet.call(Operation.ENGINES, "", null, null);
         Reply config = fleet.call(Operation.CONFIG_GET, "", null, null);
         List<Explain.Candidate> out = new ArrayList<>();
         if (engines.status() != 200
                 || config.status() != 200
-                || !(FleetConfig.read(config.body().getBytes(UTF_8)) instanceof Good<FleetConfig> c)) {
+                || !(FleetConfig.read(config.body().getBytes(UTF_8)) instanceof Valid<FleetConfig> c)) {
             return out;
         }
-        FleetConfig.Mapping route = c.value().mappings().stream()
+        FleetConfig.Route route = c.value().mappings().stream()
                 .filter(m -> m.name().equals(r.route))
                 .findFirst()
                 .orElse(null);
@@ -497,7 +497,7 @@
     }
 
     /** What all control nodes that can be reached say, and who cannot; null after a message if there is nobody. */
-    private FleetLedger gathered(Fleet fleet, Set<String> unreached) throws Exception {
+    private FleetLedger gathered(FleetStatus fleet, Set<String> unreached) throws Exception {
         Reply status = fleet.call(Operation.STATUS, "", null, null);
         if (status.status() != 200) {
             done(status);
@@ -521,7 +521,7 @@
         return out;
     }
 
-    private int followed(Fleet fleet, Rules c) throws Exception {
+    private int followed(FleetStatus fleet, Rules c) throws Exception {
         Set<String> unreached = new TreeSet<>();
         FleetLedger l = gathered(fleet, unreached);
         if (l == null) {
@@ -546,7 +546,7 @@
         return all ? OK : FAILED;
     }
 
-    private int ledger(Fleet fleet, Common c) throws Exception {
+    private int ledger(FleetStatus fleet, Common c) throws Exception {
         Set<String> unreached = new TreeSet<>();
         FleetLedger l = gathered(fleet, unreached);
         if (l == null) {
@@ -585,7 +585,7 @@
         return broken.isEmpty() ? OK : FAILED;
     }
 
-    private int config(Fleet fleet, Config g) throws Exception {
+    private int config(FleetStatus fleet, Config g) throws Exception {
         String word = g.words.isEmpty() ? "" : g.words.get(0);
         if (word.equals("get") && g.words.size() == 1) {
             return show(g, fleet.call(Operation.CONFIG_GET, "", null, null), o -> out.println(o));
@@ -615,7 +615,7 @@
             }
         }
         if (word.equals("diff")) {
-            if (!(FleetConfig.json(body) instanceof Good<JsonObject> mine)) {
+            if (!(FleetConfig.json(body) instanceof Valid<JsonObject> mine)) {
                 err.println("refused: not a whole JSON object");
                 return REFUSED;
             }
@@ -656,7 +656,7 @@
         return m;
     }
 
-    private int rollout(Fleet fleet, Rollout r) throws Exception {
+    private int rollout(FleetStatus fleet, Rollout r) throws Exception {
         String word = r.words.isEmpty() ? "show" : r.words.get(0);
         if (word.equals("show") && r.words.size() <= 1) {
             return show(
@@ -715,7 +715,7 @@
             return NOT_REACHED;
         }
         String text = "";
-        if (FleetConfig.json(r.body().getBytes(UTF_8)) instanceof Good<JsonObject> o) {
+        if (FleetConfig.json(r.body().getBytes(UTF_8)) instanceof Valid<JsonObject> o) {
             text = o.value().getString("error", "") + " " + o.value().getString("text", "");
         }
         err.println("refused: " + r.status() + " " + text.trim());
@@ -772,11 +772,11 @@
     }
 
     /** Calls any control node that gives a clear answer, in turn. */
-    private static final class Fleet implements AutoCloseable {
+    private static final class FleetStatus implements AutoCloseable {
         private final List<String> nodes;
         private final HttpClient http = new HttpClient(new HttpClientTransportOverHTTP(new PlainConnector()));
 
-        Fleet(List<String> nodes) throws Exception {
+        FleetStatus(List<String> nodes) throws Exception {
             this.nodes = nodes;
             http.setConnectTimeout(1000);
             http.start();
@@ -822,7 +822,7 @@
 
         @Override
         public void close() {
-            LifeCycleQuietly.stop(http);
+            LifeCycles.stopQuietly(http);
         }
     }
 }
--- a/src/main/java/ringspindle/ops/CommandLine.java
+++ b/src/main/java/ringspindle/cli/CommandLine.java
@@ -1,4 +1,4 @@
-package ringspindle.ops;
+package ringspindle.cli;
 
 import com.beust.jcommander.JCommander;
 import com.beust.jcommander.ParameterDescription;
--- a/src/main/java/ringspindle/ops/Explain.java
+++ b/src/main/java/ringspindle/cli/Explain.java
@@ -1,16 +1,16 @@
-package ringspindle.ops;
+package ringspindle.cli;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Locale;
-import ringspindle.pick.Rendezvous;
-import ringspindle.rule.Affinity;
-import ringspindle.rule.Asked;
-import ringspindle.rule.Rule;
-import ringspindle.rule.ServingRules;
-import ringspindle.rule.Step;
-import ringspindle.sum.Sum;
+import ringspindle.loadbalancing.RendezvousHash;
+import ringspindle.routing.Affinity;
+import ringspindle.routing.FallbackTarget;
+import ringspindle.routing.RequestAttributes;
+import ringspindle.routing.ServingRule;
+import ringspindle.routing.ServingRules;
+import ringspindle.telemetry.LoadSummary;
 
 /** Which rule a request falls under, who holds it, and where else it may go. Pure. */
 final class Explain {
@@ -20,8 +20,8 @@
     private Explain() {}
 
     /** One line each; {@code Explain.lines(rules, asked, "5c1e07a2:800,91bd3f06:410", engines)}. */
-    static List<String> lines(ServingRules rules, Asked asked, String prefix, List<Candidate> engines) {
-        Rule r = rules.of(asked);
+    static List<String> lines(ServingRules rules, RequestAttributes asked, String prefix, List<Candidate> engines) {
+        ServingRule r = rules.of(asked);
         List<String> out = new ArrayList<>();
         out.add("rule       " + r.name() + " of revision " + rules.revision()
                 + (r.name().equals(ServingRules.PLAIN) ? ", as no rule before it fits" : ", the first that fits"));
@@ -39,7 +39,7 @@
                         : "key " + Long.toHexString(key.key()) + ", " + key.sharedTokens() + " tokens shared"));
         if (key.key() != 0) {
             List<Candidate> ranked = new ArrayList<>(engines);
-            ranked.sort(Comparator.comparingLong(e -> Rendezvous.rank(Sum.key(e.id()), key.key())));
+            ranked.sort(Comparator.comparingLong(e -> RendezvousHash.rank(LoadSummary.key(e.id()), key.key())));
             for (int i = 0; i < Math.min(3, ranked.size()); i++) {
                 Candidate c = ranked.get(i);
                 out.add((i == 0 ? "holder     " : "next       ") + c.id() + " in " + c.zone() + ", " + c.state());
@@ -50,12 +50,12 @@
         return out;
     }
 
-    private static String steps(List<Step> steps) {
+    private static String steps(List<FallbackTarget> steps) {
         if (steps.isEmpty()) {
             return "as without rules: whichever costs least";
         }
         StringBuilder b = new StringBuilder();
-        for (Step s : steps) {
+        for (FallbackTarget s : steps) {
             b.append(b.length() == 0 ? "" : ", then ")
                     .append(s.waitMs() > 0 ? "after " + s.waitMs() + " ms " : "")
                     .append(s.to().name().toLowerCase(Locale.ROOT))
--- a/src/main/java/ringspindle/ops/FleetLedger.java
+++ b/src/main/java/ringspindle/cli/FleetLedger.java
@@ -1,4 +1,4 @@
-package ringspindle.ops;
+package ringspindle.cli;
 
 import jakarta.json.Json;
 import jakarta.json.JsonArray;
--- a/src/main/java/ringspindle/ops/PromptPrefixValidator.java
+++ b/src/main/java/ringspindle/cli/PromptPrefixValidator.java
@@ -1,4 +1,4 @@
-package ringspindle.ops;
+package ringspindle.cli;
 
 import com.beust.jcommander.IParameterValidator;
 import com.beust.jcommander.ParameterException;
--- a/src/main/java/ringspindle/ops/SelfTest.java
+++ b/src/main/java/ringspindle/cli/SelfTest.java
@@ -1,4 +1,4 @@
-package ringspindle.ops;
+package ringspindle.cli;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
@@ -21,11 +21,11 @@
 import java.util.Map;
 import java.util.Properties;
 import java.util.concurrent.CountDownLatch;
-import ringspindle.conf.Checked;
-import ringspindle.conf.NodeConfig;
-import ringspindle.conf.Settings;
-import ringspindle.cp.ControlPlane;
-import ringspindle.dp.DataPlane;
+import ringspindle.config.NodeConfig;
+import ringspindle.config.Settings;
+import ringspindle.config.Validated;
+import ringspindle.controlplane.ControlPlane;
+import ringspindle.dataplane.DataPlane;
 
 /**
  * Starts both planes on loopback, sends a configuration and an engine's beat, and sees whether a request comes
@@ -84,7 +84,7 @@
                 "127.0.0.1:" + port[3],
                 "bound.graceS",
                 "3"));
-        NodeConfig config = ((Checked.Good<NodeConfig>) NodeConfig.check(p)).value();
+        NodeConfig config = ((Validated.Valid<NodeConfig>) NodeConfig.check(p)).value();
         CountDownLatch term = new CountDownLatch(1);
         Thread control = thread(() -> ControlPlane.run(new Settings(config), term));
         Thread data = thread(() -> DataPlane.run(new Settings(config), term));
--- a/src/main/java/ringspindle/conf/Problem.java
+++ b/src/main/java/ringspindle/config/ConfigError.java
@@ -1,12 +1,12 @@
-package ringspindle.conf;
+package ringspindle.config;
 
 /** Why a setting or a configuration is refused. */
-public sealed interface Problem {
-    /** Names the problem for a person; {@code new Problem.Missing("node.zone").text()}. */
+public sealed interface ConfigError {
+    /** Names the problem for a person; {@code new ConfigError.Missing("node.zone").text()}. */
     String text();
 
     /** A required key is not there. */
-    record Missing(String key) implements Problem {
+    record Missing(String key) implements ConfigError {
         @Override
         public String text() {
             return "missing: " + key;
@@ -14,7 +14,7 @@
     }
 
     /** The value of a key cannot be read as what is wanted. */
-    record Bad(String key, String value, String wanted) implements Problem {
+    record Bad(String key, String value, String wanted) implements ConfigError {
         @Override
         public String text() {
             return "bad value for " + key + ": '" + value + "', wanted " + wanted;
@@ -22,7 +22,7 @@
     }
 
     /** A file or document cannot be read at all. */
-    record Unreadable(String what) implements Problem {
+    record Unreadable(String what) implements ConfigError {
         @Override
         public String text() {
             return "cannot be read: " + what;
@@ -30,7 +30,7 @@
     }
 
     /** A route names a service that is not configured. */
-    record UnknownService(String mapping, String service) implements Problem {
+    record UnknownService(String mapping, String service) implements ConfigError {
         @Override
         public String text() {
             return "route " + mapping + " names unknown service " + service;
@@ -38,7 +38,7 @@
     }
 
     /** Two routes have the same host and path prefix. */
-    record SamePlace(String one, String other) implements Problem {
+    record SamePlace(String one, String other) implements ConfigError {
         @Override
         public String text() {
             return "routes " + one + " and " + other + " share host and prefix";
@@ -46,7 +46,7 @@
     }
 
     /** The weights of a route's targets add up to zero. */
-    record NoWeight(String mapping) implements Problem {
+    record NoWeight(String mapping) implements ConfigError {
         @Override
         public String text() {
             return "the weights of route " + mapping + " add up to 0";
@@ -54,7 +54,7 @@
     }
 
     /** A route has no deadline. */
-    record NoDeadline(String mapping) implements Problem {
+    record NoDeadline(String mapping) implements ConfigError {
         @Override
         public String text() {
             return "deadlineMs of route " + mapping + " is 0";
@@ -62,7 +62,7 @@
     }
 
     /** The revision is not newer than the one in force. */
-    record OldRevision(long revision, long current) implements Problem {
+    record OldRevision(long revision, long current) implements ConfigError {
         @Override
         public String text() {
             return "revision " + revision + " is not above " + current;
@@ -70,7 +70,7 @@
     }
 
     /** Two items have the same name. */
-    record SameName(String name) implements Problem {
+    record SameName(String name) implements ConfigError {
         @Override
         public String text() {
             return "two items named " + name;
@@ -78,7 +78,7 @@
     }
 
     /** A field that the format does not have. */
-    record UnknownField(String place, String field) implements Problem {
+    record UnknownField(String place, String field) implements ConfigError {
         @Override
         public String text() {
             return (place.isEmpty() ? "the document" : place) + " has the unknown field " + field;
@@ -86,7 +86,7 @@
     }
 
     /** A value outside the range that is allowed. */
-    record OutOfRange(String place, String value, String wanted) implements Problem {
+    record OutOfRange(String place, String value, String wanted) implements ConfigError {
         @Override
         public String text() {
             return (place.startsWith(".") ? place.substring(1) : place) + " is " + value + ", wanted " + wanted;
@@ -94,7 +94,7 @@
     }
 
     /** A reference to a name that does not exist. */
-    record UnknownName(String place, String name) implements Problem {
+    record UnknownName(String place, String name) implements ConfigError {
         @Override
         public String text() {
             return place + " names " + name + ", which there is not";
@@ -102,7 +102,7 @@
     }
 
     /** A region that is not among the home regions of the route. */
-    record OutsideHomes(String place, String region) implements Problem {
+    record OutsideHomes(String place, String region) implements ConfigError {
         @Override
         public String text() {
             return place + " names " + region + ", which is no home of the route";
@@ -110,7 +110,7 @@
     }
 
     /** A rule that never applies, as an earlier rule matches all of its requests. */
-    record Unreachable(String place, String by) implements Problem {
+    record Unreachable(String place, String by) implements ConfigError {
         @Override
         public String text() {
             return place + " is never reached: rule " + by + " before it takes all of its requests";
@@ -118,7 +118,7 @@
     }
 
     /** The document is larger than the limit. */
-    record TooLong(int bytes, int most) implements Problem {
+    record TooLong(int bytes, int most) implements ConfigError {
         @Override
         public String text() {
             return bytes + " bytes, at most " + most;
--- a/src/main/java/ringspindle/conf/FleetConfig.java
+++ b/src/main/java/ringspindle/config/FleetConfig.java
@@ -1,4 +1,4 @@
-package ringspindle.conf;
+package ringspindle.config;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -31,8 +31,8 @@
 import java.util.TreeSet;
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
-import ringspindle.conf.Checked.Good;
-import ringspindle.conf.Checked.Refused;
+import ringspindle.config.Validated.Invalid;
+import ringspindle.config.Validated.Valid;
 
 /** A configuration of the operator, read and checked. */
 public final class FleetConfig {
@@ -43,7 +43,7 @@
     public record Target(String service, double weight) {}
 
     /** Where requests of a host and prefix go. */
-    public record Mapping(
+    public record Route(
             String name,
             String host,
             String pathPrefix,
@@ -85,64 +85,63 @@
 
     private final JsonObject source;
     private final long revision;
-    private final Map<String, List<Mapping>> byHost = new HashMap<>();
+    private final Map<String, List<Route>> byHost = new HashMap<>();
     private final Map<String, Service> services = new HashMap<>();
     private final Limits limits;
 
-    private FleetConfig(
-            JsonObject source, long revision, List<Mapping> mappings, List<Service> services, Limits limits) {
+    private FleetConfig(JsonObject source, long revision, List<Route> mappings, List<Service> services, Limits limits) {
         this.source = source;
         this.revision = revision;
         this.limits = limits;
-        for (Mapping m : mappings) {
+        for (Route m : mappings) {
             byHost.computeIfAbsent(m.host().toLowerCase(Locale.ROOT), k -> new ArrayList<>())
                     .add(m);
         }
         byHost.values()
                 .forEach(l -> l.sort(
-                        Comparator.comparingInt((Mapping m) -> -m.pathPrefix().length())));
+                        Comparator.comparingInt((Route m) -> -m.pathPrefix().length())));
         services.forEach(s -> this.services.put(s.name(), s));
     }
 
     /** Reads JSON strictly, duplicate keys refused; {@code FleetConfig.json("{}".getBytes())}. */
-    public static Checked<JsonObject> json(byte[] body) {
+    public static Validated<JsonObject> json(byte[] body) {
         try (JsonReader r = READERS.createReader(new InputStreamReader(new ByteArrayInputStream(body), UTF_8))) {
-            return new Good<>(r.readObject());
+            return new Valid<>(r.readObject());
         } catch (RuntimeException x) {
-            return Checked.refused(new Problem.Unreadable(
+            return Validated.refused(new ConfigError.Unreadable(
                     "not a whole JSON object: " + x.getClass().getSimpleName()));
         }
     }
 
     /** Reads and checks a whole configuration; {@code FleetConfig.read(bytes)}. */
-    public static Checked<FleetConfig> read(byte[] body) {
-        Checked<JsonObject> j = json(body);
-        if (j instanceof Refused<JsonObject> bad) {
-            return new Refused<>(bad.problems());
+    public static Validated<FleetConfig> read(byte[] body) {
+        Validated<JsonObject> j = json(body);
+        if (j instanceof Invalid<JsonObject> bad) {
+            return new Invalid<>(bad.problems());
         }
-        return check(((Good<JsonObject>) j).value());
+        return check(((Valid<JsonObject>) j).value());
     }
 
     /** Checks a whole configuration; {@code FleetConfig.check(object)}. */
-    public static Checked<FleetConfig> check(JsonObject o) {
+    public static Validated<FleetConfig> check(JsonObject o) {
         try {
             return checked(o);
         } catch (ClassCastException | NullPointerException | ArithmeticException x) {
-            return Checked.refused(new Problem.Unreadable("a field is missing or of the wrong type"));
+            return Validated.refused(new ConfigError.Unreadable("a field is missing or of the wrong type"));
         }
     }
 
-    private static Checked<FleetConfig> checked(JsonObject o) {
-        List<Problem> problems = new ArrayList<>();
+    private static Validated<FleetConfig> checked(JsonObject o) {
+        List<ConfigError> problems = new ArrayList<>();
         if (!(o.get("revision") instanceof JsonNumber rev) || !rev.isIntegral()) {
-            return Checked.refused(new Problem.Missing("revision"));
+            return Validated.refused(new ConfigError.Missing("revision"));
         }
         List<Service> services = new ArrayList<>();
         Set<String> serviceNames = new HashSet<>();
         for (JsonObject s : objects(o, "services")) {
             String name = s.getString("name");
             if (!serviceNames.add(name)) {
-                problems.add(new Problem.SameName(name));
+                problems.add(new ConfigError.SameName(name));
             }
             JsonObject engine = s.get("engine") instanceof JsonObject e ? e : JsonValue.EMPTY_JSON_OBJECT;
             services.add(new Service(
@@ -154,13 +153,13 @@
                     (long) number(engine, "cacheTokens", 0),
                     (int) number(engine, "capacity", 0)));
         }
-        List<Mapping> mappings = new ArrayList<>();
+        List<Route> mappings = new ArrayList<>();
         Map<String, String> places = new HashMap<>();
         Set<String> names = new HashSet<>();
         for (JsonObject r : objects(o, "routes")) {
             String name = r.getString("name");
             if (!names.add(name)) {
-                problems.add(new Problem.SameName(name));
+                problems.add(new ConfigError.SameName(name));
             }
             List<Target> targets = new ArrayList<>();
             if (r.get("weightedTargets") instanceof JsonArray a) {
@@ -171,25 +170,25 @@
                     targets.add(new Target(t.getString("service"), weight));
                 }
                 if (!(sum > 0)) {
-                    problems.add(new Problem.NoWeight(name));
+                    problems.add(new ConfigError.NoWeight(name));
                 }
             } else {
                 targets.add(new Target(r.getString("service"), 1));
             }
             for (Target t : targets) {
                 if (!serviceNames.contains(t.service())) {
-                    problems.add(new Problem.UnknownService(name, t.service()));
+                    problems.add(new ConfigError.UnknownService(name, t.service()));
                 }
             }
             String host = r.getString("host");
             String prefix = r.getString("pathPrefix");
             String other = places.put(host.toLowerCase(Locale.ROOT) + " " + prefix, name);
             if (other != null) {
-                problems.add(new Problem.SamePlace(other, name));
+                problems.add(new ConfigError.SamePlace(other, name));
             }
             int deadlineMs = (int) number(r, "deadlineMs", 0);
             if (deadlineMs <= 0) {
-                problems.add(new Problem.NoDeadline(name));
+                problems.add(new ConfigError.NoDeadline(name));
             }
             Set<String> homes = new TreeSet<>();
             if (r.get("homeRegions") instanceof JsonArray a) {
@@ -201,7 +200,7 @@
                         case "streaming" -> Kind.STREAMING;
                         default -> Kind.MUTATING;
                     };
-            mappings.add(new Mapping(
+            mappings.add(new Route(
                     name,
                     host,
                     prefix,
@@ -223,23 +222,23 @@
                 (int) number(l, "headerTimeoutMs", 3000),
                 (int) number(l, "idleTimeoutMs", 15000));
         if (!problems.isEmpty()) {
-            return new Refused<>(problems);
+            return new Invalid<>(problems);
         }
-        return new Good<>(new FleetConfig(o, rev.longValueExact(), mappings, services, limits));
+        return new Valid<>(new FleetConfig(o, rev.longValueExact(), mappings, services, limits));
     }
 
     /** Puts the named items of a PATCH on top of this one and checks the whole; {@code config.patched(patch)}. */
-    public Checked<FleetConfig> patched(JsonObject patch) {
+    public Validated<FleetConfig> patched(JsonObject patch) {
         try {
             return patch(patch);
         } catch (ClassCastException | NullPointerException x) {
-            return Checked.refused(new Problem.Unreadable("a field is missing or of the wrong type"));
+            return Validated.refused(new ConfigError.Unreadable("a field is missing or of the wrong type"));
         }
     }
 
-    private Checked<FleetConfig> patch(JsonObject patch) {
+    private Validated<FleetConfig> patch(JsonObject patch) {
         if (!(patch.get("revision") instanceof JsonNumber)) {
-            return Checked.refused(new Problem.Missing("revision"));
+            return Validated.refused(new ConfigError.Missing("revision"));
         }
         JsonObjectBuilder out = Json.createObjectBuilder(source).add("revision", patch.get("revision"));
         JsonObject upserts = patch.get("upserts") instanceof JsonObject u ? u : JsonValue.EMPTY_JSON_OBJECT;
@@ -261,7 +260,7 @@
             Set<String> seen = new HashSet<>();
             for (JsonObject i : objects(upserts, key)) {
                 if (!seen.add(i.getString("name"))) {
-                    return Checked.refused(new Problem.SameName(i.getString("name")));
+                    return Validated.refused(new ConfigError.SameName(i.getString("name")));
                 }
                 items.put(i.getString("name"), i);
             }
@@ -303,21 +302,21 @@
     }
 
     /** All mappings; {@code config.mappings().get(0).name()}. */
-    public List<Mapping> mappings() {
-        List<Mapping> all = new ArrayList<>();
+    public List<Route> mappings() {
+        List<Route> all = new ArrayList<>();
         byHost.values().forEach(all::addAll);
         return all;
     }
 
     /** The mapping with the longest prefix, null if there is none; {@code config.find("a.example", "/x/2f")}. */
-    public Mapping find(String host, String path) {
-        List<Mapping> of = host == null ? null : byHost.get(host.toLowerCase(Locale.ROOT));
+    public Route find(String host, String path) {
+        List<Route> of = host == null ? null : byHost.get(host.toLowerCase(Locale.ROOT));
         if (of == null && host != null && host.indexOf(':') > 0) {
             // the port in Host is the node's, not the mapping's
             of = byHost.get(host.substring(0, host.lastIndexOf(':')).toLowerCase(Locale.ROOT));
         }
         if (of != null) {
-            for (Mapping m : of) {
+            for (Route m : of) {
                 if (path.startsWith(m.pathPrefix())) {
                     return m;
                 }
--- a/src/main/java/ringspindle/conf/NodeConfig.java
+++ b/src/main/java/ringspindle/config/NodeConfig.java
@@ -1,4 +1,4 @@
-package ringspindle.conf;
+package ringspindle.config;
 
 import java.io.IOException;
 import java.io.Reader;
@@ -11,9 +11,9 @@
 import java.util.Optional;
 import java.util.Properties;
 import java.util.TreeMap;
-import ringspindle.conf.Checked.Good;
-import ringspindle.conf.Checked.Refused;
-import ringspindle.wire.NodeId;
+import ringspindle.config.Validated.Invalid;
+import ringspindle.config.Validated.Valid;
+import ringspindle.protocol.NodeId;
 
 /** The checked settings of one node. */
 public record NodeConfig(
@@ -45,18 +45,18 @@
         int lossesBorne) {
 
     /** Reads and checks the file; {@code NodeConfig.read(Path.of("node.conf"))}. */
-    public static Checked<NodeConfig> read(Path file) {
+    public static Validated<NodeConfig> read(Path file) {
         Properties p = new Properties();
         try (Reader r = Files.newBufferedReader(file)) {
             p.load(r);
         } catch (IOException | IllegalArgumentException x) {
-            return Checked.refused(new Problem.Unreadable(file + ": " + x.getMessage()));
+            return Validated.refused(new ConfigError.Unreadable(file + ": " + x.getMessage()));
         }
         return check(p);
     }
 
     /** Checks values by name; unknown names are ignored: {@code NodeConfig.check(properties)}. */
-    public static Checked<NodeConfig> check(Properties p) {
+    public static Validated<NodeConfig> check(Properties p) {
         Reader1 r = new Reader1(p);
         Map<String, String> zones = new TreeMap<>();
         for (String k : p.stringPropertyNames()) {
@@ -70,13 +70,13 @@
         try {
             inner = Integer.parseInt(ports[0].trim());
         } catch (NumberFormatException x) {
-            r.problems.add(new Problem.Bad("listen.inner", p.getProperty("listen.inner"), "ports"));
+            r.problems.add(new ConfigError.Bad("listen.inner", p.getProperty("listen.inner"), "ports"));
         }
         if (!ip.isEmpty()) {
             try {
                 NodeId.of(ip + ":1");
             } catch (RuntimeException x) {
-                r.problems.add(new Problem.Bad("node.ip", ip, "an IPv4 address"));
+                r.problems.add(new ConfigError.Bad("node.ip", ip, "an IPv4 address"));
             }
         }
         List<NodeId> seeds = new ArrayList<>();
@@ -86,7 +86,7 @@
             }
         }
         if (seeds.isEmpty()) {
-            r.problems.add(new Problem.Missing("seeds"));
+            r.problems.add(new ConfigError.Missing("seeds"));
         }
         NodeConfig c = new NodeConfig(
                 r.text("node.name"),
@@ -115,7 +115,7 @@
                 (int) r.number("bound.evacuationMs", 5000),
                 r.number("bound.ttlS", 5),
                 (int) r.number("loss.nodes", 1));
-        return r.problems.isEmpty() ? new Good<>(c) : new Refused<>(List.copyOf(r.problems));
+        return r.problems.isEmpty() ? new Valid<>(c) : new Invalid<>(List.copyOf(r.problems));
     }
 
     /** The region of a zone, empty if unknown; {@code config.regionOf("ahd-halla")}. */
@@ -125,7 +125,7 @@
 
     private static final class Reader1 {
         final Properties p;
-        final List<Problem> problems = new ArrayList<>();
+        final List<ConfigError> problems = new ArrayList<>();
 
         Reader1(Properties p) {
             this.p = p;
@@ -134,7 +134,7 @@
         String text(String key) {
             String v = p.getProperty(key, "").trim();
             if (v.isEmpty()) {
-                problems.add(new Problem.Missing(key));
+                problems.add(new ConfigError.Missing(key));
             }
             return v;
         }
@@ -152,7 +152,7 @@
             } catch (NumberFormatException x) {
                 // named below
             }
-            problems.add(new Problem.Bad(key, v, "a number of 0 or more"));
+            problems.add(new ConfigError.Bad(key, v, "a number of 0 or more"));
             return otherwise;
         }
 
@@ -165,7 +165,7 @@
             try {
                 return Optional.of(NodeId.of(v.trim()));
             } catch (RuntimeException x) {
-                problems.add(new Problem.Bad(key, v, "ip:port"));
+                problems.add(new ConfigError.Bad(key, v, "ip:port"));
                 return Optional.empty();
             }
         }
--- a/src/main/java/ringspindle/conf/Settings.java
+++ b/src/main/java/ringspindle/config/Settings.java
@@ -1,4 +1,4 @@
-package ringspindle.conf;
+package ringspindle.config;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -19,7 +19,7 @@
      * @param restart settings that differ and wait for a restart of the process
      * @param problems why nothing was taken, empty if the file is good
      */
-    public record Reload(List<String> taken, List<String> restart, List<Problem> problems) {}
+    public record Reload(List<String> taken, List<String> restart, List<ConfigError> problems) {}
 
     private NodeConfig now;
     private final List<Listener> listeners = new CopyOnWriteArrayList<>();
@@ -40,11 +40,11 @@
     }
 
     /** The file was read again; {@code settings.reload(NodeConfig.read(file)).restart()} names what needs a restart. */
-    public Reload reload(Checked<NodeConfig> file) {
-        if (file instanceof Checked.Refused<NodeConfig> bad) {
+    public Reload reload(Validated<NodeConfig> file) {
+        if (file instanceof Validated.Invalid<NodeConfig> bad) {
             return new Reload(List.of(), List.of(), bad.problems());
         }
-        NodeConfig next = ((Checked.Good<NodeConfig>) file).value();
+        NodeConfig next = ((Validated.Valid<NodeConfig>) file).value();
         List<String> restart = new ArrayList<>();
         NodeConfig merged;
         List<String> taken;
--- a/src/main/java/ringspindle/cp/Gate.java
+++ b/src/main/java/ringspindle/controlplane/ControlApiHandler.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -20,28 +20,28 @@
 import org.eclipse.jetty.util.Fields;
 import ringspindle.api.Operation;
 import ringspindle.api.Outcome;
-import ringspindle.chain.Chain;
-import ringspindle.conf.Checked;
-import ringspindle.conf.Checked.Good;
-import ringspindle.conf.FleetConfig;
-import ringspindle.conf.Problem;
-import ringspindle.edge.BoundedBody;
-import ringspindle.meet.RollPlan;
-import ringspindle.rule.ServingRules;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.NodeId;
+import ringspindle.config.ConfigError;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.Validated;
+import ringspindle.config.Validated.Valid;
+import ringspindle.membership.RolloutPlanner;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.NodeId;
+import ringspindle.proxy.BoundedBody;
+import ringspindle.replication.ReplicatedState;
+import ringspindle.routing.ServingRules;
 
 /** The calls of engines, operators and consumers on a control node. */
-final class Gate extends Handler.Abstract {
+final class ControlApiHandler extends Handler.Abstract {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final JsonProvider JSON = JsonProvider.provider();
     private static final int BODY_MAX = 16 << 20;
     private static final int INSTANCE_MAX = 64 << 10;
     private static final byte[] NONE = {};
 
-    private final Control control;
+    private final ControlNode control;
 
-    Gate(Control control) {
+    ControlApiHandler(ControlNode control) {
         this.control = control;
     }
 
@@ -62,16 +62,16 @@
                 return resolve(request, response, callback);
             case CONFIG_GET:
                 control.call(
-                        Chain.READ,
+                        ReplicatedState.READ,
                         0,
                         "",
                         NONE,
                         (o, body) -> end(response, callback, o, o == Outcome.TAKEN ? FleetConfig.unpack(body) : NONE));
                 return true;
             case CONFIG_PUT:
-                return configuration(request, response, callback, Chain.PUT);
+                return configuration(request, response, callback, ReplicatedState.PUT);
             case CONFIG_PATCH:
-                return configuration(request, response, callback, Chain.PATCH);
+                return configuration(request, response, callback, ReplicatedState.PATCH);
             case EVACUATE:
             case RESTORE:
                 if (!control.inTouch()) {
@@ -81,7 +81,7 @@
                     return end(response, callback, Outcome.NO_SUCH, NONE);
                 }
                 control.call(
-                        what == Operation.EVACUATE ? Chain.EVACUATE : Chain.RESTORE,
+                        what == Operation.EVACUATE ? ReplicatedState.EVACUATE : ReplicatedState.RESTORE,
                         0,
                         arg,
                         NONE,
@@ -90,13 +90,13 @@
             case BEAT:
                 return instance(request, response, callback, arg);
             case GONE:
-                control.call(Chain.GONE, 0, arg, NONE, (o, body) -> end(response, callback, o, NONE));
+                control.call(ReplicatedState.GONE, 0, arg, NONE, (o, body) -> end(response, callback, o, NONE));
                 return true;
             case RULES_GET:
                 control.call(
-                        Chain.READ,
+                        ReplicatedState.READ,
                         0,
-                        Chain.READ_RULES,
+                        ReplicatedState.READ_RULES,
                         NONE,
                         (o, body) -> end(response, callback, o, o == Outcome.TAKEN ? body : NONE));
                 return true;
@@ -107,13 +107,13 @@
                         response,
                         callback,
                         Outcome.TAKEN,
-                        Fleet.ledger(control).toString().getBytes(UTF_8));
+                        FleetStatus.ledger(control).toString().getBytes(UTF_8));
             case ROLLOUTS:
                 return end(
                         response,
                         callback,
                         Outcome.TAKEN,
-                        Fleet.rollouts(control).toString().getBytes(UTF_8));
+                        FleetStatus.rollouts(control).toString().getBytes(UTF_8));
             case ROLLOUT:
                 return rollout(request, response, callback, arg);
             case STATUS:
@@ -121,13 +121,13 @@
                         response,
                         callback,
                         Outcome.TAKEN,
-                        Fleet.status(control).toString().getBytes(UTF_8));
+                        FleetStatus.status(control).toString().getBytes(UTF_8));
             case ENGINES:
                 return end(
                         response,
                         callback,
                         Outcome.TAKEN,
-                        Fleet.engines(control).toString().getBytes(UTF_8));
+                        FleetStatus.engines(control).toString().getBytes(UTF_8));
             default:
                 return end(response, callback, Outcome.NO_SUCH, NONE);
         }
@@ -193,10 +193,10 @@
                 end(response, callback, Outcome.UNCLEAR, NONE);
                 return;
             }
-            Checked<ServingRules> checked = ServingRules.read(b);
-            List<Problem> problems = checked instanceof Checked.Refused<ServingRules> bad
+            Validated<ServingRules> checked = ServingRules.read(b);
+            List<ConfigError> problems = checked instanceof Validated.Invalid<ServingRules> bad
                     ? bad.problems()
-                    : ((Good<ServingRules>) checked)
+                    : ((Valid<ServingRules>) checked)
                             .value()
                             .problems(
                                     null,
@@ -208,12 +208,12 @@
                         callback,
                         Outcome.INVALID,
                         problems.stream()
-                                .map(Problem::text)
+                                .map(ConfigError::text)
                                 .collect(java.util.stream.Collectors.joining("; "))
                                 .getBytes(UTF_8));
                 return;
             }
-            control.call(Chain.RULES, base, "", b, (o, text) -> end(response, callback, o, text));
+            control.call(ReplicatedState.RULES, base, "", b, (o, text) -> end(response, callback, o, text));
         });
         return true;
     }
@@ -239,8 +239,8 @@
                 end(response, callback, Outcome.UNCLEAR, NONE);
                 return;
             }
-            Checked<JsonObject> j = FleetConfig.json(b);
-            if (!(j instanceof Good<JsonObject> good)) {
+            Validated<JsonObject> j = FleetConfig.json(b);
+            if (!(j instanceof Valid<JsonObject> good)) {
                 end(response, callback, Outcome.MALFORMED, NONE);
                 return;
             }
@@ -281,7 +281,7 @@
                 return;
             }
             control.call(
-                    Chain.DRAIN,
+                    ReplicatedState.DRAIN,
                     0,
                     id,
                     NONE,
@@ -298,11 +298,11 @@
                 return;
             }
             byte[] order = b;
-            if (FleetConfig.json(b) instanceof Good<JsonObject> good
+            if (FleetConfig.json(b) instanceof Valid<JsonObject> good
                     && "start".equals(good.value().getString("order", ""))) {
-                List<RollPlan.Member> members = control.members(service);
+                List<RolloutPlanner.Member> members = control.members(service);
                 double floor = good.value().get("floor") instanceof JsonNumber n ? n.doubleValue() : 0.5;
-                if (!RollPlan.feasible(floor, members)) {
+                if (!RolloutPlanner.feasible(floor, members)) {
                     end(
                             response,
                             callback,
@@ -312,7 +312,7 @@
                 }
                 if (!good.value().containsKey("from")) {
                     long from = members.stream()
-                            .mapToLong(RollPlan.Member::weights)
+                            .mapToLong(RolloutPlanner.Member::weights)
                             .max()
                             .orElse(-1);
                     order = JSON.createObjectBuilder(good.value())
@@ -322,7 +322,7 @@
                             .getBytes(UTF_8);
                 }
             }
-            control.call(Chain.ROLLOUT, 0, service, order, (o, text) -> end(response, callback, o, text));
+            control.call(ReplicatedState.ROLLOUT, 0, service, order, (o, text) -> end(response, callback, o, text));
         });
         return true;
     }
--- a/src/main/java/ringspindle/cp/Control.java
+++ b/src/main/java/ringspindle/controlplane/ControlNode.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -14,37 +14,37 @@
 import java.util.concurrent.Executor;
 import java.util.function.Function;
 import ringspindle.api.Outcome;
-import ringspindle.chain.Chain;
-import ringspindle.chain.Rollout;
-import ringspindle.conf.NodeConfig;
-import ringspindle.know.Book;
-import ringspindle.meet.Facts;
-import ringspindle.meet.Meet;
-import ringspindle.meet.RollPlan;
-import ringspindle.meet.Roster;
-import ringspindle.sum.Sum;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Means;
-import ringspindle.wire.Mesh;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.Digest;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.Heartbeat;
-import ringspindle.wire.Msg.Hello;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.Msg.LedgerReport;
-import ringspindle.wire.Msg.Load;
-import ringspindle.wire.Msg.Mark;
-import ringspindle.wire.Msg.News;
-import ringspindle.wire.Msg.Report;
-import ringspindle.wire.Msg.State;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
-import ringspindle.wire.Steady;
+import ringspindle.config.NodeConfig;
+import ringspindle.gossip.FactStore;
+import ringspindle.membership.DataNodeFact;
+import ringspindle.membership.FactValidator;
+import ringspindle.membership.RolloutPlanner;
+import ringspindle.membership.SessionTable;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.Digest;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.Message.LedgerReport;
+import ringspindle.protocol.Message.Load;
+import ringspindle.protocol.Message.Mark;
+import ringspindle.protocol.Message.News;
+import ringspindle.protocol.Message.Report;
+import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
+import ringspindle.replication.ReplicatedState;
+import ringspindle.replication.Rollout;
+import ringspindle.telemetry.LoadSummary;
+import ringspindle.time.MonotonicClock;
+import ringspindle.transport.Mesh;
+import ringspindle.transport.NodeEnvironment;
 
 /** Owner of a control node's state machines: events come in, commands are carried out. */
-final class Control implements Mesh.Ear {
+final class ControlNode implements Mesh.Listener {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     static final int TICK_MS = 100;
     /** Heartbeats to data nodes go out every so many ticks. */
@@ -74,23 +74,23 @@
 
     private volatile NodeConfig config;
     private final NodeId me;
-    private final Steady clock;
+    private final MonotonicClock clock;
     private final Mesh mesh;
     private final Executor pool;
     private final Storage storage;
 
     private final Object chainLock = new Object();
-    private final Chain chain;
-    private final Calls calls;
+    private final ReplicatedState chain;
+    private final PendingCalls calls;
 
     private final Object bookLock = new Object();
-    private final Meet meet;
+    private final SessionTable meet;
     private final Knowledge knowledge;
-    private final Frontends frontends;
-    private final LoadSums sums;
-    private final NewsFeed news;
+    private final DataNodeDirectory frontends;
+    private final LoadAggregator sums;
+    private final FactDissemination news;
     private final LeaseGrants leases;
-    private final Ledgers ledgers = new Ledgers();
+    private final RequestLedgers ledgers = new RequestLedgers();
 
     private final RolloutDriver rollouts;
     private long ticks;
@@ -103,13 +103,14 @@
 
     private long mergedSeq = -1;
 
-    Control(NodeConfig config, Means means, Storage storage, Reports reports) throws Exception {
+    ControlNode(NodeConfig config, NodeEnvironment means, Storage storage, EngineReportClient reports)
+            throws Exception {
         this.config = config;
         this.storage = storage;
         pool = means.pool();
         clock = means.clock();
         me = NodeId.of(config.ip() + ":" + config.innerPort());
-        calls = new Calls(clock, pool, means.chance().getAsLong());
+        calls = new PendingCalls(clock, pool, means.chance().getAsLong());
         Hello self = new Hello(
                 me,
                 means.life(),
@@ -119,19 +120,20 @@
                 config.zone(),
                 config.region());
         mesh = means.mesh().apply(self);
-        meet = Meet.forControl(me);
+        meet = SessionTable.forControl(me);
         knowledge = new Knowledge(config, clock);
-        frontends = new Frontends(me, meet, knowledge);
-        sums = new LoadSums(config, self, mesh, meet, knowledge);
-        news = new NewsFeed(mesh, meet, knowledge);
+        frontends = new DataNodeDirectory(me, meet, knowledge);
+        sums = new LoadAggregator(config, self, mesh, meet, knowledge);
+        news = new FactDissemination(mesh, meet, knowledge);
         leases = new LeaseGrants(me, knowledge, frontends);
         rollouts = new RolloutDriver(
-                reports, (service, body, then) -> call(Chain.ROLLOUT, 0, service, body, (o, text) -> then.run()));
+                reports,
+                (service, body, then) -> call(ReplicatedState.ROLLOUT, 0, service, body, (o, text) -> then.run()));
         List<NodeId> seeds = config.seeds().stream()
                 .map(s -> s.at(config.innerPort()))
                 .sorted()
                 .toList();
-        chain = Chain.create(
+        chain = ReplicatedState.create(
                 me,
                 seeds,
                 config.bootstrap(),
@@ -164,7 +166,7 @@
      * Passes a call to the chain, which holds it for a moment while this node is just starting; otherwise the answer is
      * UNCLEAR at once unless a majority is proven to be in touch.
      */
-    void call(int kind, long base, String arg, byte[] body, Calls.Answered then) {
+    void call(int kind, long base, String arg, byte[] body, PendingCalls.Answered then) {
         long fromMs = clock.nowMs();
         synchronized (chainLock) {
             long nowMs = clock.nowMs();
@@ -217,18 +219,18 @@
             state = chain.committed();
             view = chain.view();
         }
-        return Handover.done(me, view, state == null ? -1 : state.seq(), holders());
+        return ShutdownHandover.done(me, view, state == null ? -1 : state.seq(), holders());
     }
 
     /** What control nodes in touch last said that they hold. */
-    List<Handover.Holder> holders() {
-        List<Handover.Holder> holders = new ArrayList<>();
+    List<ShutdownHandover.Holder> holders() {
+        List<ShutdownHandover.Holder> holders = new ArrayList<>();
         synchronized (bookLock) {
             meet.advance(clock.nowMs());
-            for (Meet.Peer p : meet.peers()) {
+            for (SessionTable.Peer p : meet.peers()) {
                 Heartbeat newest = p.heartbeat();
                 if (p.hello().kind() == 0 && p.linked()) {
-                    holders.add(new Handover.Holder(
+                    holders.add(new ShutdownHandover.Holder(
                             p.hello().node(), newest.epoch(), newest.seq(), (newest.flags() & Heartbeat.BLANK) != 0));
                 }
             }
@@ -284,7 +286,7 @@
         }
     }
 
-    <T> T book(Function<Book, T> f) {
+    <T> T book(Function<FactStore, T> f) {
         synchronized (bookLock) {
             return f.apply(knowledge.book());
         }
@@ -318,7 +320,7 @@
             meet.advance(clock.nowMs());
             Hello best = null;
             int bestRank = region.equals(config.region()) ? 1 : 2;
-            for (Meet.Peer p : meet.peers()) {
+            for (SessionTable.Peer p : meet.peers()) {
                 Hello h = p.hello();
                 int rank = h.zone().equals(zone) ? 0 : h.region().equals(region) ? 1 : 2;
                 if (p.serves() && rank < bestRank) {
@@ -361,12 +363,12 @@
     }
 
     @Override
-    public void heard(NodeId from, Msg m) {
+    public void heard(NodeId from, Message m) {
         long nowMs = clock.nowMs();
         if (m instanceof Heartbeat h) {
             heard(from, h, nowMs);
         } else if (m instanceof News n) {
-            Facts.check(n.items());
+            FactValidator.check(n.items());
             synchronized (bookLock) {
                 knowledge.merge(n.items());
                 knowledge.book().told(from, n.items());
@@ -396,9 +398,9 @@
 
     private void heard(NodeId from, Heartbeat heartbeat, long nowMs) {
         synchronized (bookLock) {
-            Book book = knowledge.book();
+            FactStore book = knowledge.book();
             meet.heard(from, heartbeat, nowMs);
-            Meet.Peer peer = meet.peer(from);
+            SessionTable.Peer peer = meet.peer(from);
             if (peer != null && peer.hello().kind() == 1) {
                 frontends.heard(peer, heartbeat);
             }
@@ -416,7 +418,7 @@
     @Override
     public void closed(NodeId peer) {
         synchronized (bookLock) {
-            Meet.Peer p = meet.peer(peer);
+            SessionTable.Peer p = meet.peer(peer);
             if (p != null && p.hello().kind() == 1 && p.heartbeat().n() > 0) {
                 frontends.closed(p);
                 sums.closed(peer);
@@ -427,21 +429,21 @@
     }
 
     /** The newest ledgers of nodes that report here, by node. */
-    Map<NodeId, List<Ledgers.Life>> ledgers() {
+    Map<NodeId, List<RequestLedgers.Life>> ledgers() {
         synchronized (bookLock) {
             return ledgers.all();
         }
     }
 
     /** Data nodes as known here, and whether their facts still hold. */
-    Map<Roster, Boolean> roster() {
+    Map<DataNodeFact, Boolean> roster() {
         synchronized (bookLock) {
             return frontends.all(clock.nowMs());
         }
     }
 
     /** The sums as this node last made them, for the operator. */
-    Sum total() {
+    LoadSummary total() {
         synchronized (bookLock) {
             return sums.total();
         }
@@ -451,7 +453,7 @@
 
     private void compact() {
         synchronized (chainLock) {
-            storage.take(new Chain.Out.Store(DiskThread.COMPACTION, chain.durable(), true));
+            storage.take(new ReplicatedState.Out.Store(DiskThread.COMPACTION, chain.durable(), true));
         }
     }
 
@@ -461,18 +463,18 @@
         }
     }
 
-    private void carryOut(List<Chain.Out> outs) {
-        for (Chain.Out o : outs) {
-            if (o instanceof Chain.Out.Send s) {
+    private void carryOut(List<ReplicatedState.Out> outs) {
+        for (ReplicatedState.Out o : outs) {
+            if (o instanceof ReplicatedState.Out.Send s) {
                 mesh.send(s.to(), s.m());
-            } else if (o instanceof Chain.Out.Store s) {
+            } else if (o instanceof ReplicatedState.Out.Store s) {
                 storage.take(s);
-            } else if (o instanceof Chain.Out.Answer a) {
+            } else if (o instanceof ReplicatedState.Out.Answer a) {
                 calls.answered(a);
-            } else if (o instanceof Chain.Out.Committed c) {
+            } else if (o instanceof ReplicatedState.Out.Committed c) {
                 committed = c.state();
                 pool.execute(() -> committed(c.state()));
-            } else if (o instanceof Chain.Out.Viewed v) {
+            } else if (o instanceof ReplicatedState.Out.Viewed v) {
                 LOG.atInfo().log(
                         "view %s chain %s voters %s",
                         v.view().epoch(), v.view().chain(), v.view().voters());
@@ -486,19 +488,19 @@
     }
 
     private void committed(State s) {
-        List<Item> items = new ArrayList<>();
+        List<Fact> items = new ArrayList<>();
         if (s.config().length > 0) {
-            items.add(new Item(Book.CONFIG, "", 0, s.revision(), s.config()));
+            items.add(new Fact(FactStore.CONFIG, "", 0, s.revision(), s.config()));
         }
         for (Mark m : s.marks()) {
             int kind =
                     switch (m.kind()) {
-                        case Chain.MARK_EVACUATED -> Book.EVACUATED;
-                        case Chain.MARK_LEAVING -> Book.LEAVING;
-                        case Chain.MARK_RULES -> Book.RULES;
-                        default -> Book.ROLLOUT;
+                        case ReplicatedState.MARK_EVACUATED -> FactStore.EVACUATED;
+                        case ReplicatedState.MARK_LEAVING -> FactStore.LEAVING;
+                        case ReplicatedState.MARK_RULES -> FactStore.RULES;
+                        default -> FactStore.ROLLOUT;
                     };
-            items.add(new Item(kind, m.key(), 0, m.version(), m.value().getBytes(UTF_8)));
+            items.add(new Fact(kind, m.key(), 0, m.version(), m.value().getBytes(UTF_8)));
         }
         synchronized (bookLock) {
             knowledge.merge(items);
@@ -521,7 +523,7 @@
             for (NodeId n : meet.beat(nowMs)) {
                 pool.execute(() -> mesh.drop(n));
             }
-            for (Meet.Peer p : meet.peers()) {
+            for (SessionTable.Peer p : meet.peers()) {
                 if (p.hello().kind() == 0) {
                     if (p.linked()) {
                         live.add(p.hello().node());
@@ -562,7 +564,7 @@
             }
             push();
             if (ticks % KEEP_TICKS == 0) {
-                storage.keep(knowledge.book().all(Book.ENGINE));
+                storage.keep(knowledge.book().all(FactStore.ENGINE));
             }
         }
     }
@@ -578,7 +580,7 @@
     }
 
     /** Who is in touch with whom, for the chain. */
-    private final class Reach implements Chain.Reach {
+    private final class Reach implements ReplicatedState.Reach {
         private final Set<NodeId> live;
 
         Reach(Set<NodeId> live) {
@@ -609,7 +611,7 @@
 
         private boolean says(NodeId n, int flag) {
             synchronized (bookLock) {
-                Meet.Peer p = meet.peer(n);
+                SessionTable.Peer p = meet.peer(n);
                 return p != null && (p.heartbeat().flags() & flag) != 0;
             }
         }
@@ -617,7 +619,7 @@
         @Override
         public String place(NodeId n) {
             synchronized (bookLock) {
-                Meet.Peer p = meet.peer(n);
+                SessionTable.Peer p = meet.peer(n);
                 return n.equals(me)
                         ? config.region()
                         : p == null ? "" : p.hello().region();
@@ -627,7 +629,7 @@
 
     /** What a control node's newest heartbeat proves, null if there is no session. */
     private MajorityProof.Contact contact(NodeId node) {
-        Meet.Peer p = meet.peer(node);
+        SessionTable.Peer p = meet.peer(node);
         if (p == null) {
             return null;
         }
@@ -666,21 +668,21 @@
         if (!holder || ticks % ROLL_TICKS != 0 || rollouts.ordering()) {
             return;
         }
-        List<Rollout> known = book(b -> b.all(Book.ROLLOUT).stream()
+        List<Rollout> known = book(b -> b.all(FactStore.ROLLOUT).stream()
                 .map(i -> Rollout.read(new String(i.value(), UTF_8)))
                 .toList());
         rollouts.tick(known, this::members, this::engineAddress, view.epoch(), ticks, nowMs);
     }
 
     /** The engines of a service, for roll-outs. */
-    List<RollPlan.Member> members(String service) {
+    List<RolloutPlanner.Member> members(String service) {
         synchronized (bookLock) {
             return knowledge.rollMembers(service);
         }
     }
 
     private String engineAddress(String id) {
-        Item i = book(b -> b.get(Book.ENGINE, id));
+        Fact i = book(b -> b.get(FactStore.ENGINE, id));
         return i == null ? null : ((Engine) Codec.decode(i.value())).address();
     }
 
@@ -692,11 +694,11 @@
         }
         String text = active + queued == 0 ? "free to swap" : "still runs " + (active + queued);
         synchronized (bookLock) {
-            knowledge.merge(List.of(new Item(
-                    Book.TURN,
+            knowledge.merge(List.of(new Fact(
+                    FactStore.TURN,
                     id,
                     view.epoch(),
-                    knowledge.nextVersion(Book.TURN, id, view.epoch()),
+                    knowledge.nextVersion(FactStore.TURN, id, view.epoch()),
                     text.getBytes(UTF_8))));
         }
     }
@@ -709,7 +711,7 @@
     List<Map<String, Object>> sessions() {
         List<Map<String, Object>> out = new ArrayList<>();
         synchronized (bookLock) {
-            for (Meet.Peer p : meet.peers()) {
+            for (SessionTable.Peer p : meet.peers()) {
                 Map<String, Object> row = new LinkedHashMap<>();
                 row.put("name", p.hello().name());
                 row.put("kind", p.hello().kind() == 0 ? "control" : "data");
--- a/src/main/java/ringspindle/cp/ControlPlane.java
+++ b/src/main/java/ringspindle/controlplane/ControlPlane.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import com.google.common.flogger.FluentLogger;
 import java.nio.file.Path;
@@ -9,13 +9,13 @@
 import org.eclipse.jetty.server.Server;
 import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
-import ringspindle.conf.NodeConfig;
-import ringspindle.conf.Settings;
-import ringspindle.wire.LifeCycleQuietly;
-import ringspindle.wire.Means;
-import ringspindle.wire.NodeId;
-import ringspindle.wire.Threads;
-import ringspindle.wire.Ticker;
+import ringspindle.config.NodeConfig;
+import ringspindle.config.Settings;
+import ringspindle.protocol.NodeId;
+import ringspindle.transport.LifeCycles;
+import ringspindle.transport.NodeEnvironment;
+import ringspindle.transport.PeriodicTask;
+import ringspindle.transport.Threads;
 
 /** The control plane's program. */
 public final class ControlPlane {
@@ -38,9 +38,10 @@
         QueuedThreadPool pool = threads.pool();
         pool.setStopTimeout(STOP_MS);
         org.eclipse.jetty.util.thread.Scheduler beats = threads.timers();
-        Reports reports = new Reports(pool, beats);
+        EngineReportClient reports = new EngineReportClient(pool, beats);
         Path folder = Path.of(config.dataPath().isEmpty() ? "/tmp/ringspindle" : config.dataPath());
-        Control control = new Control(config, Means.real(threads), new DiskStorage(folder, pool), reports);
+        ControlNode control =
+                new ControlNode(config, NodeEnvironment.real(threads), new DiskStorage(folder, pool), reports);
         reports.tell(control::reported);
         Server server = new Server(pool, beats, new ArrayByteBufferPool(0, 4096, 65536, 64, 2 << 20, 2 << 20));
         HttpConfiguration http = new HttpConfiguration();
@@ -57,10 +58,10 @@
             c.setAcceptQueueSize(256);
             server.addConnector(c);
         }
-        server.setHandler(new Gate(control));
+        server.setHandler(new ControlApiHandler(control));
         settings.listen(control::settings);
         control.start();
-        Ticker.start(control::tick, beats, Control.TICK_MS);
+        PeriodicTask.start(control::tick, beats, ControlNode.TICK_MS);
         server.start();
         LOG.atInfo().log("control plane %s serves", config.name());
         term.await();
@@ -71,6 +72,6 @@
         for (int ms = 0; ms < LEAVE_MOST_MS && (ms < LEAVE_LEAST_MS || !control.handedOver()); ms += LEAVE_STEP_MS) {
             Thread.sleep(LEAVE_STEP_MS);
         }
-        LifeCycleQuietly.stop(server);
+        LifeCycles.stopQuietly(server);
     }
 }
--- a/src/main/java/ringspindle/cp/Frontends.java
+++ b/src/main/java/ringspindle/controlplane/DataNodeDirectory.java
@@ -1,20 +1,20 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import ringspindle.know.Book;
-import ringspindle.meet.Meet;
-import ringspindle.meet.Roster;
-import ringspindle.wire.Msg.Heartbeat;
-import ringspindle.wire.Msg.Hello;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.NodeId;
+import ringspindle.gossip.FactStore;
+import ringspindle.membership.DataNodeFact;
+import ringspindle.membership.SessionTable;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.NodeId;
 
 /** Data nodes as facts: told by the control node that holds the session, and good while that node is in touch. Guarded by its owner. */
-final class Frontends {
+final class DataNodeDirectory {
     /** Ours: how long a node's fact holds after it moved, and after the control node that told it is out of touch. */
     private static final int HOLD_MS = 3000;
 
@@ -24,20 +24,20 @@
     private static final int LOST_COUNTS_MS = 10_000;
 
     private final NodeId me;
-    private final Meet meet;
+    private final SessionTable meet;
     private final Knowledge knowledge;
     private final Map<NodeId, Long> viaLostMs = new HashMap<>();
 
-    Frontends(NodeId me, Meet meet, Knowledge knowledge) {
+    DataNodeDirectory(NodeId me, SessionTable meet, Knowledge knowledge) {
         this.me = me;
         this.meet = meet;
         this.knowledge = knowledge;
     }
 
     /** A node's session is told once; told anew if it changes, or if whoever told it is out of touch. */
-    void heard(Meet.Peer peer, Heartbeat heartbeat) {
-        Item old = knowledge.book().get(Book.NODE, peer.hello().node().toString());
-        Roster was = old == null ? null : Roster.of(old.value());
+    void heard(SessionTable.Peer peer, Heartbeat heartbeat) {
+        Fact old = knowledge.book().get(FactStore.NODE, peer.hello().node().toString());
+        DataNodeFact was = old == null ? null : DataNodeFact.of(old.value());
         boolean same = was != null
                 && was.flags() == heartbeat.flags()
                 && was.hello().life() == peer.hello().life()
@@ -48,22 +48,23 @@
     }
 
     /** The session of a data node is gone. */
-    void closed(Meet.Peer peer) {
+    void closed(SessionTable.Peer peer) {
         knowledge.merge(List.of(item(peer, 0, peer.heartbeat().n() * 2 + 1)));
     }
 
     /** A restart has a new life that must win, though the time of day that lives are drawn from may go back. */
-    private Item item(Meet.Peer peer, int flags, long version) {
-        Item old = knowledge.book().get(Book.NODE, peer.hello().node().toString());
+    private Fact item(SessionTable.Peer peer, int flags, long version) {
+        Fact old = knowledge.book().get(FactStore.NODE, peer.hello().node().toString());
         long ownLife = peer.hello().life();
-        long wasLife = old == null ? ownLife : Roster.of(old.value()).hello().life();
+        long wasLife =
+                old == null ? ownLife : DataNodeFact.of(old.value()).hello().life();
         long nodeLife = old == null ? ownLife : wasLife == ownLife ? old.life() : Math.max(ownLife, old.life() + 1);
-        return new Item(
-                Book.NODE,
+        return new Fact(
+                FactStore.NODE,
                 peer.hello().node().toString(),
                 nodeLife,
                 version,
-                new Roster(flags, me, peer.hello()).value());
+                new DataNodeFact(flags, me, peer.hello()).value());
     }
 
     /**
@@ -75,8 +76,8 @@
         List<String> inZone = new ArrayList<>();
         List<String> inRegion = new ArrayList<>();
         List<String> all = new ArrayList<>();
-        for (Item i : knowledge.book().all(Book.NODE)) {
-            Roster r = Roster.of(i.value());
+        for (Fact i : knowledge.book().all(FactStore.NODE)) {
+            DataNodeFact r = DataNodeFact.of(i.value());
             if (!r.ready() || !(inTouch ? holds(i, r, nowMs) : linkedHere(r))) {
                 continue;
             }
@@ -94,14 +95,14 @@
         return out.size() > ADDRESSES_MAX ? out.subList(0, ADDRESSES_MAX) : out;
     }
 
-    private boolean linkedHere(Roster r) {
-        Meet.Peer p = meet.peer(r.hello().node());
+    private boolean linkedHere(DataNodeFact r) {
+        SessionTable.Peer p = meet.peer(r.hello().node());
         return p != null && p.linked();
     }
 
     /** True while the control node that told a fact of a node is in touch, and a moment longer. */
-    private boolean holds(Item i, Roster r, long nowMs) {
-        Long at = knowledge.seenMs(Book.NODE, i.key());
+    private boolean holds(Fact i, DataNodeFact r, long nowMs) {
+        Long at = knowledge.seenMs(FactStore.NODE, i.key());
         if (at != null && nowMs - at < HOLD_MS) {
             return true;
         }
@@ -116,10 +117,10 @@
     }
 
     /** Data nodes as known here, and whether their facts still hold. */
-    Map<Roster, Boolean> all(long nowMs) {
-        Map<Roster, Boolean> out = new LinkedHashMap<>();
-        for (Item i : knowledge.book().all(Book.NODE)) {
-            Roster r = Roster.of(i.value());
+    Map<DataNodeFact, Boolean> all(long nowMs) {
+        Map<DataNodeFact, Boolean> out = new LinkedHashMap<>();
+        for (Fact i : knowledge.book().all(FactStore.NODE)) {
+            DataNodeFact r = DataNodeFact.of(i.value());
             out.put(r, r.ready() && holds(i, r, nowMs));
         }
         return out;
@@ -128,8 +129,8 @@
     /** Data nodes that take requests, as known here. */
     int ready() {
         int n = 0;
-        for (Item i : knowledge.book().all(Book.NODE)) {
-            n += Roster.of(i.value()).ready() ? 1 : 0;
+        for (Fact i : knowledge.book().all(FactStore.NODE)) {
+            n += DataNodeFact.of(i.value()).ready() ? 1 : 0;
         }
         return n;
     }
@@ -137,9 +138,9 @@
     /** Data nodes that may be sending requests: those with a session, and those that lost theirs a moment ago. */
     int sharing(long nowMs) {
         int nodes = 0;
-        for (Item i : knowledge.book().all(Book.NODE)) {
-            Long at = knowledge.seenMs(Book.NODE, i.key());
-            nodes += Roster.of(i.value()).flags() != 0 || at != null && nowMs - at < LOST_COUNTS_MS ? 1 : 0;
+        for (Fact i : knowledge.book().all(FactStore.NODE)) {
+            Long at = knowledge.seenMs(FactStore.NODE, i.key());
+            nodes += DataNodeFact.of(i.value()).flags() != 0 || at != null && nowMs - at < LOST_COUNTS_MS ? 1 : 0;
         }
         return nodes;
     }
--- a/src/main/java/ringspindle/cp/DiskStorage.java
+++ b/src/main/java/ringspindle/controlplane/DiskStorage.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 import java.util.function.LongConsumer;
-import ringspindle.chain.Chain;
-import ringspindle.disk.Disk;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Entry;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.Msg.Op;
-import ringspindle.wire.Msg.State;
-import ringspindle.wire.Msg.Vote;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Entry;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.Op;
+import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.Vote;
+import ringspindle.replication.ReplicatedState;
+import ringspindle.storage.Disk;
 
 /** Two slots and a log in a folder, and the engines beside them. */
 final class DiskStorage implements Storage {
@@ -27,14 +27,14 @@
         engines = new EngineFile(folder.resolve("engines"), pool);
     }
 
-    private static boolean known(Msg record) {
+    private static boolean known(Message record) {
         return record instanceof Vote
                 || record instanceof State
                 || record instanceof Entry e && Codec.decode(e.op()) instanceof Op;
     }
 
     @Override
-    public List<Msg> load() throws IOException {
+    public List<Message> load() throws IOException {
         return disk.load();
     }
 
@@ -47,17 +47,17 @@
     }
 
     @Override
-    public void take(Chain.Out.Store s) {
+    public void take(ReplicatedState.Out.Store s) {
         thread.take(s);
     }
 
     @Override
-    public List<Item> engines() {
+    public List<Fact> engines() {
         return engines.load();
     }
 
     @Override
-    public void keep(Collection<Item> now) {
+    public void keep(Collection<Fact> now) {
         engines.keep(now);
     }
 }
--- a/src/main/java/ringspindle/cp/DiskThread.java
+++ b/src/main/java/ringspindle/controlplane/DiskThread.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import com.google.common.flogger.FluentLogger;
 import java.io.IOException;
@@ -7,11 +7,11 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.LongConsumer;
-import ringspindle.chain.Chain.Out.Store;
-import ringspindle.disk.Disk;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Entry;
-import ringspindle.wire.Msg.State;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Entry;
+import ringspindle.protocol.Message.State;
+import ringspindle.replication.ReplicatedState.Out.Store;
+import ringspindle.storage.Disk;
 
 /**
  * Writes records in order and in groups; a disk that hangs holds up only this thread. What a group wrote is told and never
@@ -128,7 +128,7 @@
         return s.records().stream().mapToLong(DiskThread::bytes).sum();
     }
 
-    private static long bytes(Msg record) {
+    private static long bytes(Message record) {
         if (record instanceof Entry e) {
             return SMALL_RECORD + e.op().length;
         }
--- a/src/main/java/ringspindle/cp/EngineFile.java
+++ b/src/main/java/ringspindle/controlplane/EngineFile.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import com.google.common.flogger.FluentLogger;
 import java.io.IOException;
@@ -14,11 +14,11 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.zip.CRC32C;
-import ringspindle.know.Book;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.Msg.News;
+import ringspindle.gossip.FactStore;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.News;
 
 /**
  * The engines as last heard, kept as a hint for the time right after a restart, when none has called yet. Nothing is
@@ -38,7 +38,7 @@
         this.pool = pool;
     }
 
-    List<Item> load() {
+    List<Fact> load() {
         try {
             if (!Files.exists(file) || Files.size(file) > FILE_MAX) {
                 return List.of();
@@ -60,12 +60,12 @@
     }
 
     /** Throws if it cannot be read, such as what another version wrote. */
-    private static boolean isEngine(Item item) {
-        return item.kind() == Book.ENGINE && Codec.decode(item.value()) instanceof Engine;
+    private static boolean isEngine(Fact item) {
+        return item.kind() == FactStore.ENGINE && Codec.decode(item.value()) instanceof Engine;
     }
 
     /** Writes if other engines are there than last time; a disk that hangs holds up nobody else. */
-    void keep(Collection<Item> engines) {
+    void keep(Collection<Fact> engines) {
         Set<String> now = new TreeSet<>();
         engines.forEach(i -> now.add(i.key()));
         if (now.equals(kept) || !writing.compareAndSet(false, true)) {
--- a/src/main/java/ringspindle/cp/Reports.java
+++ b/src/main/java/ringspindle/controlplane/EngineReportClient.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import jakarta.json.JsonException;
 import jakarta.json.JsonObject;
@@ -12,27 +12,27 @@
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.client.Result;
 import org.eclipse.jetty.client.transport.HttpClientTransportOverHTTP;
-import ringspindle.wire.PlainConnector;
+import ringspindle.transport.PlainConnector;
 
 /** Asks engines for their reports; started when first needed, as most nodes never are. */
-final class Reports {
+final class EngineReportClient {
     /** Where a report goes. */
-    interface Ear {
+    interface Listener {
         void reported(String id, int active, int queued);
     }
 
     private final Executor pool;
     private final org.eclipse.jetty.util.thread.Scheduler beats;
-    private volatile Ear ear = (id, active, queued) -> {};
+    private volatile Listener ear = (id, active, queued) -> {};
     private HttpClient client;
 
-    Reports(Executor pool, org.eclipse.jetty.util.thread.Scheduler beats) {
+    EngineReportClient(Executor pool, org.eclipse.jetty.util.thread.Scheduler beats) {
         this.pool = pool;
         this.beats = beats;
     }
 
     /** Who hears of reports; {@code reports.tell(control::reported)}. */
-    Reports tell(Ear e) {
+    EngineReportClient tell(Listener e) {
         ear = e;
         return this;
     }
--- a/src/main/java/ringspindle/cp/NewsFeed.java
+++ b/src/main/java/ringspindle/controlplane/FactDissemination.java
@@ -1,28 +1,28 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import ringspindle.know.Book;
-import ringspindle.meet.Meet;
-import ringspindle.meet.Roster;
-import ringspindle.wire.Mesh;
-import ringspindle.wire.Msg.Digest;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.Msg.News;
-import ringspindle.wire.NodeId;
+import ringspindle.gossip.FactStore;
+import ringspindle.membership.DataNodeFact;
+import ringspindle.membership.SessionTable;
+import ringspindle.protocol.Message.Digest;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.News;
+import ringspindle.protocol.NodeId;
+import ringspindle.transport.Mesh;
 
 /** Tells facts to peers: to control nodes all, to data nodes what they use. Guarded by its owner. */
-final class NewsFeed {
+final class FactDissemination {
     private static final int ITEMS_MAX = 512;
     private static final int CONTROL_KIND = 0;
 
     private final Mesh mesh;
-    private final Meet meet;
+    private final SessionTable meet;
     private final Knowledge knowledge;
     private final Set<NodeId> filled = new TreeSet<>();
 
-    NewsFeed(Mesh mesh, Meet meet, Knowledge knowledge) {
+    FactDissemination(Mesh mesh, SessionTable meet, Knowledge knowledge) {
         this.mesh = mesh;
         this.meet = meet;
         this.knowledge = knowledge;
@@ -39,14 +39,14 @@
     }
 
     /** A data node acts on what it is told, so only a node that is proven to be up to date tells it anything. */
-    private static boolean mayTell(Meet.Peer peer, boolean quorate) {
+    private static boolean mayTell(SessionTable.Peer peer, boolean quorate) {
         return peer.hello().kind() == CONTROL_KIND || quorate;
     }
 
     /** Answers a peer's digest with the facts that differ. */
     void repair(NodeId from, Digest digest, boolean quorate) {
-        Meet.Peer peer = meet.peer(from);
-        List<Item> items = knowledge.book().differing(digest.ranges());
+        SessionTable.Peer peer = meet.peer(from);
+        List<Fact> items = knowledge.book().differing(digest.ranges());
         if (peer != null && mayTell(peer, quorate) && !items.isEmpty()) {
             mesh.send(from, new News(false, items));
         }
@@ -58,18 +58,18 @@
      * @param merged all that is committed here is among the facts, so that a data node may be told that it is filled
      */
     void push(boolean quorate, boolean merged) {
-        for (Meet.Peer p : meet.peers()) {
+        for (SessionTable.Peer p : meet.peers()) {
             if (mayTell(p, quorate)) {
                 push(p, merged);
             }
         }
     }
 
-    private void push(Meet.Peer p, boolean merged) {
+    private void push(SessionTable.Peer p, boolean merged) {
         NodeId to = p.hello().node();
         boolean toControl = p.hello().kind() == CONTROL_KIND;
         String region = p.hello().region();
-        List<Item> items = toControl
+        List<Fact> items = toControl
                 ? knowledge.book().pending(to, ITEMS_MAX)
                 : knowledge.book().pending(to, ITEMS_MAX, i -> usefulToData(i, region));
         boolean first = !toControl && merged && !filled.contains(to);
@@ -84,9 +84,9 @@
     }
 
     /** A data node needs the data nodes of its region, for gossip, and not what engines in turn still run. */
-    private static boolean usefulToData(Item i, String region) {
-        return i.kind() != Book.TURN
-                && (i.kind() != Book.NODE
-                        || Roster.of(i.value()).hello().region().equals(region));
+    private static boolean usefulToData(Fact i, String region) {
+        return i.kind() != FactStore.TURN
+                && (i.kind() != FactStore.NODE
+                        || DataNodeFact.of(i.value()).hello().region().equals(region));
     }
 }
--- a/src/main/java/ringspindle/cp/Fleet.java
+++ b/src/main/java/ringspindle/controlplane/FleetStatus.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -7,34 +7,34 @@
 import jakarta.json.JsonObjectBuilder;
 import jakarta.json.spi.JsonProvider;
 import java.util.ArrayList;
-import ringspindle.chain.Chain;
-import ringspindle.conf.Checked;
-import ringspindle.conf.FleetConfig;
-import ringspindle.know.Book;
-import ringspindle.meet.Roster;
-import ringspindle.rule.Ledger;
-import ringspindle.rule.ServingRules;
-import ringspindle.sum.Sum;
-import ringspindle.sum.Tally;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.Heartbeat;
-import ringspindle.wire.Msg.Hello;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.Msg.LedgerReport;
-import ringspindle.wire.Msg.LedgerRow;
-import ringspindle.wire.Msg.Mark;
-import ringspindle.wire.Msg.State;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.Validated;
+import ringspindle.gossip.FactStore;
+import ringspindle.membership.DataNodeFact;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.Message.LedgerReport;
+import ringspindle.protocol.Message.LedgerRow;
+import ringspindle.protocol.Message.Mark;
+import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
+import ringspindle.replication.ReplicatedState;
+import ringspindle.routing.RequestLedger;
+import ringspindle.routing.ServingRules;
+import ringspindle.telemetry.AttemptCounts;
+import ringspindle.telemetry.LoadSummary;
 
 /** What a control node tells the operator of the fleet, as JSON. */
-final class Fleet {
+final class FleetStatus {
     private static final JsonProvider JSON = JsonProvider.provider();
 
-    private Fleet() {}
+    private FleetStatus() {}
 
-    static JsonObject status(Control c) {
+    static JsonObject status(ControlNode c) {
         JsonObjectBuilder out = JSON.createObjectBuilder()
                 .add("node", c.config().name())
                 .add("quorate", c.quorate())
@@ -71,7 +71,7 @@
             out.add("revision", s.revision());
             JsonArrayBuilder evacuated = JSON.createArrayBuilder();
             for (Mark m : s.marks()) {
-                if (m.kind() == Chain.MARK_EVACUATED && m.value().equals("on")) {
+                if (m.kind() == ReplicatedState.MARK_EVACUATED && m.value().equals("on")) {
                     evacuated.add(m.key());
                 }
             }
@@ -89,8 +89,8 @@
                         .add("blank", h.blank())));
         out.add("holders", holders);
         JsonArrayBuilder nodes = JSON.createArrayBuilder();
-        for (Item i : c.book(b -> new ArrayList<>(b.all(Book.NODE)))) {
-            Roster r = Roster.of(i.value());
+        for (Fact i : c.book(b -> new ArrayList<>(b.all(FactStore.NODE)))) {
+            DataNodeFact r = DataNodeFact.of(i.value());
             Hello h = r.hello();
             nodes.add(JSON.createObjectBuilder()
                     .add("name", h.name())
@@ -104,18 +104,18 @@
     }
 
     /** What nodes that report here say of their actions and rules, and which nodes there are. */
-    static JsonObject ledger(Control c) {
+    static JsonObject ledger(ControlNode c) {
         JsonObjectBuilder out =
                 JSON.createObjectBuilder().add("node", c.config().name());
         State s = c.committed();
         Mark m = s == null
                 ? null
                 : s.marks().stream()
-                        .filter(x -> x.kind() == Chain.MARK_RULES)
+                        .filter(x -> x.kind() == ReplicatedState.MARK_RULES)
                         .findFirst()
                         .orElse(null);
         ServingRules rules =
-                m != null && ServingRules.read(m.value().getBytes(UTF_8)) instanceof Checked.Good<ServingRules> good
+                m != null && ServingRules.read(m.value().getBytes(UTF_8)) instanceof Validated.Valid<ServingRules> good
                         ? good.value()
                         : null;
         out.add("revision", rules == null ? 0 : rules.revision())
@@ -123,7 +123,7 @@
         JsonArrayBuilder idle = JSON.createArrayBuilder();
         if (rules != null
                 && s.config().length > 0
-                && FleetConfig.read(FleetConfig.unpack(s.config())) instanceof Checked.Good<FleetConfig> f) {
+                && FleetConfig.read(FleetConfig.unpack(s.config())) instanceof Validated.Valid<FleetConfig> f) {
             rules.idle(f.value()).forEach(idle::add);
         }
         out.add("idle", idle);
@@ -160,7 +160,7 @@
                                 .add("runTwice", w.runTwice()));
                     }
                     JsonArrayBuilder broken = JSON.createArrayBuilder();
-                    Ledger.broken(x).forEach(b -> broken.add(b.name()));
+                    RequestLedger.broken(x).forEach(b -> broken.add(b.name()));
                     lives.add(JSON.createObjectBuilder()
                             .add("node", node.toString())
                             .add("life", x.life())
@@ -173,24 +173,24 @@
         return out.add("ledgers", lives).build();
     }
 
-    static JsonObject rollouts(Control c) {
+    static JsonObject rollouts(ControlNode c) {
         JsonArrayBuilder out = JSON.createArrayBuilder();
-        for (Item i : c.book(b -> new ArrayList<>(b.all(Book.ROLLOUT)))) {
+        for (Fact i : c.book(b -> new ArrayList<>(b.all(FactStore.ROLLOUT)))) {
             out.add(JSON.createReader(new java.io.StringReader(new String(i.value(), UTF_8)))
                     .readObject());
         }
         return JSON.createObjectBuilder().add("rollouts", out).build();
     }
 
-    static JsonObject engines(Control c) {
+    static JsonObject engines(ControlNode c) {
         JsonArrayBuilder out = JSON.createArrayBuilder();
-        Sum total = c.total();
-        for (Item i : c.book(b -> new ArrayList<>(b.all(Book.ENGINE)))) {
+        LoadSummary total = c.total();
+        for (Fact i : c.book(b -> new ArrayList<>(b.all(FactStore.ENGINE)))) {
             Engine e = (Engine) Codec.decode(i.value());
-            Item leaving = c.book(b -> b.get(Book.LEAVING, i.key()));
-            long ageMs = Math.min(Integer.MAX_VALUE, c.ageMs(Book.ENGINE, i.key()));
-            Tally t = total.all(Sum.key(i.key()));
-            Item turn = c.ageMs(Book.TURN, i.key()) < 3000 ? c.book(b -> b.get(Book.TURN, i.key())) : null;
+            Fact leaving = c.book(b -> b.get(FactStore.LEAVING, i.key()));
+            long ageMs = Math.min(Integer.MAX_VALUE, c.ageMs(FactStore.ENGINE, i.key()));
+            AttemptCounts t = total.all(LoadSummary.key(i.key()));
+            Fact turn = c.ageMs(FactStore.TURN, i.key()) < 3000 ? c.book(b -> b.get(FactStore.TURN, i.key())) : null;
             out.add(JSON.createObjectBuilder()
                     .add("turn", turn == null ? "" : new String(turn.value(), UTF_8))
                     .add("id", i.key())
--- a/src/main/java/ringspindle/cp/Knowledge.java
+++ b/src/main/java/ringspindle/controlplane/Knowledge.java
@@ -1,20 +1,20 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import ringspindle.conf.NodeConfig;
-import ringspindle.know.Book;
-import ringspindle.meet.RollPlan;
-import ringspindle.sum.Presence;
-import ringspindle.sum.Sum;
-import ringspindle.sum.Totals;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.Steady;
+import ringspindle.config.NodeConfig;
+import ringspindle.gossip.FactStore;
+import ringspindle.membership.RolloutPlanner;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.telemetry.EnginePresence;
+import ringspindle.telemetry.LoadSummary;
+import ringspindle.telemetry.LoadTotals;
+import ringspindle.time.MonotonicClock;
 
 /** What a control node knows of the system, and when it learned it; engines' heartbeats among it. Guarded by its owner. */
 final class Knowledge {
@@ -26,40 +26,40 @@
 
     private static final int SILENT_HEARTBEATS = 3;
 
-    private final Steady clock;
-    private final Book book = Book.create();
-    private final Presence presence;
+    private final MonotonicClock clock;
+    private final FactStore book = FactStore.create();
+    private final EnginePresence presence;
     private final Map<String, Long> seenMs = new HashMap<>();
     private NodeConfig config;
 
-    Knowledge(NodeConfig config, Steady clock) {
+    Knowledge(NodeConfig config, MonotonicClock clock) {
         this.config = config;
         this.clock = clock;
-        presence = new Presence(config.engineBeatMs());
+        presence = new EnginePresence(config.engineBeatMs());
     }
 
     void settings(NodeConfig c) {
         config = c;
     }
 
-    Book book() {
+    FactStore book() {
         return book;
     }
 
-    Presence presence() {
+    EnginePresence presence() {
         return presence;
     }
 
-    void merge(List<Item> items) {
+    void merge(List<Fact> items) {
         long nowMs = clock.nowMs();
-        for (Item i : book.merge(items)) {
+        for (Fact i : book.merge(items)) {
             seenMs.put(seenKey(i.kind(), i.key()), nowMs);
-            if (i.kind() == Book.ENGINE) {
+            if (i.kind() == FactStore.ENGINE) {
                 presence.told(i.key(), (Engine) Codec.decode(i.value()), i.version(), nowMs);
-            } else if (i.kind() == Book.SILENT
+            } else if (i.kind() == FactStore.SILENT
                     && i.value()[0] == 1
                     && presence.contradicts(i.key(), (i.version() - 1) / 2, nowMs)) {
-                book.merge(List.of(new Item(Book.SILENT, i.key(), 0, 2 * presence.seq(i.key()), new byte[] {0})));
+                book.merge(List.of(new Fact(FactStore.SILENT, i.key(), 0, 2 * presence.seq(i.key()), new byte[] {0})));
             }
         }
     }
@@ -75,7 +75,7 @@
 
     /** Milliseconds since a fact last moved, as this node saw it; of engines since they were last heard. */
     long ageMs(int kind, String key) {
-        if (kind == Book.ENGINE) {
+        if (kind == FactStore.ENGINE) {
             return presence.agoMs(key, clock.nowMs());
         }
         Long at = seenMs(kind, key);
@@ -84,58 +84,60 @@
 
     /** What a holder of a duty says under its view comes after all that is known to have been said under it. */
     long nextVersion(int kind, String key, long epoch) {
-        Item old = book.get(kind, key);
+        Fact old = book.get(kind, key);
         return old == null || old.life() != epoch ? 1 : old.version() + 1;
     }
 
     /** An engine's heartbeat, spread only if it says something new. */
     void heartbeat(String id, Engine e, long seq) {
         if (presence.heard(id, e, seq, clock.nowMs())) {
-            merge(List.of(new Item(Book.ENGINE, id, 0, seq, Codec.encode(e))));
+            merge(List.of(new Fact(FactStore.ENGINE, id, 0, seq, Codec.encode(e))));
         }
     }
 
     /** Engines of this region that fell silent or are heard again become facts. */
     void judgeEngines(long nowMs) {
-        for (Presence.Change c : presence.judge(e -> config.regionOf(e.zone()).equals(config.region()), nowMs)) {
+        for (EnginePresence.Change c :
+                presence.judge(e -> config.regionOf(e.zone()).equals(config.region()), nowMs)) {
             LOG.atInfo().log("engine %s %s", c.id(), c.silent() ? "is silent" : "is heard again");
             byte silent = (byte) (c.silent() ? 1 : 0);
-            merge(List.of(new Item(Book.SILENT, c.id(), 0, 2 * c.seq() + silent, new byte[] {silent})));
+            merge(List.of(new Fact(FactStore.SILENT, c.id(), 0, 2 * c.seq() + silent, new byte[] {silent})));
         }
         for (String id : presence.forget(FORGET_MS, nowMs)) {
-            book.forget(Book.ENGINE, id);
-            book.forget(Book.SILENT, id);
-            seenMs.remove(seenKey(Book.ENGINE, id));
-            seenMs.remove(seenKey(Book.SILENT, id));
+            book.forget(FactStore.ENGINE, id);
+            book.forget(FactStore.SILENT, id);
+            seenMs.remove(seenKey(FactStore.ENGINE, id));
+            seenMs.remove(seenKey(FactStore.SILENT, id));
         }
     }
 
     /** Engines that count for the load of their region. */
-    List<Totals.Member> loadMembers() {
-        List<Totals.Member> out = new ArrayList<>();
-        for (Item i : book.all(Book.ENGINE)) {
-            Item silent = book.get(Book.SILENT, i.key());
-            if ((silent == null || silent.value()[0] == 0) && book.get(Book.LEAVING, i.key()) == null) {
+    List<LoadTotals.Member> loadMembers() {
+        List<LoadTotals.Member> out = new ArrayList<>();
+        for (Fact i : book.all(FactStore.ENGINE)) {
+            Fact silent = book.get(FactStore.SILENT, i.key());
+            if ((silent == null || silent.value()[0] == 0) && book.get(FactStore.LEAVING, i.key()) == null) {
                 Engine e = (Engine) Codec.decode(i.value());
-                out.add(new Totals.Member(Sum.key(i.key()), e.service(), config.regionOf(e.zone()), e.capacity()));
+                out.add(new LoadTotals.Member(
+                        LoadSummary.key(i.key()), e.service(), config.regionOf(e.zone()), e.capacity()));
             }
         }
         return out;
     }
 
     /** The engines of a service, for roll-outs. */
-    List<RollPlan.Member> rollMembers(String service) {
-        List<RollPlan.Member> out = new ArrayList<>();
+    List<RolloutPlanner.Member> rollMembers(String service) {
+        List<RolloutPlanner.Member> out = new ArrayList<>();
         long nowMs = clock.nowMs();
-        for (Item i : book.all(Book.ENGINE)) {
+        for (Fact i : book.all(FactStore.ENGINE)) {
             Engine e = (Engine) Codec.decode(i.value());
             long ageMs = presence.agoMs(i.key(), nowMs);
             if (e.service().equals(service) && ageMs < ROLL_SILENT_MS) {
-                out.add(new RollPlan.Member(
+                out.add(new RolloutPlanner.Member(
                         i.key(),
                         config.regionOf(e.zone()),
                         e.weights(),
-                        e.draining() || book.get(Book.LEAVING, i.key()) != null,
+                        e.draining() || book.get(FactStore.LEAVING, i.key()) != null,
                         ageMs > (long) SILENT_HEARTBEATS * config.engineBeatMs()));
             }
         }
--- a/src/main/java/ringspindle/cp/LeaseGrants.java
+++ b/src/main/java/ringspindle/controlplane/LeaseGrants.java
@@ -1,12 +1,12 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import java.util.List;
-import ringspindle.know.Book;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.Msg.Lease;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.gossip.FactStore;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.Lease;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
 
 /** The duty of granting every data node its share of the budgets. Guarded by its owner. */
 final class LeaseGrants {
@@ -18,11 +18,11 @@
 
     private final NodeId me;
     private final Knowledge knowledge;
-    private final Frontends frontends;
+    private final DataNodeDirectory frontends;
     private NodeId lastHead;
     private long grantFromMs;
 
-    LeaseGrants(NodeId me, Knowledge knowledge, Frontends frontends) {
+    LeaseGrants(NodeId me, Knowledge knowledge, DataNodeDirectory frontends) {
         this.me = me;
         this.knowledge = knowledge;
         this.frontends = frontends;
@@ -44,11 +44,11 @@
         }
         int nodes = frontends.sharing(nowMs);
         if (nodes > 0) {
-            knowledge.merge(List.of(new Item(
-                    Book.LEASE,
+            knowledge.merge(List.of(new Fact(
+                    FactStore.LEASE,
                     "",
                     view.epoch(),
-                    knowledge.nextVersion(Book.LEASE, "", view.epoch()),
+                    knowledge.nextVersion(FactStore.LEASE, "", view.epoch()),
                     Codec.encode(new Lease(view.epoch(), nodes, TTL_MS)))));
         }
     }
--- a/src/main/java/ringspindle/cp/LoadSums.java
+++ b/src/main/java/ringspindle/controlplane/LoadAggregator.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.ArrayList;
@@ -6,21 +6,21 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import ringspindle.conf.NodeConfig;
-import ringspindle.meet.Meet;
-import ringspindle.sum.Collector;
-import ringspindle.sum.Sum;
-import ringspindle.sum.Taken;
-import ringspindle.sum.Totals;
-import ringspindle.wire.Mesh;
-import ringspindle.wire.Msg.Hello;
-import ringspindle.wire.Msg.Load;
-import ringspindle.wire.Msg.RegionLoad;
-import ringspindle.wire.Msg.Report;
-import ringspindle.wire.NodeId;
+import ringspindle.config.NodeConfig;
+import ringspindle.membership.SessionTable;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.Message.Load;
+import ringspindle.protocol.Message.RegionLoad;
+import ringspindle.protocol.Message.Report;
+import ringspindle.protocol.NodeId;
+import ringspindle.telemetry.LoadSummary;
+import ringspindle.telemetry.LoadTotals;
+import ringspindle.telemetry.ReportCollector;
+import ringspindle.telemetry.ReportVerdict;
+import ringspindle.transport.Mesh;
 
 /** What data nodes saw of engines, summed here, over the region, and by service over regions. Guarded by its owner. */
-final class LoadSums {
+final class LoadAggregator {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     /** Ours: how long a report counts, and a region's sum. */
     private static final int REPORT_TTL_MS = 2000;
@@ -32,17 +32,17 @@
     private final NodeId me;
     private final long life;
     private final Mesh mesh;
-    private final Meet meet;
+    private final SessionTable meet;
     private final Knowledge knowledge;
-    private final Collector sources = new Collector(REPORT_TTL_MS);
-    private final Collector peers = new Collector(REPORT_TTL_MS);
+    private final ReportCollector sources = new ReportCollector(REPORT_TTL_MS);
+    private final ReportCollector peers = new ReportCollector(REPORT_TTL_MS);
     private final Map<String, Long> regionMs = new TreeMap<>();
     private final Map<String, List<RegionLoad>> regions = new TreeMap<>();
     private String region;
     private long seq;
-    private Sum total = Sum.NONE;
+    private LoadSummary total = LoadSummary.NONE;
 
-    LoadSums(NodeConfig config, Hello self, Mesh mesh, Meet meet, Knowledge knowledge) {
+    LoadAggregator(NodeConfig config, Hello self, Mesh mesh, SessionTable meet, Knowledge knowledge) {
         region = config.region();
         me = self.node();
         life = self.life();
@@ -67,18 +67,18 @@
     }
 
     void reported(NodeId from, Report r, long nowMs) {
-        Meet.Peer p = meet.peer(from);
+        SessionTable.Peer p = meet.peer(from);
         if (p == null || p.hello().life() != r.life()) {
             return;
         }
-        Collector of = p.hello().kind() == DATA_KIND ? sources : peers;
-        Taken t = of.take(from, r, nowMs);
+        ReportCollector of = p.hello().kind() == DATA_KIND ? sources : peers;
+        ReportVerdict t = of.take(from, r, nowMs);
         if (t.refused()) {
             LOG.atWarning().log("report of %s is %s, %s so far", p.hello().name(), t, of.count(t));
             return;
         }
-        if (t == Taken.NEWEST && p.hello().kind() == CONTROL_KIND) {
-            knowledge.presence().peers(Sum.of(r), nowMs);
+        if (t == ReportVerdict.NEWEST && p.hello().kind() == CONTROL_KIND) {
+            knowledge.presence().peers(LoadSummary.of(r), nowMs);
             r.sources().forEach(s -> sources.leave(s.node(), s.life(), s.seq()));
         }
     }
@@ -99,20 +99,20 @@
 
     /** Sums go to the region's other control nodes, back to data nodes, and by service to other regions. */
     void send(long nowMs) {
-        Sum own = sources.sum(nowMs);
+        LoadSummary own = sources.sum(nowMs);
         total = own.merge(peers.sum(nowMs));
         seq++;
         NodeId speaker = toRegion(own, nowMs);
-        List<RegionLoad> mine = Totals.region(total, knowledge.loadMembers(), region);
+        List<RegionLoad> mine = LoadTotals.region(total, knowledge.loadMembers(), region);
         regions.put(region, mine);
         regionMs.put(region, nowMs);
         regionMs.values().removeIf(at -> nowMs - at > REGION_TTL_MS);
         regions.keySet().retainAll(regionMs.keySet());
         List<RegionLoad> all = new ArrayList<>();
         regions.values().forEach(all::addAll);
-        Load back = new Load(life, seq, Totals.engines(total), all);
+        Load back = new Load(life, seq, LoadTotals.engines(total), all);
         Set<NodeId> asking = sources.sources(nowMs);
-        for (Meet.Peer p : meet.peers()) {
+        for (SessionTable.Peer p : meet.peers()) {
             if (p.hello().kind() == DATA_KIND && asking.contains(p.hello().node())) {
                 mesh.send(p.hello().node(), back);
             } else if (p.hello().kind() == CONTROL_KIND
@@ -124,11 +124,11 @@
     }
 
     /** Tells the region's other control nodes; returns which of all of them speaks for the region. */
-    private NodeId toRegion(Sum own, long nowMs) {
+    private NodeId toRegion(LoadSummary own, long nowMs) {
         Report report = new Report(
                 life, seq, own.report(life, seq).tallies(), knowledge.presence().own(nowMs), sources.holds(nowMs));
         NodeId speaker = me;
-        for (Meet.Peer p : meet.peers()) {
+        for (SessionTable.Peer p : meet.peers()) {
             if (p.hello().kind() == CONTROL_KIND
                     && p.linked()
                     && p.hello().region().equals(region)) {
@@ -140,7 +140,7 @@
     }
 
     /** The sums as this node last made them. */
-    Sum total() {
+    LoadSummary total() {
         return total;
     }
 }
--- a/src/main/java/ringspindle/cp/MajorityProof.java
+++ b/src/main/java/ringspindle/controlplane/MajorityProof.java
@@ -1,13 +1,13 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.function.Function;
 import java.util.function.Predicate;
-import ringspindle.meet.Meet;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.membership.SessionTable;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
 
 /**
  * When a majority of the voters was last proven to be in touch, and to know of no view newer than this node's. It is a
@@ -32,14 +32,15 @@
     /** The times of one renewal, read together. */
     private record Proof(long tickMs, long contactMs, long stateMs, long sinceMs) {}
 
-    private static final Proof NOTHING = new Proof(Meet.NEVER_MS, Meet.NEVER_MS, Meet.NEVER_MS, Meet.NEVER_MS);
+    private static final Proof NOTHING =
+            new Proof(SessionTable.NEVER_MS, SessionTable.NEVER_MS, SessionTable.NEVER_MS, SessionTable.NEVER_MS);
 
     /** For so long after its start a node that has met nobody yet is taken for one that is about to. */
     static final int STARTING_MS = 3000;
 
     private volatile Proof proof = NOTHING;
-    private volatile long firstTickMs = Meet.NEVER_MS;
-    private volatile long resumedMs = Meet.NEVER_MS;
+    private volatile long firstTickMs = SessionTable.NEVER_MS;
+    private volatile long resumedMs = SessionTable.NEVER_MS;
 
     /**
      * A tick of the owner; contacts of voters that are not known are null.
@@ -48,7 +49,7 @@
      */
     void renew(long nowMs, NodeId me, View view, Function<NodeId, Contact> contacts) {
         Proof was = proof;
-        if (firstTickMs == Meet.NEVER_MS) {
+        if (firstTickMs == SessionTable.NEVER_MS) {
             firstTickMs = nowMs;
         }
         if (was != NOTHING && nowMs - was.tickMs() >= PAUSE_MS) {
@@ -65,7 +66,7 @@
     private long majorityMs(
             long nowMs, NodeId me, View view, Function<NodeId, Contact> contacts, Predicate<Contact> counts) {
         if (view == null) {
-            return Meet.NEVER_MS;
+            return SessionTable.NEVER_MS;
         }
         List<Long> times = new ArrayList<>();
         for (NodeId voter : view.voters()) {
@@ -75,7 +76,7 @@
             }
         }
         times.sort(Comparator.reverseOrder());
-        return times.size() < view.majority() ? Meet.NEVER_MS : times.get(view.majority() - 1);
+        return times.size() < view.majority() ? SessionTable.NEVER_MS : times.get(view.majority() - 1);
     }
 
     private static boolean valid(Proof p, long provenMs, long nowMs) {
@@ -88,9 +89,9 @@
      */
     boolean starting(long nowMs) {
         Proof p = proof;
-        return resumedMs == Meet.NEVER_MS
-                && firstTickMs != Meet.NEVER_MS
-                && p.contactMs() == Meet.NEVER_MS
+        return resumedMs == SessionTable.NEVER_MS
+                && firstTickMs != SessionTable.NEVER_MS
+                && p.contactMs() == SessionTable.NEVER_MS
                 && nowMs - firstTickMs < STARTING_MS
                 && nowMs - p.tickMs() < PAUSE_MS;
     }
@@ -116,6 +117,6 @@
     /** How long ago a majority was last proven to know of no newer view, below 0 for never or not since a pause. */
     long ageMs(long nowMs) {
         Proof p = proof;
-        return p.stateMs() == Meet.NEVER_MS ? -1 : nowMs - p.stateMs();
+        return p.stateMs() == SessionTable.NEVER_MS ? -1 : nowMs - p.stateMs();
     }
 }
--- a/src/main/java/ringspindle/cp/Calls.java
+++ b/src/main/java/ringspindle/controlplane/PendingCalls.java
@@ -1,15 +1,15 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Executor;
 import java.util.concurrent.atomic.AtomicLong;
 import ringspindle.api.Outcome;
-import ringspindle.chain.Chain;
-import ringspindle.wire.Steady;
+import ringspindle.replication.ReplicatedState;
+import ringspindle.time.MonotonicClock;
 
 /** Calls under way at this node, by number. Thread safe. */
-final class Calls {
+final class PendingCalls {
     /** How long after a call came in its outcome is told; later nobody waits for it, and what it says may be old. */
     private static final int ANSWER_MS = 1500;
 
@@ -23,13 +23,13 @@
 
     private record Open(long untilMs, Answered then) {}
 
-    private final Steady clock;
+    private final MonotonicClock clock;
     private final Executor pool;
     private final AtomicLong numbers;
     private final Map<Long, Open> open = new ConcurrentHashMap<>();
 
     /** A reply is matched by the number of its call alone, and may come after a restart: {@code first} is from chance. */
-    Calls(Steady clock, Executor pool, long first) {
+    PendingCalls(MonotonicClock clock, Executor pool, long first) {
         this.clock = clock;
         this.pool = pool;
         numbers = new AtomicLong(first);
@@ -38,13 +38,13 @@
     /** The number of a call that came in at that time. */
     long open(int kind, long fromMs, Answered then) {
         long number = numbers.incrementAndGet();
-        boolean config = kind == Chain.PUT || kind == Chain.PATCH;
+        boolean config = kind == ReplicatedState.PUT || kind == ReplicatedState.PATCH;
         open.put(number, new Open(fromMs + (config ? ANSWER_CONFIG_MS : ANSWER_MS), then));
         return number;
     }
 
     /** Tells the outcome of a call, once, from a thread of the pool. */
-    void answered(Chain.Out.Answer answer) {
+    void answered(ReplicatedState.Out.Answer answer) {
         Open call = open.remove(answer.call());
         if (call != null) {
             pool.execute(() -> tell(call, answer));
@@ -52,7 +52,7 @@
     }
 
     /** An outcome that comes late, as after a freeze, is no longer told: it may rest on what is old by now. */
-    private void tell(Open call, Chain.Out.Answer answer) {
+    private void tell(Open call, ReplicatedState.Out.Answer answer) {
         if (clock.nowMs() < call.untilMs()) {
             call.then().answer(answer.outcome(), answer.body());
         } else {
--- a/src/main/java/ringspindle/cp/Ledgers.java
+++ b/src/main/java/ringspindle/controlplane/RequestLedgers.java
@@ -1,18 +1,18 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import ringspindle.wire.Msg.LedgerReport;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.LedgerReport;
+import ringspindle.protocol.NodeId;
 
 /**
  * The newest ledger of each life of each data node that reports here. Lives are in the order in which they were first heard:
  * their numbers come from the time of day, which may go back. Pure; not thread safe.
  */
-final class Ledgers {
+final class RequestLedgers {
     /** Ours: so many lives of a node are kept, and so many nodes. */
     private static final int LIVES = 4;
 
--- a/src/main/java/ringspindle/cp/RolloutDriver.java
+++ b/src/main/java/ringspindle/controlplane/RolloutDriver.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
-import ringspindle.chain.Rollout;
-import ringspindle.meet.RollPlan;
+import ringspindle.membership.RolloutPlanner;
+import ringspindle.replication.Rollout;
 
 /** The duty of driving roll-outs; without one this costs nothing. Called by one thread. */
 final class RolloutDriver {
@@ -22,12 +22,12 @@
         void order(String service, byte[] body, Runnable then);
     }
 
-    private final Reports reports;
+    private final EngineReportClient reports;
     private final Orders orders;
-    private final Map<String, RollPlan> plans = new HashMap<>();
+    private final Map<String, RolloutPlanner> plans = new HashMap<>();
     private volatile boolean ordering;
 
-    RolloutDriver(Reports reports, Orders orders) {
+    RolloutDriver(EngineReportClient reports, Orders orders) {
         this.reports = reports;
         this.orders = orders;
     }
@@ -40,18 +40,18 @@
     /** The next order, if there is one; {@code members} gives a service's engines, {@code addresses} an engine's address. */
     void tick(
             List<Rollout> rollouts,
-            Function<String, List<RollPlan.Member>> members,
+            Function<String, List<RolloutPlanner.Member>> members,
             UnaryOperator<String> addresses,
             long epoch,
             long ticks,
             long nowMs) {
         for (Rollout r : rollouts) {
-            List<RollPlan.Member> engines = members.apply(r.service());
+            List<RolloutPlanner.Member> engines = members.apply(r.service());
             if (r.state() == Rollout.Standing.RUNNING && ticks % ASK_TICKS == 0) {
                 r.turn().forEach(id -> reports.ask(id, addresses.apply(id)));
             }
-            RollPlan.Order o =
-                    plans.computeIfAbsent(r.service(), k -> new RollPlan()).next(r, engines, nowMs);
+            RolloutPlanner.Order o = plans.computeIfAbsent(r.service(), k -> new RolloutPlanner())
+                    .next(r, engines, nowMs);
             if (o != null) {
                 order(r.service(), o, epoch);
                 return;
@@ -59,7 +59,7 @@
         }
     }
 
-    private void order(String service, RollPlan.Order o, long epoch) {
+    private void order(String service, RolloutPlanner.Order o, long epoch) {
         LOG.atInfo().log("roll-out of %s: %s %s %s", service, o.order(), o.id(), o.cause());
         String body = Json.createObjectBuilder()
                 .add("order", o.order())
--- a/src/main/java/ringspindle/cp/Handover.java
+++ b/src/main/java/ringspindle/controlplane/ShutdownHandover.java
@@ -1,17 +1,17 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import java.util.Collection;
 import java.util.List;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
 
 /** Whether a control node that leaves may end: the others must hold all that it holds. Pure. */
-final class Handover {
+final class ShutdownHandover {
 
     /** What another control node last said of itself; {@code seq} is the newest committed state that it holds. */
     record Holder(NodeId node, long epoch, long seq, boolean blank) {}
 
-    private Handover() {}
+    private ShutdownHandover() {}
 
     /**
      * True once the chain goes on without this node, and a majority of the voters, not counting it, follow that view and
--- a/src/main/java/ringspindle/cp/Storage.java
+++ b/src/main/java/ringspindle/controlplane/Storage.java
@@ -1,17 +1,17 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import java.io.IOException;
 import java.util.Collection;
 import java.util.List;
 import java.util.function.LongConsumer;
-import ringspindle.chain.Chain;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Item;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.replication.ReplicatedState;
 
 /** What a control node keeps over its ends. */
 interface Storage {
     /** Records found, oldest first; {@code storage.load()} once. */
-    List<Msg> load() throws IOException;
+    List<Message> load() throws IOException;
 
     /**
      * From now on records are written; {@code stored} hears of each token that is synced. {@code compact} is called when the
@@ -21,11 +21,11 @@
     void open(LongConsumer stored, Runnable compact);
 
     /** Write these. */
-    void take(Chain.Out.Store s);
+    void take(ReplicatedState.Out.Store s);
 
     /** Engines as a hint for the time right after a start. */
-    List<Item> engines();
+    List<Fact> engines();
 
     /** Keeps that hint. */
-    void keep(Collection<Item> engines);
+    void keep(Collection<Fact> engines);
 }
--- a/src/main/java/ringspindle/dp/Data.java
+++ b/src/main/java/ringspindle/dataplane/DataNode.java
@@ -1,4 +1,4 @@
-package ringspindle.dp;
+package ringspindle.dataplane;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -10,37 +10,37 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.Executor;
-import ringspindle.chain.Rollout;
-import ringspindle.conf.Checked;
-import ringspindle.conf.FleetConfig;
-import ringspindle.conf.NodeConfig;
-import ringspindle.edge.Edge;
-import ringspindle.know.Book;
-import ringspindle.meet.Facts;
-import ringspindle.meet.Meet;
-import ringspindle.meet.Roster;
-import ringspindle.pick.Picker;
-import ringspindle.rule.Ledger;
-import ringspindle.rule.ServingRules;
-import ringspindle.sum.Sum;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Means;
-import ringspindle.wire.Mesh;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Digest;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.Heartbeat;
-import ringspindle.wire.Msg.Hello;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.Msg.Lease;
-import ringspindle.wire.Msg.LedgerReport;
-import ringspindle.wire.Msg.Load;
-import ringspindle.wire.Msg.News;
-import ringspindle.wire.NodeId;
-import ringspindle.wire.Steady;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.NodeConfig;
+import ringspindle.config.Validated;
+import ringspindle.gossip.FactStore;
+import ringspindle.loadbalancing.LoadBalancer;
+import ringspindle.membership.DataNodeFact;
+import ringspindle.membership.FactValidator;
+import ringspindle.membership.SessionTable;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Digest;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.Message.Lease;
+import ringspindle.protocol.Message.LedgerReport;
+import ringspindle.protocol.Message.Load;
+import ringspindle.protocol.Message.News;
+import ringspindle.protocol.NodeId;
+import ringspindle.proxy.Proxy;
+import ringspindle.replication.Rollout;
+import ringspindle.routing.RequestLedger;
+import ringspindle.routing.ServingRules;
+import ringspindle.telemetry.LoadSummary;
+import ringspindle.time.MonotonicClock;
+import ringspindle.transport.Mesh;
+import ringspindle.transport.NodeEnvironment;
 
 /** Owner of what a data node knows: sessions with control nodes, gossip with a few other data nodes. */
-final class Data implements Mesh.Ear {
+final class DataNode implements Mesh.Listener {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     static final int TICK_MS = 100;
     private static final int CONTROLS = 2;
@@ -49,15 +49,15 @@
 
     private volatile NodeConfig config;
     private final NodeId me;
-    private final Steady clock;
+    private final MonotonicClock clock;
     private final Mesh mesh;
-    private final Edge front;
-    private final Picker picker;
+    private final Proxy front;
+    private final LoadBalancer picker;
     private final Executor pool;
 
     private final Object lock = new Object();
-    private final Book book = Book.create();
-    private final Meet meet;
+    private final FactStore book = FactStore.create();
+    private final SessionTable meet;
     private final Set<NodeId> controls = new TreeSet<>();
     private final Map<NodeId, Long> dialledMs = new HashMap<>();
     private final Set<NodeId> confirmedBy = new TreeSet<>();
@@ -69,7 +69,7 @@
     private long ticks;
     private volatile boolean leaving;
 
-    Data(NodeConfig config, Edge front, Picker picker, Means means) {
+    DataNode(NodeConfig config, Proxy front, LoadBalancer picker, NodeEnvironment means) {
         this.config = config;
         this.front = front;
         this.picker = picker;
@@ -87,7 +87,7 @@
                         config.name(),
                         config.zone(),
                         config.region()));
-        meet = Meet.forData(me);
+        meet = SessionTable.forData(me);
         config.seeds().forEach(s -> controls.add(s.at(config.innerPort())));
     }
 
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public void heard(NodeId from, Msg m) {
+    public void heard(NodeId from, Message m) {
         long nowMs = clock.nowMs();
         synchronized (lock) {
             if (m instanceof Heartbeat p) {
@@ -132,27 +132,27 @@
                     heartbeat(from);
                 }
                 controls.addAll(p.heard());
-                Meet.Peer peer = meet.peer(from);
+                SessionTable.Peer peer = meet.peer(from);
                 if (peer != null && p.digest() != book.digest() && peer.heardN() % 16 == 0) {
                     mesh.send(from, new Digest(book.ranges()));
                 }
             } else if (m instanceof News n) {
-                Facts.check(n.items());
-                List<Item> fresh = book.merge(n.items());
+                FactValidator.check(n.items());
+                List<Fact> fresh = book.merge(n.items());
                 book.told(from, n.items());
                 apply(fresh, nowMs);
                 if (n.full()) {
                     confirmedBy.add(from);
-                    if (book.get(Book.CONFIG, "") != null) {
+                    if (book.get(FactStore.CONFIG, "") != null) {
                         front.confirm();
                     }
-                } else if (!confirmedBy.isEmpty() && book.get(Book.CONFIG, "") != null) {
+                } else if (!confirmedBy.isEmpty() && book.get(FactStore.CONFIG, "") != null) {
                     front.confirm();
                 }
             } else if (m instanceof Load l) {
                 picker.load(l, nowMs);
             } else if (m instanceof Digest d) {
-                List<Item> items = book.differing(d.ranges());
+                List<Fact> items = book.differing(d.ranges());
                 if (!items.isEmpty()) {
                     mesh.send(from, new News(false, items));
                 }
@@ -168,40 +168,40 @@
         }
     }
 
-    private void apply(List<Item> fresh, long nowMs) {
+    private void apply(List<Fact> fresh, long nowMs) {
         // what forbids comes before what allows
-        for (Item i : fresh) {
-            if (i.kind() == Book.LEAVING) {
+        for (Fact i : fresh) {
+            if (i.kind() == FactStore.LEAVING) {
                 picker.leaving(i.key(), new String(i.value(), UTF_8).equals("gone"), nowMs);
-            } else if (i.kind() == Book.EVACUATED) {
+            } else if (i.kind() == FactStore.EVACUATED) {
                 picker.evacuated(i.key(), new String(i.value(), UTF_8).equals("on"), nowMs);
-            } else if (i.kind() == Book.ROLLOUT) {
+            } else if (i.kind() == FactStore.ROLLOUT) {
                 Rollout r = Rollout.read(new String(i.value(), UTF_8));
                 picker.turn(r.service(), new HashSet<>(r.turn()), nowMs);
-            } else if (i.kind() == Book.LEASE) {
+            } else if (i.kind() == FactStore.LEASE) {
                 picker.lease((Lease) Codec.decode(i.value()), nowMs);
             }
         }
-        for (Item i : fresh) {
-            if (i.kind() == Book.CONFIG) {
-                Checked<FleetConfig> c = FleetConfig.read(FleetConfig.unpack(i.value()));
-                if (c instanceof Checked.Good<FleetConfig> good) {
+        for (Fact i : fresh) {
+            if (i.kind() == FactStore.CONFIG) {
+                Validated<FleetConfig> c = FleetConfig.read(FleetConfig.unpack(i.value()));
+                if (c instanceof Validated.Valid<FleetConfig> good) {
                     picker.config(good.value());
                     front.config(good.value());
                     LOG.atInfo().log("configuration %s in force", good.value().revision());
                 } else {
                     LOG.atSevere().log("configuration %s cannot be read here", i.version());
                 }
-            } else if (i.kind() == Book.ENGINE) {
+            } else if (i.kind() == FactStore.ENGINE) {
                 picker.engine(i.key(), (Engine) Codec.decode(i.value()), i.version(), nowMs);
-            } else if (i.kind() == Book.RULES) {
-                if (ServingRules.read(i.value()) instanceof Checked.Good<ServingRules> good) {
+            } else if (i.kind() == FactStore.RULES) {
+                if (ServingRules.read(i.value()) instanceof Validated.Valid<ServingRules> good) {
                     front.rules(good.value());
                     LOG.atInfo().log("serving rules %s in force", good.value().revision());
                 } else {
                     LOG.atSevere().log("serving rules of seq %s cannot be read here", i.version());
                 }
-            } else if (i.kind() == Book.SILENT) {
+            } else if (i.kind() == FactStore.SILENT) {
                 picker.silent(i.key(), i.value()[0] == 1, nowMs);
             }
         }
@@ -217,12 +217,12 @@
             if (ticks % 2 == 0) {
                 dial(nowMs);
             }
-            for (Meet.Peer p : meet.peers()) {
+            for (SessionTable.Peer p : meet.peers()) {
                 if (ticks % 4 == 0 || leaving) {
                     heartbeat(p.hello().node());
                 }
                 if (p.hello().kind() == 1) {
-                    List<Item> items = book.pending(p.hello().node(), 256);
+                    List<Fact> items = book.pending(p.hello().node(), 256);
                     if (!items.isEmpty()) {
                         mesh.send(p.hello().node(), new News(false, items));
                     }
@@ -244,7 +244,7 @@
         synchronized (lock) {
             NodeId best = null;
             int bestRank = Integer.MAX_VALUE;
-            for (Meet.Peer p : meet.peers()) {
+            for (SessionTable.Peer p : meet.peers()) {
                 if (p.serves()) {
                     int rank = (p.hello().zone().equals(config.zone())
                                     ? 0
@@ -258,19 +258,19 @@
             }
             if (collector != null && !collector.equals(best)) {
                 // what was said there counts no more
-                mesh.send(collector, Sum.NONE.report(life, ++reportSeq));
+                mesh.send(collector, LoadSummary.NONE.report(life, ++reportSeq));
             }
             collector = best;
             if (best != null && ticks % LEDGER_TICKS == 0) {
                 LedgerReport l = front.ledger(life, ++ledgerSeq);
-                Set<Ledger.Broken> broken = Ledger.broken(l);
+                Set<RequestLedger.Broken> broken = RequestLedger.broken(l);
                 if (!broken.isEmpty()) {
                     LOG.atSevere().log("the ledger breaks %s", broken);
                 }
                 mesh.send(best, l);
             }
-            Sum seen = picker.report(nowMs);
-            if (best != null && (!seen.equals(Sum.NONE) || nowMs - reportedMs > 1400)) {
+            LoadSummary seen = picker.report(nowMs);
+            if (best != null && (!seen.equals(LoadSummary.NONE) || nowMs - reportedMs > 1400)) {
                 reportedMs = nowMs;
                 mesh.send(best, seen.report(life, ++reportSeq));
             }
@@ -280,7 +280,7 @@
     /** Keeps sessions with two control nodes that hear all news, and gossip with two other data nodes. */
     private void dial(long nowMs) {
         int good = 0;
-        for (Meet.Peer p : meet.peers()) {
+        for (SessionTable.Peer p : meet.peers()) {
             good += p.serves() ? 1 : 0;
         }
         if (good < CONTROLS) {
@@ -307,8 +307,8 @@
         // the next data node on the ring; the one before dials here
         NodeId next = null;
         NodeId first = null;
-        for (Item i : book.all(Book.NODE)) {
-            Roster r = Roster.of(i.value());
+        for (Fact i : book.all(FactStore.NODE)) {
+            DataNodeFact r = DataNodeFact.of(i.value());
             if ((r.flags() & Heartbeat.READY) == 0 || !r.hello().region().equals(config.region())) {
                 continue;
             }
--- a/src/main/java/ringspindle/dp/DataPlane.java
+++ b/src/main/java/ringspindle/dataplane/DataPlane.java
@@ -1,15 +1,15 @@
-package ringspindle.dp;
+package ringspindle.dataplane;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.concurrent.CountDownLatch;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
-import ringspindle.conf.NodeConfig;
-import ringspindle.conf.Settings;
-import ringspindle.edge.Front;
-import ringspindle.pick.Picker;
-import ringspindle.wire.Means;
-import ringspindle.wire.Threads;
-import ringspindle.wire.Ticker;
+import ringspindle.config.NodeConfig;
+import ringspindle.config.Settings;
+import ringspindle.loadbalancing.LoadBalancer;
+import ringspindle.proxy.ProxyHandler;
+import ringspindle.transport.NodeEnvironment;
+import ringspindle.transport.PeriodicTask;
+import ringspindle.transport.Threads;
 
 /** The data plane's program. */
 public final class DataPlane {
@@ -23,14 +23,14 @@
         Threads threads = Threads.start("dp", 20, 8);
         QueuedThreadPool pool = threads.pool();
         org.eclipse.jetty.util.thread.Scheduler beats = threads.timers();
-        Means means = Means.real(threads);
-        Picker picker = Picker.create(config);
-        Front front = new Front(config, picker, pool, beats, means.clock());
-        Data data = new Data(config, front, picker, means);
+        NodeEnvironment means = NodeEnvironment.real(threads);
+        LoadBalancer picker = LoadBalancer.create(config);
+        ProxyHandler front = new ProxyHandler(config, picker, pool, beats, means.clock());
+        DataNode data = new DataNode(config, front, picker, means);
         settings.listen(picker::settings);
         settings.listen(data::settings);
         data.start();
-        Ticker.start(data::tick, beats, Data.TICK_MS);
+        PeriodicTask.start(data::tick, beats, DataNode.TICK_MS);
         front.open();
         LOG.atInfo().log("data plane %s serves", config.name());
         term.await();
--- a/src/main/java/ringspindle/know/Book.java
+++ b/src/main/java/ringspindle/gossip/FactStore.java
@@ -1,12 +1,12 @@
-package ringspindle.know;
+package ringspindle.gossip;
 
 import java.util.Collection;
 import java.util.List;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.NodeId;
 
 /** What a node knows: facts by kind and key, the newer (life, version) wins. Pure; not thread safe. */
-public interface Book {
+public interface FactStore {
     int CONFIG = 1;
     int EVACUATED = 2;
     int LEAVING = 3;
@@ -24,24 +24,24 @@
     int RANGES = 16;
 
     /** Takes what is newer; returns just that. {@code book.merge(news.items())}. */
-    List<Item> merge(List<Item> items);
+    List<Fact> merge(List<Fact> items);
 
-    /** The fact, null if there is none; {@code book.get(Book.CONFIG, "")}. */
-    Item get(int kind, String key);
+    /** The fact, null if there is none; {@code book.get(FactStore.CONFIG, "")}. */
+    Fact get(int kind, String key);
 
-    /** All facts of a kind; {@code book.all(Book.ENGINE)}. */
-    Collection<Item> all(int kind);
+    /** All facts of a kind; {@code book.all(FactStore.ENGINE)}. */
+    Collection<Fact> all(int kind);
 
-    /** Takes a fact out, without trace; {@code book.forget(Book.NODE, "10.0.0.1:7721")}. */
+    /** Takes a fact out, without trace; {@code book.forget(FactStore.NODE, "10.0.0.1:7721")}. */
     void forget(int kind, String key);
 
     /** What a peer has not been sent yet, at most so many; marks it as sent. {@code book.pending(peer, 64)}. */
-    default List<Item> pending(NodeId peer, int most) {
+    default List<Fact> pending(NodeId peer, int most) {
         return pending(peer, most, i -> true);
     }
 
     /** The same, passing over what that peer has no use for. */
-    List<Item> pending(NodeId peer, int most, java.util.function.Predicate<Item> useful);
+    List<Fact> pending(NodeId peer, int most, java.util.function.Predicate<Fact> useful);
 
     /** Forgets what a peer was sent, so that all goes again; {@code book.reset(peer)} on a new wire. */
     void reset(NodeId peer);
@@ -50,7 +50,7 @@
     void drop(NodeId peer);
 
     /** Notes that the peer itself told us these, so that they need not go back; {@code book.told(peer, items)}. */
-    void told(NodeId peer, List<Item> items);
+    void told(NodeId peer, List<Fact> items);
 
     /** Digest of all; equal books have equal digests. */
     long digest();
@@ -59,10 +59,10 @@
     long[] ranges();
 
     /** All facts in the ranges that differ from those digests; {@code book.differing(digest.ranges())}. */
-    List<Item> differing(long[] theirs);
+    List<Fact> differing(long[] theirs);
 
-    /** {@code Book.create()} is empty. */
-    static Book create() {
-        return new TableBook();
+    /** {@code FactStore.create()} is empty. */
+    static FactStore create() {
+        return new VersionedFactStore();
     }
 }
--- a/src/main/java/ringspindle/know/TableBook.java
+++ b/src/main/java/ringspindle/gossip/VersionedFactStore.java
@@ -1,4 +1,4 @@
-package ringspindle.know;
+package ringspindle.gossip;
 
 import it.unimi.dsi.fastutil.longs.Long2ObjectRBTreeMap;
 import it.unimi.dsi.fastutil.longs.Long2ObjectSortedMap;
@@ -9,13 +9,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.NodeId;
 
 /** Facts in one table, in the order in which they came in; each peer has a mark up to which it was told. */
-final class TableBook implements Book {
+final class VersionedFactStore implements FactStore {
     private static final class Row {
-        Item item;
+        Fact item;
         long stamp;
         long hash;
     }
@@ -32,9 +32,9 @@
     }
 
     @Override
-    public List<Item> merge(List<Item> items) {
-        List<Item> fresh = new ArrayList<>();
-        for (Item i : items) {
+    public List<Fact> merge(List<Fact> items) {
+        List<Fact> fresh = new ArrayList<>();
+        for (Fact i : items) {
             String id = id(i.kind(), i.key());
             Row r = rows.get(id);
             if (r != null
@@ -62,7 +62,7 @@
         return (id.hashCode() * 0x9E3779B9 >>> 16) % RANGES;
     }
 
-    private static long hash(String id, Item i) {
+    private static long hash(String id, Fact i) {
         if (i.kind() == NODE || i.kind() == LEASE || i.kind() == TURN || i.kind() == SILENT) {
             // told anew on every new session, and not the same everywhere: no part of repair
             return 0;
@@ -77,14 +77,14 @@
     }
 
     @Override
-    public Item get(int kind, String key) {
+    public Fact get(int kind, String key) {
         Row r = rows.get(id(kind, key));
         return r == null ? null : r.item;
     }
 
     @Override
-    public Collection<Item> all(int kind) {
-        List<Item> out = new ArrayList<>();
+    public Collection<Fact> all(int kind) {
+        List<Fact> out = new ArrayList<>();
         for (Row r : byStamp.values()) {
             if (r.item.kind() == kind) {
                 out.add(r.item);
@@ -104,10 +104,10 @@
     }
 
     @Override
-    public List<Item> pending(NodeId peer, int most, java.util.function.Predicate<Item> useful) {
+    public List<Fact> pending(NodeId peer, int most, java.util.function.Predicate<Fact> useful) {
         long[] mark = marks.computeIfAbsent(peer, k -> new long[1]);
         Set<String> has = known.computeIfAbsent(peer, k -> new HashSet<>());
-        List<Item> out = new ArrayList<>();
+        List<Fact> out = new ArrayList<>();
         for (Row r : byStamp.tailMap(mark[0] + 1).values()) {
             if (out.size() >= most) {
                 return out;
@@ -134,12 +134,12 @@
     }
 
     @Override
-    public void told(NodeId peer, List<Item> items) {
+    public void told(NodeId peer, List<Fact> items) {
         Set<String> has = known.computeIfAbsent(peer, k -> new HashSet<>());
         if (has.size() > 4096) {
             has.clear();
         }
-        for (Item i : items) {
+        for (Fact i : items) {
             has.add(id(i.kind(), i.key()) + "@" + i.life() + "." + i.version());
         }
     }
@@ -159,8 +159,8 @@
     }
 
     @Override
-    public List<Item> differing(long[] theirs) {
-        List<Item> out = new ArrayList<>();
+    public List<Fact> differing(long[] theirs) {
+        List<Fact> out = new ArrayList<>();
         for (Row r : byStamp.values()) {
             int n = range(id(r.item.kind(), r.item.key()));
             if (r.hash != 0 && (n >= theirs.length || theirs[n] != ranges[n])) {
--- a/src/main/java/ringspindle/pick/Window.java
+++ b/src/main/java/ringspindle/loadbalancing/AttemptWindow.java
@@ -1,20 +1,20 @@
-package ringspindle.pick;
+package ringspindle.loadbalancing;
 
 import java.util.Arrays;
-import ringspindle.act.Action;
-import ringspindle.sum.Kind;
-import ringspindle.sum.Tally;
+import ringspindle.retry.Action;
+import ringspindle.telemetry.AttemptCounts;
+import ringspindle.telemetry.RequestKind;
 
 /** What this node saw of one engine lately, by kind of request: four buckets of steady time, used in turn. */
-final class Window {
+final class AttemptWindow {
     private static final int BUCKETS = 4;
     private static final int BUCKET_MS = 500;
     private static final int ANSWERED = 0;
     private static final int NOT_RUN = 1;
     private static final int FAILED = 2;
     private static final int FIRSTS = 3;
-    private static final int WIDTH = FIRSTS + Tally.BUCKET_MS.length;
-    private static final int KINDS = Kind.values().length;
+    private static final int WIDTH = FIRSTS + AttemptCounts.BUCKET_MS.length;
+    private static final int KINDS = RequestKind.values().length;
 
     private final int[] counts = new int[BUCKETS * KINDS * WIDTH];
     private final int[] running = new int[KINDS];
@@ -34,17 +34,17 @@
         bucket = Math.max(bucket, now);
     }
 
-    private int at(long b, Kind k) {
+    private int at(long b, RequestKind k) {
         return ((int) Math.floorMod(b, BUCKETS) * KINDS + k.ordinal()) * WIDTH;
     }
 
-    void began(Kind k, long weight, long nowMs) {
+    void began(RequestKind k, long weight, long nowMs) {
         move(nowMs);
         running[k.ordinal()]++;
         tokens[k.ordinal()] += weight;
     }
 
-    void ended(Kind k, long weight, Action.End end, long firstMs, long nowMs) {
+    void ended(RequestKind k, long weight, Action.End end, long firstMs, long nowMs) {
         move(nowMs);
         int i = k.ordinal();
         running[i] = Math.max(0, running[i] - 1);
@@ -53,7 +53,7 @@
         if (end == Action.End.ANSWERED) {
             counts[at + ANSWERED]++;
             if (firstMs >= 0) {
-                counts[at + FIRSTS + Tally.bucket(firstMs)]++;
+                counts[at + FIRSTS + AttemptCounts.bucket(firstMs)]++;
             }
         } else if (end == Action.End.NOT_RUN) {
             counts[at + NOT_RUN]++;
@@ -62,7 +62,7 @@
         }
     }
 
-    Tally tally(Kind k, long nowMs) {
+    AttemptCounts tally(RequestKind k, long nowMs) {
         move(nowMs);
         int[] sum = new int[WIDTH];
         for (long b = bucket - BUCKETS + 1; b <= bucket; b++) {
@@ -71,7 +71,7 @@
                 sum[i] += counts[at + i];
             }
         }
-        return new Tally(
+        return new AttemptCounts(
                 sum[ANSWERED],
                 sum[NOT_RUN],
                 sum[FAILED],
@@ -80,9 +80,9 @@
                 Arrays.copyOfRange(sum, FIRSTS, WIDTH));
     }
 
-    Tally all(long nowMs) {
-        Tally out = Tally.NONE;
-        for (Kind k : Kind.values()) {
+    AttemptCounts all(long nowMs) {
+        AttemptCounts out = AttemptCounts.NONE;
+        for (RequestKind k : RequestKind.values()) {
             out = out.merge(tally(k, nowMs));
         }
         return out;
--- a/src/main/java/ringspindle/pick/TablePicker.java
+++ b/src/main/java/ringspindle/loadbalancing/EngineTableLoadBalancer.java
@@ -1,4 +1,4 @@
-package ringspindle.pick;
+package ringspindle.loadbalancing;
 
 import it.unimi.dsi.fastutil.longs.Long2ObjectMap;
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
@@ -12,23 +12,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import ringspindle.act.Action;
 import ringspindle.api.Outcome;
-import ringspindle.conf.FleetConfig;
-import ringspindle.conf.NodeConfig;
-import ringspindle.rule.Step;
-import ringspindle.sum.Kind;
-import ringspindle.sum.Sum;
-import ringspindle.sum.Tally;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.EngineLoad;
-import ringspindle.wire.Msg.Lease;
-import ringspindle.wire.Msg.Load;
-import ringspindle.wire.Msg.RegionLoad;
-import ringspindle.wire.NodeId;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.NodeConfig;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.EngineLoad;
+import ringspindle.protocol.Message.Lease;
+import ringspindle.protocol.Message.Load;
+import ringspindle.protocol.Message.RegionLoad;
+import ringspindle.protocol.NodeId;
+import ringspindle.retry.Action;
+import ringspindle.routing.FallbackTarget;
+import ringspindle.telemetry.AttemptCounts;
+import ringspindle.telemetry.LoadSummary;
+import ringspindle.telemetry.RequestKind;
 
 /** Engines in a table, judged at each choice. */
-final class TablePicker implements Picker {
+final class EngineTableLoadBalancer implements LoadBalancer {
     /** Ours: what a prompt token costs before anything was learned, in ms. */
     private static final double TOKEN_MS = 0.02;
     /** Ours: what one more running request costs the next one. */
@@ -82,7 +82,7 @@
         long coldAtMs;
         long coldTurn = Long.MIN_VALUE;
         long hash;
-        final Window window = new Window();
+        final AttemptWindow window = new AttemptWindow();
         Place place;
         boolean silent;
         long silentMs;
@@ -158,7 +158,7 @@
     private int mostNodes;
     private double tokenMs = TOKEN_MS;
 
-    TablePicker(NodeConfig node) {
+    EngineTableLoadBalancer(NodeConfig node) {
         this.node = node;
     }
 
@@ -181,7 +181,7 @@
         if (r == null) {
             r = new Row();
             r.id = id;
-            r.hash = Sum.key(id);
+            r.hash = LoadSummary.key(id);
             r.coldAtMs = nowMs;
             rows.put(id, r);
             byKey.put(r.hash, r);
@@ -277,19 +277,19 @@
     }
 
     @Override
-    public synchronized Sum report(long nowMs) {
-        List<Sum> seen = new ArrayList<>();
+    public synchronized LoadSummary report(long nowMs) {
+        List<LoadSummary> seen = new ArrayList<>();
         for (Row r : rows.values()) {
             r.reportedRunning = r.running;
             r.reportedTokens = (long) r.tokens;
-            for (Kind k : Kind.values()) {
-                Tally t = r.window.tally(k, nowMs);
+            for (RequestKind k : RequestKind.values()) {
+                AttemptCounts t = r.window.tally(k, nowMs);
                 if (!t.empty()) {
-                    seen.add(Sum.of(r.hash, k, t));
+                    seen.add(LoadSummary.of(r.hash, k, t));
                 }
             }
         }
-        return Sum.all(seen);
+        return LoadSummary.all(seen);
     }
 
     @Override
@@ -424,7 +424,7 @@
             }
             mean = fit.isEmpty() ? 0 : mean / fit.size();
             List<Row> ranked = new ArrayList<>(fit);
-            ranked.sort(Comparator.comparingLong((Row r) -> Rendezvous.rank(r.hash, ask.affinity())));
+            ranked.sort(Comparator.comparingLong((Row r) -> RendezvousHash.rank(r.hash, ask.affinity())));
             for (Row r : ranked) {
                 if (r.tokensNow(nowMs) + ask.tokens() <= 1.5 * mean + UNEVEN_TOKENS && !(absent(r) && anyFresh)) {
                     home = r;
@@ -495,7 +495,7 @@
         Row holder = null;
         List<Row> ranked = new ArrayList<>(permitted);
         if (ask.affinity() != 0) {
-            ranked.sort(Comparator.comparingLong((Row r) -> Rendezvous.rank(r.hash, ask.affinity())));
+            ranked.sort(Comparator.comparingLong((Row r) -> RendezvousHash.rank(r.hash, ask.affinity())));
             holder = ranked.isEmpty() ? null : ranked.get(0);
         }
         List<Row> open = new ArrayList<>(fit.size());
@@ -514,13 +514,13 @@
                 && holder.tokensNow(nowMs) + ask.tokens() <= steer.uneven() * mean + UNEVEN_TOKENS) {
             return holder;
         }
-        List<Step> steps = there ? steer.busy() : steer.gone();
+        List<FallbackTarget> steps = there ? steer.busy() : steer.gone();
         if (holder == null || steps.isEmpty()) {
             return cheapest(open, holder, ask, nowMs);
         }
         open.remove(holder);
         long dueMs = 0;
-        for (Step step : steps) {
+        for (FallbackTarget step : steps) {
             dueMs += step.waitMs();
             if (steer.waitedMs() < dueMs) {
                 return null;
@@ -533,8 +533,8 @@
         return null;
     }
 
-    private List<Row> at(Step step, List<Row> open, List<Row> ranked, Row holder) {
-        if (step.to() == Step.To.NEXT) {
+    private List<Row> at(FallbackTarget step, List<Row> open, List<Row> ranked, Row holder) {
+        if (step.to() == FallbackTarget.To.NEXT) {
             for (Row r : ranked) {
                 if (r != holder && !r.leaving && !r.suspect) {
                     return open.contains(r) ? List.of(r) : List.of();
@@ -586,8 +586,8 @@
         return ask.tokens() + ask.outTokens();
     }
 
-    private static Kind kind(Ask ask) {
-        return Kind.of(ask.tokens() + ask.sharedTokens(), ask.sharedTokens());
+    private static RequestKind kind(Ask ask) {
+        return RequestKind.of(ask.tokens() + ask.sharedTokens(), ask.sharedTokens());
     }
 
     private static boolean absent(Row r) {
@@ -647,7 +647,7 @@
     }
 
     private static long mix(long z) {
-        return Rendezvous.mix(z);
+        return RendezvousHash.mix(z);
     }
 
     @Override
@@ -679,7 +679,7 @@
         boolean stale = firstMs == STALE_MS;
         r.window.ended(kind(ask), (long) weight(ask), stale ? Action.End.PARENT_ENDED : end, firstMs, nowMs);
         if (end.againstEngine() && !stale) {
-            Tally own = r.window.all(nowMs);
+            AttemptCounts own = r.window.all(nowMs);
             weigh(r, own.answered(), own.failed(), 1, 0, nowMs);
         }
         if (r.running == 0) {
--- a/src/main/java/ringspindle/pick/Picker.java
+++ b/src/main/java/ringspindle/loadbalancing/LoadBalancer.java
@@ -1,20 +1,20 @@
-package ringspindle.pick;
+package ringspindle.loadbalancing;
 
 import java.util.List;
 import java.util.Set;
-import ringspindle.act.Action;
 import ringspindle.api.Outcome;
-import ringspindle.conf.FleetConfig;
-import ringspindle.conf.NodeConfig;
-import ringspindle.rule.Step;
-import ringspindle.sum.Sum;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.Lease;
-import ringspindle.wire.Msg.Load;
-import ringspindle.wire.NodeId;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.NodeConfig;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.Lease;
+import ringspindle.protocol.Message.Load;
+import ringspindle.protocol.NodeId;
+import ringspindle.retry.Action;
+import ringspindle.routing.FallbackTarget;
+import ringspindle.telemetry.LoadSummary;
 
 /** Chooses engines: who may be asked, who is near, who has the prompt's head, who has room. Thread safe. */
-public interface Picker {
+public interface LoadBalancer {
     /** No first byte, as the connection was no more. */
     long STALE_MS = -2;
 
@@ -52,7 +52,7 @@
      * @param uneven how many times the mean load the holder may have
      * @param waitedMs how long the request has waited for a place
      */
-    record Steer(double kept, double uneven, List<Step> busy, List<Step> gone, long waitedMs) {}
+    record Steer(double kept, double uneven, List<FallbackTarget> busy, List<FallbackTarget> gone, long waitedMs) {}
 
     /** An engine, or why there is none. */
     sealed interface Choice {}
@@ -91,7 +91,7 @@
     void load(Load l, long nowMs);
 
     /** What this node saw of engines in its window, and what runs now; {@code picker.report(nowMs).report(life, seq)}. */
-    Sum report(long nowMs);
+    LoadSummary report(long nowMs);
 
     /** The engines of a service whose turn it is in a roll-out: they get nothing new, and are cold when they return. */
     void turn(String service, Set<String> ids, long nowMs);
@@ -126,8 +126,8 @@
     /** Ids of engines that are known, for cutting wires of those that are gone. */
     Set<String> known();
 
-    /** {@code Picker.create(config)} knows no engines yet. */
-    static Picker create(NodeConfig config) {
-        return new TablePicker(config);
+    /** {@code LoadBalancer.create(config)} knows no engines yet. */
+    static LoadBalancer create(NodeConfig config) {
+        return new EngineTableLoadBalancer(config);
     }
 }
--- a/src/main/java/ringspindle/pick/Rendezvous.java
+++ b/src/main/java/ringspindle/loadbalancing/RendezvousHash.java
@@ -1,10 +1,10 @@
-package ringspindle.pick;
+package ringspindle.loadbalancing;
 
 /** Which engine holds what: the lowest rank, the same on every node. */
-public final class Rendezvous {
-    private Rendezvous() {}
+public final class RendezvousHash {
+    private RendezvousHash() {}
 
-    /** The rank of an engine for what is shared; {@code Rendezvous.rank(Sum.key("i-1"), key)}. */
+    /** The rank of an engine for what is shared; {@code RendezvousHash.rank(LoadSummary.key("i-1"), key)}. */
     public static long rank(long engine, long affinity) {
         return mix(engine ^ affinity);
     }
--- a/src/main/java/ringspindle/log/JsonLines.java
+++ b/src/main/java/ringspindle/logging/JsonLines.java
@@ -1,4 +1,4 @@
-package ringspindle.log;
+package ringspindle.logging;
 
 import jakarta.json.JsonObjectBuilder;
 import jakarta.json.spi.JsonProvider;
--- a/src/main/java/ringspindle/meet/Roster.java
+++ b/src/main/java/ringspindle/membership/DataNodeFact.java
@@ -1,11 +1,11 @@
-package ringspindle.meet;
+package ringspindle.membership;
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg.Heartbeat;
-import ringspindle.wire.Msg.Hello;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.NodeId;
 
 /**
  * A data node as a fact: what its session says, and which control node the session stands with. While that control node
@@ -14,17 +14,17 @@
  * @param flags as in its last heartbeat, 0 once the session is gone
  * @param via the control node that holds the session
  */
-public record Roster(int flags, NodeId via, Hello hello) {
+public record DataNodeFact(int flags, NodeId via, Hello hello) {
 
-    /** Reads a fact's value; {@code Roster.of(item.value()).hello().zone()}. */
-    public static Roster of(byte[] value) {
+    /** Reads a fact's value; {@code DataNodeFact.of(item.value()).hello().zone()}. */
+    public static DataNodeFact of(byte[] value) {
         ByteBuffer b = ByteBuffer.wrap(value);
         int flags = b.get();
         NodeId via = new NodeId(b.getLong());
-        return new Roster(flags, via, (Hello) Codec.decode(Arrays.copyOfRange(value, 9, value.length)));
+        return new DataNodeFact(flags, via, (Hello) Codec.decode(Arrays.copyOfRange(value, 9, value.length)));
     }
 
-    /** The fact's value; {@code Roster.of(r.value()).equals(r)}. */
+    /** The fact's value; {@code DataNodeFact.of(r.value()).equals(r)}. */
     public byte[] value() {
         byte[] h = Codec.encode(hello);
         return ByteBuffer.allocate(9 + h.length)
--- /dev/null
+++ b/src/main/java/ringspindle/membership/FactValidator.java
@@ -0,0 +1,41 @@
+package ringspindle.membership;
+
+import java.util.List;
+import ringspindle.gossip.FactStore;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.FrameException;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.Lease;
+
+/** Checks facts that come over the wire before any of them is taken. Pure. */
+public final class FactValidator {
+    private FactValidator() {}
+
+    /** Throws if the value of any of these cannot be read; {@code FactValidator.check(news.items()); book.merge(news.items())}. */
+    public static void check(List<Fact> items) {
+        items.forEach(FactValidator::check);
+    }
+
+    private static void check(Fact item) {
+        try {
+            if (!readable(item)) {
+                throw new FrameException(FrameException.Reason.GARBLED, "fact of kind " + item.kind());
+            }
+        } catch (FrameException x) {
+            throw x;
+        } catch (RuntimeException x) {
+            throw new FrameException(FrameException.Reason.GARBLED, "fact of kind " + item.kind(), x);
+        }
+    }
+
+    private static boolean readable(Fact item) {
+        return switch (item.kind()) {
+            case FactStore.ENGINE -> Codec.decode(item.value()) instanceof Engine;
+            case FactStore.LEASE -> Codec.decode(item.value()) instanceof Lease;
+            case FactStore.NODE -> DataNodeFact.of(item.value()).hello() != null;
+            case FactStore.SILENT -> item.value().length == 1;
+            default -> true;
+        };
+    }
+}
--- a/src/main/java/ringspindle/meet/MeetTable.java
+++ b/src/main/java/ringspindle/membership/HeartbeatSessionTable.java
@@ -1,4 +1,4 @@
-package ringspindle.meet;
+package ringspindle.membership;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import ringspindle.wire.Msg.Heartbeat;
-import ringspindle.wire.Msg.Hello;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.NodeId;
 
 /**
  * Sessions in a table. Contact with a peer dates from when the newest own heartbeat that the peer echoed was sent: a
  * heartbeat that was held up on its way, by a cut or by a freeze of either side, proves nothing about the time of its
  * arrival.
  */
-final class MeetTable implements Meet {
+final class HeartbeatSessionTable implements SessionTable {
     /** Two control nodes exchange heartbeats every 200 ms: in calm the proven contact is up to 500 ms old. */
     static final int CONTROL_CONTACT_MS = 1100;
     /** A session with a data node has a heartbeat every 400 ms each way: in calm the contact is up to 900 ms old. */
@@ -117,7 +117,7 @@
     private long resumedMs = NEVER_MS;
     private long sentN;
 
-    MeetTable(NodeId me, boolean data) {
+    HeartbeatSessionTable(NodeId me, boolean data) {
         this.me = me;
         this.data = data;
     }
--- a/src/main/java/ringspindle/meet/RollPlan.java
+++ b/src/main/java/ringspindle/membership/RolloutPlanner.java
@@ -1,13 +1,13 @@
-package ringspindle.meet;
+package ringspindle.membership;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import ringspindle.chain.Rollout;
+import ringspindle.replication.Rollout;
 
 /** The duty of driving a roll-out: from what is known to the next order. Pure; its holder asks it on every beat. */
-public final class RollPlan {
+public final class RolloutPlanner {
     /** An engine as the holder knows it; weights below 0 if it never said. */
     public record Member(String id, String region, long weights, boolean leaving, boolean silent) {}
 
@@ -88,7 +88,7 @@
         return serving - 1 < need ? -1 : (serving - 1 - need) / (double) total;
     }
 
-    /** True if that floor lets every region's engines take their turn; {@code RollPlan.feasible(0.5, members)}. */
+    /** True if that floor lets every region's engines take their turn; {@code RolloutPlanner.feasible(0.5, members)}. */
     public static boolean feasible(double floor, List<Member> members) {
         Map<String, Integer> total = new TreeMap<>();
         members.forEach(m -> total.merge(m.region(), m.leaving() ? 0 : 1, Integer::sum));
--- a/src/main/java/ringspindle/meet/Meet.java
+++ b/src/main/java/ringspindle/membership/SessionTable.java
@@ -1,16 +1,16 @@
-package ringspindle.meet;
+package ringspindle.membership;
 
 import java.util.Collection;
 import java.util.List;
-import ringspindle.wire.Msg.Heartbeat;
-import ringspindle.wire.Msg.Hello;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.NodeId;
 
 /**
  * Sessions of one node with others, told from their heartbeats. All times are of this node's steady clock. Pure; not
  * thread safe.
  */
-public interface Meet {
+public interface SessionTable {
     /** The time of a contact that never was. */
     long NEVER_MS = Long.MIN_VALUE / 2;
 
@@ -68,13 +68,13 @@
     /** True while both heard each other, as far as this node can tell; {@code meet.linked(a, b)}. */
     boolean linked(NodeId a, NodeId b);
 
-    /** {@code Meet.forControl(me)} for a control node's sessions. */
-    static Meet forControl(NodeId me) {
-        return new MeetTable(me, false);
+    /** {@code SessionTable.forControl(me)} for a control node's sessions. */
+    static SessionTable forControl(NodeId me) {
+        return new HeartbeatSessionTable(me, false);
     }
 
-    /** {@code Meet.forData(me)} for a data node's sessions, which have fewer heartbeats. */
-    static Meet forData(NodeId me) {
-        return new MeetTable(me, true);
+    /** {@code SessionTable.forData(me)} for a data node's sessions, which have fewer heartbeats. */
+    static SessionTable forData(NodeId me) {
+        return new HeartbeatSessionTable(me, true);
     }
 }
--- a/src/main/java/ringspindle/wire/Codec.java
+++ b/src/main/java/ringspindle/protocol/Codec.java
@@ -1,4 +1,4 @@
-package ringspindle.wire;
+package ringspindle.protocol;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -9,6 +9,42 @@
 import org.agrona.ExpandableArrayBuffer;
 import org.agrona.MutableDirectBuffer;
 import org.agrona.concurrent.UnsafeBuffer;
+import ringspindle.protocol.Message.Accept;
+import ringspindle.protocol.Message.Accepted;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.Confirm;
+import ringspindle.protocol.Message.Confirmed;
+import ringspindle.protocol.Message.Decided;
+import ringspindle.protocol.Message.Digest;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.EngineLoad;
+import ringspindle.protocol.Message.Entry;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.Message.HeartbeatRow;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.Message.Install;
+import ringspindle.protocol.Message.Lease;
+import ringspindle.protocol.Message.LedgerReport;
+import ringspindle.protocol.Message.LedgerRow;
+import ringspindle.protocol.Message.Load;
+import ringspindle.protocol.Message.Mark;
+import ringspindle.protocol.Message.News;
+import ringspindle.protocol.Message.Op;
+import ringspindle.protocol.Message.Pledge;
+import ringspindle.protocol.Message.Position;
+import ringspindle.protocol.Message.Prepare;
+import ringspindle.protocol.Message.RegionLoad;
+import ringspindle.protocol.Message.Relearn;
+import ringspindle.protocol.Message.Relearned;
+import ringspindle.protocol.Message.Reply;
+import ringspindle.protocol.Message.Report;
+import ringspindle.protocol.Message.SourceRow;
+import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.Synced;
+import ringspindle.protocol.Message.TallyRow;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.Message.Vote;
 import ringspindle.sbe.AcceptDecoder;
 import ringspindle.sbe.AcceptEncoder;
 import ringspindle.sbe.AcceptedDecoder;
@@ -65,42 +101,6 @@
 import ringspindle.sbe.ViewEncoder;
 import ringspindle.sbe.VoteDecoder;
 import ringspindle.sbe.VoteEncoder;
-import ringspindle.wire.Msg.Accept;
-import ringspindle.wire.Msg.Accepted;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.Confirm;
-import ringspindle.wire.Msg.Confirmed;
-import ringspindle.wire.Msg.Decided;
-import ringspindle.wire.Msg.Digest;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.EngineLoad;
-import ringspindle.wire.Msg.Entry;
-import ringspindle.wire.Msg.Heartbeat;
-import ringspindle.wire.Msg.HeartbeatRow;
-import ringspindle.wire.Msg.Hello;
-import ringspindle.wire.Msg.Install;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.Msg.Lease;
-import ringspindle.wire.Msg.LedgerReport;
-import ringspindle.wire.Msg.LedgerRow;
-import ringspindle.wire.Msg.Load;
-import ringspindle.wire.Msg.Mark;
-import ringspindle.wire.Msg.News;
-import ringspindle.wire.Msg.Op;
-import ringspindle.wire.Msg.Pledge;
-import ringspindle.wire.Msg.Position;
-import ringspindle.wire.Msg.Prepare;
-import ringspindle.wire.Msg.RegionLoad;
-import ringspindle.wire.Msg.Relearn;
-import ringspindle.wire.Msg.Relearned;
-import ringspindle.wire.Msg.Reply;
-import ringspindle.wire.Msg.Report;
-import ringspindle.wire.Msg.SourceRow;
-import ringspindle.wire.Msg.State;
-import ringspindle.wire.Msg.Synced;
-import ringspindle.wire.Msg.TallyRow;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.Msg.Vote;
 
 /** Messages to SBE bytes and back. */
 public final class Codec {
@@ -142,7 +142,7 @@
     private Codec() {}
 
     /** Encodes; {@code Codec.decode(Codec.encode(m)).equals(m)} for messages without arrays. */
-    public static byte[] encode(Msg m) {
+    public static byte[] encode(Message m) {
         MutableDirectBuffer b = new ExpandableArrayBuffer(512);
         MessageHeaderEncoder h = new MessageHeaderEncoder();
         int end = encodeSession(m, b, h);
@@ -161,7 +161,7 @@
     }
 
     /** Messages of sessions, of facts and of what is reported. */
-    private static int encodeSession(Msg m, MutableDirectBuffer b, MessageHeaderEncoder h) {
+    private static int encodeSession(Message m, MutableDirectBuffer b, MessageHeaderEncoder h) {
         if (m instanceof Hello x) {
             HelloEncoder e = new HelloEncoder()
                     .wrapAndApplyHeader(b, 0, h)
@@ -190,7 +190,7 @@
         if (m instanceof News x) {
             NewsEncoder e = new NewsEncoder().wrapAndApplyHeader(b, 0, h).full(bit(x.full()));
             NewsEncoder.ItemsEncoder g = e.itemsCount(x.items().size());
-            for (Item i : x.items()) {
+            for (Fact i : x.items()) {
                 NewsEncoder.ItemsEncoder n =
                         g.next().kind((short) i.kind()).life(i.life()).version(i.version());
                 put(i.key(), n::putKey);
@@ -311,7 +311,7 @@
     }
 
     /** Messages of the agreement on views. */
-    private static int encodeAgreement(Msg m, MutableDirectBuffer b, MessageHeaderEncoder h) {
+    private static int encodeAgreement(Message m, MutableDirectBuffer b, MessageHeaderEncoder h) {
         if (m instanceof View x) {
             ViewEncoder e = new ViewEncoder()
                     .wrapAndApplyHeader(b, 0, h)
@@ -396,7 +396,7 @@
     }
 
     /** Messages of the chain, and of orders on their way. */
-    private static int encodeReplication(Msg m, MutableDirectBuffer b, MessageHeaderEncoder h) {
+    private static int encodeReplication(Message m, MutableDirectBuffer b, MessageHeaderEncoder h) {
         if (m instanceof Install x) {
             InstallEncoder e = new InstallEncoder()
                     .wrapAndApplyHeader(b, 0, h)
@@ -486,7 +486,7 @@
     private static final int VIEW_WITHOUT_BASE_LENGTH = Long.BYTES;
 
     /** Decodes what {@link #encode} wrote, also under an earlier version of the schema; throws {@link FrameException} on anything else. */
-    public static Msg decode(byte[] bytes) {
+    public static Message decode(byte[] bytes) {
         try {
             return read(bytes);
         } catch (IndexOutOfBoundsException | NegativeArraySizeException | ClassCastException e) {
@@ -512,7 +512,7 @@
         }
     }
 
-    private static Msg read(byte[] bytes) {
+    private static Message read(byte[] bytes) {
         DirectBuffer b = new UnsafeBuffer(bytes);
         MessageHeaderDecoder h = new MessageHeaderDecoder().wrap(b, 0);
         check(h);
@@ -626,12 +626,12 @@
             case NewsDecoder.TEMPLATE_ID: {
                 NewsDecoder d = new NewsDecoder().wrapAndApplyHeader(b, 0, h);
                 boolean full = d.full() == 1;
-                List<Item> items = new ArrayList<>();
+                List<Fact> items = new ArrayList<>();
                 for (NewsDecoder.ItemsDecoder g : d.items()) {
                     int kind = g.kind();
                     long life = g.life();
                     long version = g.version();
-                    items.add(new Item(
+                    items.add(new Fact(
                             kind, text(g.keyLength(), g::getKey), life, version, raw(g.valueLength(), g::getValue)));
                 }
                 return new News(full, items);
--- a/src/main/java/ringspindle/wire/FrameException.java
+++ b/src/main/java/ringspindle/protocol/FrameException.java
@@ -1,4 +1,4 @@
-package ringspindle.wire;
+package ringspindle.protocol;
 
 /** What came over a connection is no message that this program can take; nothing has changed by it. */
 public final class FrameException extends IllegalArgumentException {
--- a/src/main/java/ringspindle/wire/Msg.java
+++ b/src/main/java/ringspindle/protocol/Message.java
@@ -1,16 +1,16 @@
-package ringspindle.wire;
+package ringspindle.protocol;
 
 import java.util.List;
 
 /** What nodes say to each other; the layout is in {@code wire.xml}. */
-public sealed interface Msg {
+public sealed interface Message {
     /** First on every wire. kind 0 is a control node, 1 a data node. */
     record Hello(NodeId node, long life, int kind, long front, String name, String zone, String region)
-            implements Msg {}
+            implements Message {}
 
     /** Beat between two nodes; echo is the last n heard from the other side. */
     record Heartbeat(long n, long echo, int flags, long epoch, long seq, long digest, List<NodeId> heard)
-            implements Msg {
+            implements Message {
         /** The node takes requests. */
         public static final int READY = 1;
         /** The node is leaving. */
@@ -37,7 +37,7 @@
      *
      * @param base every state from here on holds all that was acknowledged in earlier views
      */
-    record View(long epoch, List<NodeId> voters, List<NodeId> chain, Position base) implements Msg {
+    record View(long epoch, List<NodeId> voters, List<NodeId> chain, Position base) implements Message {
         /** A view whose base is not known; {@code new View(1, abc, abc)}. */
         public View(long epoch, List<NodeId> voters, List<NodeId> chain) {
             this(epoch, voters, chain, Position.NONE);
@@ -60,7 +60,7 @@
     }
 
     /** Consensus on a view, phase one: asks a voter to promise a ballot. */
-    record Prepare(long epoch, long ballot, View view) implements Msg {}
+    record Prepare(long epoch, long ballot, View view) implements Message {}
 
     /** Answer to {@link Prepare}: the promise, or the higher ballot promised before, with what was accepted. */
     record Pledge(
@@ -73,7 +73,7 @@
             long seq,
             View accepted,
             View view)
-            implements Msg {
+            implements Message {
         /** How far the voter's copy has come; {@code pledge.position().compareTo(view.base()) >= 0}. */
         public Position position() {
             return new Position(lineage, seq);
@@ -81,35 +81,35 @@
     }
 
     /** Consensus on a view, phase two: asks a voter to accept the view under a ballot. */
-    record Accept(long epoch, long ballot, View view) implements Msg {}
+    record Accept(long epoch, long ballot, View view) implements Message {}
 
     /** Answer to {@link Accept}. */
-    record Accepted(long epoch, long ballot, boolean granted, long promised) implements Msg {}
+    record Accepted(long epoch, long ballot, boolean granted, long promised) implements Message {}
 
     /** The view that a majority accepted. */
-    record Decided(View view) implements Msg {}
+    record Decided(View view) implements Message {}
 
     /** A snapshot of the control state, for a replica that lacks entries. */
-    record Install(long epoch, long seq, byte[] image) implements Msg {}
+    record Install(long epoch, long seq, byte[] image) implements Message {}
 
     /** One replicated operation, passed down the chain. */
-    record Entry(long epoch, long seq, byte[] op) implements Msg {}
+    record Entry(long epoch, long seq, byte[] op) implements Message {}
 
     /** Acknowledges all entries up to the sequence number. */
-    record Synced(long epoch, long seq) implements Msg {}
+    record Synced(long epoch, long seq) implements Message {}
 
     /** Asks a voter whether the view of this epoch is still in force. */
-    record Confirm(long epoch, long id) implements Msg {}
+    record Confirm(long epoch, long id) implements Message {}
 
     /** Answer to {@link Confirm}. */
-    record Confirmed(long epoch, long id, boolean ok) implements Msg {}
+    record Confirmed(long epoch, long id, boolean ok) implements Message {}
 
     /** Asks a voter for its consensus state, by a node that joins or lost its disk. */
-    record Relearn(long id) implements Msg {}
+    record Relearn(long id) implements Message {}
 
     /** Answer to {@link Relearn}. */
     record Relearned(long id, long promisedEpoch, long promised, long acceptedBallot, View accepted, View view)
-            implements Msg {}
+            implements Message {}
 
     /**
      * An order or reading that some node took from a caller.
@@ -117,7 +117,7 @@
      * @param base the revision that it builds on; for orders without one, the version of what they replace that the node
      *     knew of when it took them: an order held up since must not undo a newer one
      */
-    record Call(long id, int kind, long base, String arg, byte[] body) implements Msg {
+    record Call(long id, int kind, long base, String arg, byte[] body) implements Message {
         /** The same call on another base; {@code call.since(7).base()} is 7. */
         public Call since(long base) {
             return new Call(id, kind, base, arg, body);
@@ -125,32 +125,32 @@
     }
 
     /** Answer to {@link Call}. */
-    record Reply(long id, int outcome, byte[] body) implements Msg {}
+    record Reply(long id, int outcome, byte[] body) implements Message {}
 
     /** One fact of the book; the newer (life, version) wins. */
-    record Item(int kind, String key, long life, long version, byte[] value) {}
+    record Fact(int kind, String key, long life, long version, byte[] value) {}
 
     /** Items of the replicated key-value state that the receiver may lack. */
-    record News(boolean full, List<Item> items) implements Msg {}
+    record News(boolean full, List<Fact> items) implements Message {}
 
     /** Digests by range, from which the receiver finds the items that differ. */
-    record Digest(long[] ranges) implements Msg {}
+    record Digest(long[] ranges) implements Message {}
 
     /** A lease granted to a data node for a limited time, with the number of nodes. */
-    record Lease(long epoch, int nodes, int ttlMs) implements Msg {}
+    record Lease(long epoch, int nodes, int ttlMs) implements Message {}
 
     /** The content of a replicated operation. */
-    record Op(int kind, long base, long revision, long digest, String arg, byte[] body) implements Msg {}
+    record Op(int kind, long base, long revision, long digest, String arg, byte[] body) implements Message {}
 
     /** A mark of the control state: an evacuated zone, an engine that leaves, a roll-out. */
     record Mark(int kind, String key, long version, String value) {}
 
     /** The whole control state, as in a snapshot. */
     record State(long lineage, long seq, long revision, List<long[]> past, List<Mark> marks, byte[] config)
-            implements Msg {}
+            implements Message {}
 
     /** A voter's durable consensus state. */
-    record Vote(long promisedEpoch, long promised, long acceptedBallot, View accepted, View view) implements Msg {}
+    record Vote(long promisedEpoch, long promised, long acceptedBallot, View accepted, View view) implements Message {}
 
     /** What an engine last said of itself. weights is the revision of its model, -1 unknown. */
     record Engine(
@@ -163,9 +163,9 @@
             String address,
             String zone,
             String revision)
-            implements Msg {}
+            implements Message {}
 
-    /** One source's tallies by engine and kind of request; {@code sum.Tally} gives them their meaning. */
+    /** One source's tallies by engine and kind of request; {@code sum.AttemptCounts} gives them their meaning. */
     record TallyRow(
             long engine,
             int kind,
@@ -189,7 +189,7 @@
 
     /** A source's newest view of engines, or a collector's sum; (life, seq) orders what one sender says. */
     record Report(long life, long seq, List<TallyRow> tallies, List<HeartbeatRow> heartbeats, List<SourceRow> sources)
-            implements Msg {}
+            implements Message {}
 
     /** Actions of one class under one revision of the rules, as the node that held them counted. */
     record LedgerRow(
@@ -210,7 +210,7 @@
 
     /** A data node's ledger, and the rules in force there. */
     record LedgerReport(long life, long seq, long revision, long digest, long endedTwice, List<LedgerRow> rows)
-            implements Msg {}
+            implements Message {}
 
     /** An engine of the region, summed over nodes. */
     record EngineLoad(long engine, int answered, int failed, int running, long tokens) {}
@@ -219,5 +219,5 @@
     record RegionLoad(String region, String service, int engines, int room, int running, int answered, int failed) {}
 
     /** Sums on their way back: engines to data nodes of the region, regions to everyone. */
-    record Load(long life, long seq, List<EngineLoad> engines, List<RegionLoad> regions) implements Msg {}
+    record Load(long life, long seq, List<EngineLoad> engines, List<RegionLoad> regions) implements Message {}
 }
--- a/src/main/java/ringspindle/wire/NodeId.java
+++ b/src/main/java/ringspindle/protocol/NodeId.java
@@ -1,4 +1,4 @@
-package ringspindle.wire;
+package ringspindle.protocol;
 
 /**
  * A node, by its inner address: IPv4 and port in one number.
--- a/src/main/java/ringspindle/edge/BoundedBody.java
+++ b/src/main/java/ringspindle/proxy/BoundedBody.java
@@ -1,4 +1,4 @@
-package ringspindle.edge;
+package ringspindle.proxy;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
--- a/src/main/java/ringspindle/edge/WatchedEndPoint.java
+++ b/src/main/java/ringspindle/proxy/ClientEndPoint.java
@@ -1,4 +1,4 @@
-package ringspindle.edge;
+package ringspindle.proxy;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -19,7 +19,7 @@
  * An endpoint that notices the consumer's close while its request is at work. Jetty's HTTP/1.1 reads nothing in that
  * time, so this reads into a small held buffer and hands those bytes back to the parser afterwards.
  */
-final class WatchedEndPoint extends SocketChannelEndPoint {
+final class ClientEndPoint extends SocketChannelEndPoint {
     private static final int HELD_MAX = 16384;
 
     /** Hands out watched endpoints. */
@@ -35,7 +35,7 @@
         @Override
         protected SocketChannelEndPoint newEndPoint(SocketChannel channel, ManagedSelector select, SelectionKey key)
                 throws IOException {
-            WatchedEndPoint e = new WatchedEndPoint(channel, select, key, getScheduler(), getExecutor());
+            ClientEndPoint e = new ClientEndPoint(channel, select, key, getScheduler(), getExecutor());
             e.setIdleTimeout(getIdleTimeout());
             return e;
         }
@@ -73,7 +73,7 @@
         }
     };
 
-    WatchedEndPoint(
+    ClientEndPoint(
             SocketChannel channel,
             ManagedSelector select,
             SelectionKey key,
--- a/src/main/java/ringspindle/edge/Wires.java
+++ b/src/main/java/ringspindle/proxy/EngineConnectionPool.java
@@ -1,4 +1,4 @@
-package ringspindle.edge;
+package ringspindle.proxy;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -16,12 +16,12 @@
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.Promise;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
-import ringspindle.wire.LifeCycleQuietly;
-import ringspindle.wire.NodeId;
-import ringspindle.wire.Steady;
+import ringspindle.protocol.NodeId;
+import ringspindle.time.MonotonicClock;
+import ringspindle.transport.LifeCycles;
 
 /** Open connections to engines, owned here one by one: no pool, queue or resending of the client's own. */
-final class Wires {
+final class EngineConnectionPool {
     private static final int IDLE_MAX = 24;
     /** Ours: how long an idle wire is trusted where the engine states nothing. */
     private static final int KEEP_MS = 700;
@@ -29,8 +29,8 @@
     private static final int SURE_MS = 1500;
 
     private static final int TRUST_LEAST_MS = 50;
-    /** More than a client may send ({@code Front.REQUEST_HEADERS_MAX}), as a few fields are added. */
-    private static final int REQUEST_HEADERS_MAX = Front.REQUEST_HEADERS_MAX + 4096;
+    /** More than a client may send ({@code ProxyHandler.REQUEST_HEADERS_MAX}), as a few fields are added. */
+    private static final int REQUEST_HEADERS_MAX = ProxyHandler.REQUEST_HEADERS_MAX + 4096;
 
     /** A connection to one engine. */
     static final class Wire {
@@ -63,10 +63,11 @@
     }
 
     private final HttpClient client;
-    private final Steady clock;
+    private final MonotonicClock clock;
     private final Map<String, Pool> pools = new ConcurrentHashMap<>();
 
-    Wires(QueuedThreadPool pool, org.eclipse.jetty.util.thread.Scheduler beats, Steady clock) throws Exception {
+    EngineConnectionPool(QueuedThreadPool pool, org.eclipse.jetty.util.thread.Scheduler beats, MonotonicClock clock)
+            throws Exception {
         this.clock = clock;
         ClientConnector connector = new EngineEndPoint.Connector();
         client = new HttpClient(new EngineTransport(connector));
@@ -98,7 +99,7 @@
     }
 
     void close() {
-        LifeCycleQuietly.stop(client);
+        LifeCycles.stopQuietly(client);
     }
 
     /**
--- a/src/main/java/ringspindle/edge/EngineEndPoint.java
+++ b/src/main/java/ringspindle/proxy/EngineEndPoint.java
@@ -1,4 +1,4 @@
-package ringspindle.edge;
+package ringspindle.proxy;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.io.SocketChannelEndPoint;
 import org.eclipse.jetty.util.BufferUtil;
 import org.eclipse.jetty.util.thread.Scheduler;
-import ringspindle.wire.PlainConnector;
+import ringspindle.transport.PlainConnector;
 
 /**
  * The end point of a connection to an engine. Jetty's own reports a connection that was reset as one that was closed in
--- a/src/main/java/ringspindle/edge/EngineTransport.java
+++ b/src/main/java/ringspindle/proxy/EngineTransport.java
@@ -1,4 +1,4 @@
-package ringspindle.edge;
+package ringspindle.proxy;
 
 import java.nio.ByteBuffer;
 import java.util.Map;
@@ -27,7 +27,7 @@
  * ({@code HttpDestination.process}, where {@code SendFailure.retry} is set); the direct way reports every failure to
  * the listener.</li>
  * <li>Redirects, authentication and {@code 100 Continue} are the other places where Jetty sends again. They are
- * protocol handlers, and {@link Wires} removes them all.</li>
+ * protocol handlers, and {@link EngineConnectionPool} removes them all.</li>
  * <li>{@code HttpChannel.associate} takes one exchange at a time, so nothing is pipelined or waits behind another.</li>
  * <li>A request that is given up has its connection closed first ({@code HttpConnectionOverHTTP.close} closes the end
  * point), so what was not written by then never is.</li>
--- a/src/main/java/ringspindle/edge/Events.java
+++ b/src/main/java/ringspindle/proxy/EventSplitter.java
@@ -1,4 +1,4 @@
-package ringspindle.edge;
+package ringspindle.proxy;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /** Cuts a stream's bytes into whole events and reads their ids. */
-final class Events {
+final class EventSplitter {
     /** The event names no id. */
     static final long NO_ID = -1;
     /** The event names an id that is no number. */
--- a/src/main/java/ringspindle/edge/Flow.java
+++ b/src/main/java/ringspindle/proxy/ProxiedRequest.java
@@ -1,4 +1,4 @@
-package ringspindle.edge;
+package ringspindle.proxy;
 
 import com.google.common.flogger.FluentLogger;
 import java.io.ByteArrayOutputStream;
@@ -23,18 +23,18 @@
 import org.eclipse.jetty.server.Request;
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
-import ringspindle.act.Action;
-import ringspindle.act.Attempt;
 import ringspindle.api.Outcome;
-import ringspindle.conf.FleetConfig;
-import ringspindle.pick.Picker;
-import ringspindle.rule.Affinity;
-import ringspindle.rule.Asked;
-import ringspindle.rule.Rule;
-import ringspindle.rule.ServingRules;
+import ringspindle.config.FleetConfig;
+import ringspindle.loadbalancing.LoadBalancer;
+import ringspindle.retry.Action;
+import ringspindle.retry.Attempt;
+import ringspindle.routing.Affinity;
+import ringspindle.routing.RequestAttributes;
+import ringspindle.routing.ServingRule;
+import ringspindle.routing.ServingRules;
 
 /** One request from its head to its last byte: the owner of an action. Events come in, one at a time. */
-final class Flow {
+final class ProxiedRequest {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final int WHOLE_MAX = 1 << 20;
     /** Ours: what the way back takes, kept from the consumer's deadline. */
@@ -47,10 +47,10 @@
     /** One attempt's things. */
     private final class Try implements org.eclipse.jetty.client.Response.Listener, Runnable {
         final Attempt attempt;
-        final Picker.Ask ask;
-        final Picker.Chosen chosen;
+        final LoadBalancer.Ask ask;
+        final LoadBalancer.Chosen chosen;
         final boolean resume;
-        Wires.Wire wire;
+        EngineConnectionPool.Wire wire;
         org.eclipse.jetty.client.Request request;
         org.eclipse.jetty.client.Response head;
         Action.End headEnd;
@@ -59,7 +59,7 @@
         long sentMs = -1;
         long firstMs = -1;
         long heardMs;
-        final Events events = new Events();
+        final EventSplitter events = new EventSplitter();
         ByteArrayOutputStream whole;
         Content.Source content;
         boolean writing;
@@ -70,7 +70,7 @@
 
         Result deferred;
 
-        Try(Attempt attempt, Picker.Ask ask, Picker.Chosen chosen, boolean resume) {
+        Try(Attempt attempt, LoadBalancer.Ask ask, LoadBalancer.Chosen chosen, boolean resume) {
             this.attempt = attempt;
             this.ask = ask;
             this.chosen = chosen;
@@ -79,7 +79,7 @@
 
         @Override
         public void onHeaders(org.eclipse.jetty.client.Response r) {
-            Flow.this.onHead(this, r);
+            ProxiedRequest.this.onHead(this, r);
         }
 
         @Override
@@ -103,7 +103,7 @@
                 boolean last = chunk.isLast();
                 boolean more = true;
                 if (chunk.hasRemaining()) {
-                    more = Flow.this.onContent(this, chunk.getByteBuffer(), last);
+                    more = ProxiedRequest.this.onContent(this, chunk.getByteBuffer(), last);
                 }
                 chunk.release();
                 if (last || !more) {
@@ -114,15 +114,15 @@
 
         @Override
         public void onComplete(Result result) {
-            Flow.this.onComplete(this, result);
+            ProxiedRequest.this.onComplete(this, result);
         }
     }
 
-    private final Front front;
+    private final ProxyHandler front;
     private final Request request;
     private final Response response;
     private final Callback callback;
-    private final FleetConfig.Mapping mapping;
+    private final FleetConfig.Route mapping;
     private final String service;
     private final String attemptId;
     private final byte[] body;
@@ -136,7 +136,7 @@
     /** The rules that the action was admitted under; all it does follows these, whatever comes since. */
     private final ServingRules rules;
 
-    private final Rule rule;
+    private final ServingRule rule;
     private long waitSinceMs = -1;
     private final Set<String> tried = new HashSet<>(4);
     private Try now;
@@ -147,14 +147,14 @@
     private long waitUntilMs = -1;
     private long comeBackMs = 300;
     private org.eclipse.jetty.util.thread.Scheduler.Task beat;
-    private WatchedEndPoint watched;
+    private ClientEndPoint watched;
 
-    Flow(
-            Front front,
+    ProxiedRequest(
+            ProxyHandler front,
             Request request,
             Response response,
             Callback callback,
-            FleetConfig.Mapping mapping,
+            FleetConfig.Route mapping,
             String service,
             String attemptId,
             byte[] body,
@@ -178,7 +178,7 @@
         rules = front.rules();
         rule = rules == null
                 ? null
-                : rules.of(new Asked(
+                : rules.of(new RequestAttributes(
                         mapping.name(),
                         mapping.host(),
                         request.getHttpURI().getPath(),
@@ -219,7 +219,7 @@
     }
 
     /** What the rule says of the choice; null where it says nothing, so that all is as without rules. */
-    private Picker.Steer steer(long nowMs) {
+    private LoadBalancer.Steer steer(long nowMs) {
         if (rule == null) {
             return null;
         }
@@ -230,7 +230,7 @@
                 && rule.gone().isEmpty()) {
             return null;
         }
-        return new Picker.Steer(
+        return new LoadBalancer.Steer(
                 kept,
                 rule.affinity() == null ? 1.5 : rule.affinity().uneven(),
                 rule.busy(),
@@ -244,7 +244,7 @@
 
     /** Starts: watches the consumer and places the first attempt. */
     void begin() {
-        if (request.getConnectionMetaData().getConnection().getEndPoint() instanceof WatchedEndPoint w) {
+        if (request.getConnectionMetaData().getConnection().getEndPoint() instanceof ClientEndPoint w) {
             watched = w;
             action.onEnd(w::unwatch);
             w.watch(this::consumerGone);
@@ -265,7 +265,7 @@
             }
             return;
         }
-        Picker.Ask ask = new Picker.Ask(
+        LoadBalancer.Ask ask = new LoadBalancer.Ask(
                 service,
                 mapping.homes(),
                 affinity,
@@ -276,15 +276,15 @@
                 resuming ? weights : -1,
                 front.luck(),
                 steer(nowMs));
-        Picker.Choice c = front.picker().choose(ask, nowMs);
-        if (c instanceof Picker.NoneNow none) {
+        LoadBalancer.Choice c = front.picker().choose(ask, nowMs);
+        if (c instanceof LoadBalancer.NoneNow none) {
             comeBackMs = none.comeBackMs();
             await(nowMs);
             return;
         }
         waitUntilMs = -1;
         waitSinceMs = -1;
-        Picker.Chosen chosen = (Picker.Chosen) c;
+        LoadBalancer.Chosen chosen = (LoadBalancer.Chosen) c;
         Attempt a = action.attempt(nowMs, timeoutMs(ask));
         if (a == null) {
             front.picker().ended(chosen.id(), ask, Action.End.PARENT_ENDED, -1, nowMs);
@@ -294,17 +294,23 @@
         now = t;
         t.heardMs = nowMs;
         arm();
-        front.wires().take(chosen.id(), chosen.address(), chosen.maxWires(), policy.repeatable(), new Wires.Ready() {
-            @Override
-            public void up(Wires.Wire w) {
-                wireUp(t, w);
-            }
-
-            @Override
-            public void failed(boolean full) {
-                wireFailed(t, full);
-            }
-        });
+        front.wires()
+                .take(
+                        chosen.id(),
+                        chosen.address(),
+                        chosen.maxWires(),
+                        policy.repeatable(),
+                        new EngineConnectionPool.Ready() {
+                            @Override
+                            public void up(EngineConnectionPool.Wire w) {
+                                wireUp(t, w);
+                            }
+
+                            @Override
+                            public void failed(boolean full) {
+                                wireFailed(t, full);
+                            }
+                        });
     }
 
     /** Waits for room, but not longer than helps. */
@@ -332,7 +338,7 @@
         }
     }
 
-    private long timeoutMs(Picker.Ask ask) {
+    private long timeoutMs(LoadBalancer.Ask ask) {
         if (!mapping.repeatable() || action.attempts() + 1 >= policy.maxAttempts()) {
             return 0;
         }
@@ -351,7 +357,7 @@
         end(t, full ? Action.End.NOT_RUN : Action.End.NOT_SENT);
     }
 
-    private void wireUp(Try t, Wires.Wire w) {
+    private void wireUp(Try t, EngineConnectionPool.Wire w) {
         org.eclipse.jetty.client.Request r;
         synchronized (this) {
             long nowMs = front.nowMs();
@@ -556,7 +562,7 @@
 
     /** Whole events whose ids follow each other, up to the first that does not; null if there is none. */
     private byte[] pass(Try t, ByteBuffer b) {
-        List<Events.Event> events;
+        List<EventSplitter.Event> events;
         try {
             events = t.events.feed(b);
         } catch (IllegalStateException x) {
@@ -567,8 +573,8 @@
             return null;
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (Events.Event e : events) {
-            if (e.id() != Events.NO_ID) {
+        for (EventSplitter.Event e : events) {
+            if (e.id() != EventSplitter.NO_ID) {
                 if (e.id() < 0 || lastId >= 0 && e.id() != lastId + 1) {
                     LOG.atWarning().log("event %s after %s from %s", e.id(), lastId, t.chosen.id());
                     t.outOfOrder = true;
@@ -624,7 +630,7 @@
             long nowMs = front.nowMs();
             if (result.isFailed()) {
                 if (t.head == null && t.wire != null && t.wire.idledMs >= 0 && nowMs - t.sentMs < STALE_MS) {
-                    t.firstMs = Picker.STALE_MS;
+                    t.firstMs = LoadBalancer.STALE_MS;
                     front.wires().forgotten(t.wire);
                 }
                 end(t, Action.End.BROKEN);
@@ -678,7 +684,7 @@
     }
 
     private void giveBack(Try t) {
-        Wires.Wire w = t.wire;
+        EngineConnectionPool.Wire w = t.wire;
         t.wire = null;
         HttpFields h = t.head.getHeaders();
         if (h.contains(HttpHeader.CONNECTION, "close")) {
@@ -712,7 +718,7 @@
         }
         front.picker().ended(t.chosen.id(), t.ask, real == null ? end : real, t.firstMs, nowMs);
         if (t.wire != null) {
-            Wires.Wire w = t.wire;
+            EngineConnectionPool.Wire w = t.wire;
             t.wire = null;
             front.wires().drop(w);
         }
--- a/src/main/java/ringspindle/edge/Edge.java
+++ b/src/main/java/ringspindle/proxy/Proxy.java
@@ -1,12 +1,12 @@
-package ringspindle.edge;
+package ringspindle.proxy;
 
 import java.util.Map;
-import ringspindle.conf.FleetConfig;
-import ringspindle.rule.ServingRules;
-import ringspindle.wire.Msg.LedgerReport;
+import ringspindle.config.FleetConfig;
+import ringspindle.protocol.Message.LedgerReport;
+import ringspindle.routing.ServingRules;
 
 /** The clients' side of a data node, as the owner of what the node knows sees it. */
-public interface Edge {
+public interface Proxy {
     /** The newest configuration in force here; older ones are ignored. */
     void config(FleetConfig c);
 
