--- a/src/main/java/ringspindle/edge/Front.java
+++ b/src/main/java/ringspindle/proxy/ProxyHandler.java
@@ -1,4 +1,4 @@
-package ringspindle.edge;
+package ringspindle.proxy;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -27,20 +27,20 @@
 import org.eclipse.jetty.util.BufferUtil;
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
-import ringspindle.act.Action;
 import ringspindle.api.Outcome;
-import ringspindle.conf.FleetConfig;
-import ringspindle.conf.NodeConfig;
-import ringspindle.pick.Picker;
-import ringspindle.rule.Ledger;
-import ringspindle.rule.ServingRules;
-import ringspindle.wire.LifeCycleQuietly;
-import ringspindle.wire.Msg.LedgerReport;
-import ringspindle.wire.NodeId;
-import ringspindle.wire.Steady;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.NodeConfig;
+import ringspindle.loadbalancing.LoadBalancer;
+import ringspindle.protocol.Message.LedgerReport;
+import ringspindle.protocol.NodeId;
+import ringspindle.retry.Action;
+import ringspindle.routing.RequestLedger;
+import ringspindle.routing.ServingRules;
+import ringspindle.time.MonotonicClock;
+import ringspindle.transport.LifeCycles;
 
 /** The consumers' side of a data node: mappings, flows, readiness. */
-public final class Front extends Handler.Abstract implements Action.Ear, Edge {
+public final class ProxyHandler extends Handler.Abstract implements Action.Listener, Proxy {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     /** The longest request line with header fields that a client may send. */
     static final int REQUEST_HEADERS_MAX = 32768;
@@ -50,17 +50,17 @@
     private static final int NOT_READY_MS = 1000;
 
     private final NodeConfig node;
-    private final Picker picker;
-    private final Wires wires;
-    private final Steady clock;
+    private final LoadBalancer picker;
+    private final EngineConnectionPool wires;
+    private final MonotonicClock clock;
     private final org.eclipse.jetty.util.thread.Scheduler beats;
     private final QueuedThreadPool pool;
-    private final Inbox inbox = new Inbox();
+    private final WaitQueue inbox = new WaitQueue();
     private final AtomicBoolean inboxBeat = new AtomicBoolean();
     private final AtomicLong ids = new AtomicLong();
     private final LongAdder active = new LongAdder();
     private final Map<String, LongAdder> ends = new ConcurrentHashMap<>();
-    private final Ledger ledger = new Ledger();
+    private final RequestLedger ledger = new RequestLedger();
     private volatile ServingRules rules;
     private volatile FleetConfig config;
     private volatile boolean confirmed;
@@ -68,20 +68,20 @@
     private Server server;
     private ServerConnector consumers;
 
-    /** {@code new Front(node, picker, pool, beats, clock).open()} serves. */
-    public Front(
+    /** {@code new ProxyHandler(node, picker, pool, beats, clock).open()} serves. */
+    public ProxyHandler(
             NodeConfig node,
-            Picker picker,
+            LoadBalancer picker,
             QueuedThreadPool pool,
             org.eclipse.jetty.util.thread.Scheduler beats,
-            Steady clock)
+            MonotonicClock clock)
             throws Exception {
         this.node = node;
         this.picker = picker;
         this.pool = pool;
         this.beats = beats;
         this.clock = clock;
-        wires = new Wires(pool, beats, clock);
+        wires = new EngineConnectionPool(pool, beats, clock);
     }
 
     /** Listens; {@code front.open()} once. */
@@ -95,7 +95,7 @@
         http.setUseInputDirectByteBuffers(false);
         http.setUseOutputDirectByteBuffers(false);
         http.setOutputBufferSize(16384);
-        consumers = new WatchedEndPoint.Connector(server, pool, beats, new HttpConnectionFactory(http));
+        consumers = new ClientEndPoint.Connector(server, pool, beats, new HttpConnectionFactory(http));
         NodeId at = node.frontend().orElseThrow();
         consumers.setHost(at.ip());
         consumers.setPort(at.port());
@@ -170,7 +170,7 @@
 
     /** Ends all. */
     public void close() {
-        LifeCycleQuietly.stop(server);
+        LifeCycles.stopQuietly(server);
         wires.close();
     }
 
@@ -183,7 +183,7 @@
     /** Asks suspect engines for their status; {@code front.probe()} on every beat. */
     @Override
     public void probe() {
-        for (Picker.Probe p : picker.probes(clock.nowMs())) {
+        for (LoadBalancer.Probe p : picker.probes(clock.nowMs())) {
             wires.client()
                     .newRequest(p.address().ip(), p.address().port())
                     .path(p.healthPath())
@@ -205,7 +205,7 @@
 
     // ---- for flows
 
-    Picker picker() {
+    LoadBalancer picker() {
         return picker;
     }
 
@@ -214,11 +214,11 @@
         return rules;
     }
 
-    Ledger ledger() {
+    RequestLedger ledger() {
         return ledger;
     }
 
-    Wires wires() {
+    EngineConnectionPool wires() {
         return wires;
     }
 
@@ -242,7 +242,7 @@
         return beats.schedule(() -> pool.execute(r), inMs, TimeUnit.MILLISECONDS);
     }
 
-    Inbox inbox() {
+    WaitQueue inbox() {
         if (inboxBeat.compareAndSet(false, true)) {
             schedule(this::emptyInbox, INBOX_MS);
         }
@@ -251,7 +251,7 @@
 
     private void emptyInbox() {
         inboxBeat.set(false);
-        inbox.drain().forEach(Flow::again);
+        inbox.drain().forEach(ProxiedRequest::again);
     }
 
     @Override
@@ -311,7 +311,7 @@
             say(response, callback, Outcome.NOT_READY, NOT_READY_MS);
             return true;
         }
-        FleetConfig.Mapping m = c.find(request.getHeaders().get(HttpHeader.HOST), path);
+        FleetConfig.Route m = c.find(request.getHeaders().get(HttpHeader.HOST), path);
         if (m == null) {
             say(response, callback, Outcome.NO_MAPPING, 0);
             return true;
@@ -344,7 +344,8 @@
                             String service = target(m, id);
                             picker.asked(service, nowMs);
                             active.increment();
-                            new Flow(this, request, response, callback, m, service, id, body, sinceMs, heldMs).begin();
+                            new ProxiedRequest(this, request, response, callback, m, service, id, body, sinceMs, heldMs)
+                                    .begin();
                         },
                         x -> callback.failed(x))
                 .run();
@@ -352,7 +353,7 @@
     }
 
     /** Splits by weight; one try always goes the same way. */
-    private static String target(FleetConfig.Mapping m, String id) {
+    private static String target(FleetConfig.Route m, String id) {
         if (m.targets().size() == 1) {
             return m.targets().get(0).service();
         }
--- a/src/main/java/ringspindle/chain/Acceptor.java
+++ b/src/main/java/ringspindle/replication/Acceptor.java
@@ -1,18 +1,18 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.List;
 import java.util.function.Supplier;
-import ringspindle.wire.Msg.Accept;
-import ringspindle.wire.Msg.Accepted;
-import ringspindle.wire.Msg.Decided;
-import ringspindle.wire.Msg.Pledge;
-import ringspindle.wire.Msg.Position;
-import ringspindle.wire.Msg.Prepare;
-import ringspindle.wire.Msg.Relearn;
-import ringspindle.wire.Msg.Relearned;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.Msg.Vote;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.Accept;
+import ringspindle.protocol.Message.Accepted;
+import ringspindle.protocol.Message.Decided;
+import ringspindle.protocol.Message.Pledge;
+import ringspindle.protocol.Message.Position;
+import ringspindle.protocol.Message.Prepare;
+import ringspindle.protocol.Message.Relearn;
+import ringspindle.protocol.Message.Relearned;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.Message.Vote;
+import ringspindle.protocol.NodeId;
 
 /**
  * The voter's side of the agreement on the next view. A promise for epoch e + 1 also fences epoch e: from then on this node
--- a/src/main/java/ringspindle/chain/ChainMachine.java
+++ b/src/main/java/ringspindle/replication/ChainReplicatedState.java
@@ -1,34 +1,34 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.List;
 import java.util.Random;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Accept;
-import ringspindle.wire.Msg.Accepted;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.Confirm;
-import ringspindle.wire.Msg.Confirmed;
-import ringspindle.wire.Msg.Decided;
-import ringspindle.wire.Msg.Entry;
-import ringspindle.wire.Msg.Install;
-import ringspindle.wire.Msg.Pledge;
-import ringspindle.wire.Msg.Position;
-import ringspindle.wire.Msg.Prepare;
-import ringspindle.wire.Msg.Relearn;
-import ringspindle.wire.Msg.Relearned;
-import ringspindle.wire.Msg.Reply;
-import ringspindle.wire.Msg.State;
-import ringspindle.wire.Msg.Synced;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.Msg.Vote;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Accept;
+import ringspindle.protocol.Message.Accepted;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.Confirm;
+import ringspindle.protocol.Message.Confirmed;
+import ringspindle.protocol.Message.Decided;
+import ringspindle.protocol.Message.Entry;
+import ringspindle.protocol.Message.Install;
+import ringspindle.protocol.Message.Pledge;
+import ringspindle.protocol.Message.Position;
+import ringspindle.protocol.Message.Prepare;
+import ringspindle.protocol.Message.Relearn;
+import ringspindle.protocol.Message.Relearned;
+import ringspindle.protocol.Message.Reply;
+import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.Synced;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.Message.Vote;
+import ringspindle.protocol.NodeId;
 
 /**
  * Chain replication under views. A view is decided by single-decree agreement of a majority of the previous view's voters; a
  * voter that promised the next epoch refuses the entries of the old one. The head of a new view is the promiser with the
  * newest state, so that nothing acknowledged is lost. This class hands each input to the part whose job it is.
  */
-final class ChainMachine implements Chain {
+final class ChainReplicatedState implements ReplicatedState {
     private static final byte[] NONE = {};
     /** A node that has promised another view may answer for the old one no longer than this. */
     private static final long FENCED_MS = 1500;
@@ -42,8 +42,8 @@
     private final ViewMonitor monitor;
     private boolean announced;
 
-    ChainMachine(
-            NodeId self, List<NodeId> seeds, boolean bootstrap, List<Msg> found, long randomSeed, int leastVoters) {
+    ChainReplicatedState(
+            NodeId self, List<NodeId> seeds, boolean bootstrap, List<Message> found, long randomSeed, int leastVoters) {
         replica = new Replica(self, seeds, new Random(randomSeed));
         Membership membership = new Membership(self, Math.min(Membership.VOTERS_MAX, leastVoters));
         monitor = new ViewMonitor(replica, membership, bootstrap);
@@ -67,7 +67,7 @@
         return replication.position();
     }
 
-    private void load(Msg record) {
+    private void load(Message record) {
         if (record instanceof Vote vote) {
             replica.view(vote.view());
             acceptor.restore(vote.promisedEpoch(), vote.promised(), vote.acceptedBallot(), vote.accepted());
@@ -120,7 +120,7 @@
     }
 
     @Override
-    public List<Msg> durable() {
+    public List<Message> durable() {
         return List.of(acceptor.vote(), replication.last());
     }
 
@@ -134,7 +134,7 @@
     // ---- inputs
 
     @Override
-    public List<Out> on(NodeId from, Msg message, long nowMs) {
+    public List<Out> on(NodeId from, Message message, long nowMs) {
         replica.at(nowMs);
         announce();
         take(from, message);
@@ -199,7 +199,7 @@
     }
 
     private List<Out> finish() {
-        for (Msg message = replica.pollSelf(); message != null; message = replica.pollSelf()) {
+        for (Message message = replica.pollSelf(); message != null; message = replica.pollSelf()) {
             take(replica.self, message);
         }
         return replica.takeOutputs();
@@ -215,7 +215,7 @@
         replication.writeFirst();
     }
 
-    private void take(NodeId from, Msg message) {
+    private void take(NodeId from, Message message) {
         if (message instanceof Prepare prepare) {
             learn(prepare.view());
             acceptor.onPrepare(from, prepare);
--- a/src/main/java/ringspindle/chain/Content.java
+++ b/src/main/java/ringspindle/replication/Content.java
@@ -1,32 +1,32 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static ringspindle.chain.Chain.DRAIN;
-import static ringspindle.chain.Chain.EVACUATE;
-import static ringspindle.chain.Chain.GONE;
-import static ringspindle.chain.Chain.MARK_EVACUATED;
-import static ringspindle.chain.Chain.MARK_LEAVING;
-import static ringspindle.chain.Chain.MARK_ROLLOUT;
-import static ringspindle.chain.Chain.MARK_RULES;
-import static ringspindle.chain.Chain.PATCH;
-import static ringspindle.chain.Chain.PUT;
-import static ringspindle.chain.Chain.RESTORE;
-import static ringspindle.chain.Chain.ROLLOUT;
-import static ringspindle.chain.Chain.RULES;
+import static ringspindle.replication.ReplicatedState.DRAIN;
+import static ringspindle.replication.ReplicatedState.EVACUATE;
+import static ringspindle.replication.ReplicatedState.GONE;
+import static ringspindle.replication.ReplicatedState.MARK_EVACUATED;
+import static ringspindle.replication.ReplicatedState.MARK_LEAVING;
+import static ringspindle.replication.ReplicatedState.MARK_ROLLOUT;
+import static ringspindle.replication.ReplicatedState.MARK_RULES;
+import static ringspindle.replication.ReplicatedState.PATCH;
+import static ringspindle.replication.ReplicatedState.PUT;
+import static ringspindle.replication.ReplicatedState.RESTORE;
+import static ringspindle.replication.ReplicatedState.ROLLOUT;
+import static ringspindle.replication.ReplicatedState.RULES;
 
 import com.google.common.hash.Hashing;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import ringspindle.api.Outcome;
-import ringspindle.conf.Checked;
-import ringspindle.conf.FleetConfig;
-import ringspindle.conf.Problem;
-import ringspindle.rule.ServingRules;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.Mark;
-import ringspindle.wire.Msg.Op;
-import ringspindle.wire.Msg.State;
+import ringspindle.config.ConfigError;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.Validated;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.Mark;
+import ringspindle.protocol.Message.Op;
+import ringspindle.protocol.Message.State;
+import ringspindle.routing.ServingRules;
 
 /** What the control state holds and how calls change it. Pure. */
 final class Content {
@@ -90,28 +90,28 @@
         if (takenBefore(s, digest)) {
             return outcome(Outcome.TAKEN);
         }
-        Checked<FleetConfig> checked;
+        Validated<FleetConfig> checked;
         if (c.kind() == PUT) {
             checked = FleetConfig.read(c.body());
         } else {
-            Checked<jakarta.json.JsonObject> patch = FleetConfig.json(c.body());
-            if (patch instanceof Checked.Refused<jakarta.json.JsonObject> bad) {
+            Validated<jakarta.json.JsonObject> patch = FleetConfig.json(c.body());
+            if (patch instanceof Validated.Invalid<jakarta.json.JsonObject> bad) {
                 return invalid(bad.problems());
             }
             if (s.config().length == 0 || c.base() != s.revision()) {
                 return otherVersion(s, c);
             }
-            checked = current(s).patched(((Checked.Good<jakarta.json.JsonObject>) patch).value());
+            checked = current(s).patched(((Validated.Valid<jakarta.json.JsonObject>) patch).value());
         }
-        if (checked instanceof Checked.Refused<FleetConfig> bad) {
+        if (checked instanceof Validated.Invalid<FleetConfig> bad) {
             return invalid(bad.problems());
         }
-        FleetConfig next = ((Checked.Good<FleetConfig>) checked).value();
+        FleetConfig next = ((Validated.Valid<FleetConfig>) checked).value();
         if (c.base() != s.revision()) {
             return otherVersion(s, c);
         }
         if (next.revision() <= s.revision()) {
-            return invalid(List.of(new Problem.OldRevision(next.revision(), s.revision())));
+            return invalid(List.of(new ConfigError.OldRevision(next.revision(), s.revision())));
         }
         return op(c, next.revision(), digest, next.packed());
     }
@@ -165,15 +165,15 @@
 
     /** Serving rules on top of the revision they were made for; checked against the configuration in force. */
     private Decision decideRules(State s, Call c) {
-        Checked<ServingRules> checked = ServingRules.read(c.body());
-        if (checked instanceof Checked.Refused<ServingRules> bad) {
+        Validated<ServingRules> checked = ServingRules.read(c.body());
+        if (checked instanceof Validated.Invalid<ServingRules> bad) {
             return invalid(bad.problems());
         }
-        ServingRules next = ((Checked.Good<ServingRules>) checked).value();
+        ServingRules next = ((Validated.Valid<ServingRules>) checked).value();
         Mark m = mark(s, MARK_RULES, "");
         ServingRules now = m == null
                 ? null
-                : ((Checked.Good<ServingRules>) ServingRules.read(m.value().getBytes(UTF_8))).value();
+                : ((Validated.Valid<ServingRules>) ServingRules.read(m.value().getBytes(UTF_8))).value();
         long revision = now == null ? 0 : now.revision();
         if (now != null && now.digest() == next.digest() || takenBefore(s, digest(c))) {
             return outcome(Outcome.TAKEN);
@@ -182,20 +182,20 @@
             return outcome(Outcome.OTHER_VERSION);
         }
         if (next.revision() <= revision) {
-            return invalid(List.of(new Problem.OldRevision(next.revision(), revision)));
+            return invalid(List.of(new ConfigError.OldRevision(next.revision(), revision)));
         }
-        List<Problem> problems = next.problems(s.config().length == 0 ? null : current(s), Set.of());
+        List<ConfigError> problems = next.problems(s.config().length == 0 ? null : current(s), Set.of());
         return problems.isEmpty() ? op(c, next.revision(), digest(c), next.bytes()) : invalid(problems);
     }
 
     private FleetConfig current(State s) {
         if (parsed == null || parsed.revision() != s.revision()) {
-            parsed = ((Checked.Good<FleetConfig>) FleetConfig.read(FleetConfig.unpack(s.config()))).value();
+            parsed = ((Validated.Valid<FleetConfig>) FleetConfig.read(FleetConfig.unpack(s.config()))).value();
         }
         return parsed;
     }
 
-    private static Decision invalid(List<Problem> problems) {
+    private static Decision invalid(List<ConfigError> problems) {
         StringBuilder b = new StringBuilder();
         problems.forEach(p -> b.append(b.length() == 0 ? "" : "; ").append(p.text()));
         return new Decision(null, Outcome.INVALID, b.toString().getBytes(UTF_8));
--- a/src/main/java/ringspindle/chain/Membership.java
+++ b/src/main/java/ringspindle/replication/Membership.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
 
 /**
  * Chooses the voters of the next view. Nodes that join take a seat; a voter that leaves or stays silent loses its seat, one
@@ -38,7 +38,7 @@
     }
 
     /** Notes which voters nobody in touch hears of. */
-    void observe(View view, Chain.Reach reach, long nowMs) {
+    void observe(View view, ReplicatedState.Reach reach, long nowMs) {
         silentSinceMs.keySet().retainAll(view.voters());
         for (NodeId voter : view.voters()) {
             if (heardOf(voter, view, reach)) {
@@ -54,7 +54,7 @@
         silentSinceMs.clear();
     }
 
-    private boolean heardOf(NodeId voter, View view, Chain.Reach reach) {
+    private boolean heardOf(NodeId voter, View view, ReplicatedState.Reach reach) {
         if (voter.equals(self) || reach.linked(self, voter)) {
             return true;
         }
@@ -67,7 +67,7 @@
     }
 
     /** True while another set of voters would be better than the one in force. */
-    boolean changeDue(View view, Chain.Reach reach, long nowMs) {
+    boolean changeDue(View view, ReplicatedState.Reach reach, long nowMs) {
         return !nextVoters(view, Set.of(), null, reach, nowMs).equals(view.voters());
     }
 
@@ -77,7 +77,8 @@
      * @param promised voters that have just promised, and so are not silent
      * @param keep a voter that must stay since nobody else holds as much, null if there is none
      */
-    List<NodeId> nextVoters(View view, Collection<NodeId> promised, NodeId keep, Chain.Reach reach, long nowMs) {
+    List<NodeId> nextVoters(
+            View view, Collection<NodeId> promised, NodeId keep, ReplicatedState.Reach reach, long nowMs) {
         List<NodeId> joiners = joiners(view, reach);
         List<NodeId> voters = new ArrayList<>(view.voters());
         NodeId gone = departed(view, promised, keep, reach, nowMs);
@@ -93,7 +94,8 @@
     }
 
     /** The voter whose seat is given up next: one that leaves, else the one silent for longest; null if there is none. */
-    private NodeId departed(View view, Collection<NodeId> promised, NodeId keep, Chain.Reach reach, long nowMs) {
+    private NodeId departed(
+            View view, Collection<NodeId> promised, NodeId keep, ReplicatedState.Reach reach, long nowMs) {
         for (NodeId voter : view.voters()) {
             if (!voter.equals(keep) && reach.leaving(voter)) {
                 return voter;
@@ -107,7 +109,7 @@
     }
 
     /** Nodes that may vote: in touch, not leaving, with memory of what was promised, and heard by most voters. */
-    private List<NodeId> joiners(View view, Chain.Reach reach) {
+    private List<NodeId> joiners(View view, ReplicatedState.Reach reach) {
         List<NodeId> joiners = new ArrayList<>();
         for (NodeId node : reach.live()) {
             if (!view.voters().contains(node)
@@ -120,7 +122,7 @@
         return joiners;
     }
 
-    private static int votersInTouch(NodeId node, View view, Chain.Reach reach) {
+    private static int votersInTouch(NodeId node, View view, ReplicatedState.Reach reach) {
         int inTouch = 0;
         for (NodeId voter : view.voters()) {
             inTouch += reach.linked(node, voter) ? 1 : 0;
--- a/src/main/java/ringspindle/chain/Orders.java
+++ b/src/main/java/ringspindle/replication/Orders.java
@@ -1,16 +1,16 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static ringspindle.chain.Chain.EVACUATE;
-import static ringspindle.chain.Chain.MARK_EVACUATED;
-import static ringspindle.chain.Chain.MARK_ROLLOUT;
-import static ringspindle.chain.Chain.MARK_RULES;
-import static ringspindle.chain.Chain.PATCH;
-import static ringspindle.chain.Chain.PUT;
-import static ringspindle.chain.Chain.READ;
-import static ringspindle.chain.Chain.READ_RULES;
-import static ringspindle.chain.Chain.RESTORE;
-import static ringspindle.chain.Chain.ROLLOUT;
+import static ringspindle.replication.ReplicatedState.EVACUATE;
+import static ringspindle.replication.ReplicatedState.MARK_EVACUATED;
+import static ringspindle.replication.ReplicatedState.MARK_ROLLOUT;
+import static ringspindle.replication.ReplicatedState.MARK_RULES;
+import static ringspindle.replication.ReplicatedState.PATCH;
+import static ringspindle.replication.ReplicatedState.PUT;
+import static ringspindle.replication.ReplicatedState.READ;
+import static ringspindle.replication.ReplicatedState.READ_RULES;
+import static ringspindle.replication.ReplicatedState.RESTORE;
+import static ringspindle.replication.ReplicatedState.ROLLOUT;
 
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.longs.Long2ObjectMap;
@@ -22,12 +22,12 @@
 import java.util.TreeSet;
 import java.util.function.BooleanSupplier;
 import ringspindle.api.Outcome;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.Confirm;
-import ringspindle.wire.Msg.Confirmed;
-import ringspindle.wire.Msg.Mark;
-import ringspindle.wire.Msg.Reply;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.Confirm;
+import ringspindle.protocol.Message.Confirmed;
+import ringspindle.protocol.Message.Mark;
+import ringspindle.protocol.Message.Reply;
+import ringspindle.protocol.NodeId;
 
 /**
  * Orders and readings on their way: held by the node that took them from a caller, passed to the head or tail of the view,
@@ -203,7 +203,7 @@
             calls.values().removeIf(call -> {
                 boolean overdue = overdue(call);
                 if (overdue && call.origin.equals(replica.self)) {
-                    replica.emit(new Chain.Out.Answer(call.call.id(), Outcome.UNCLEAR, NONE));
+                    replica.emit(new ReplicatedState.Out.Answer(call.call.id(), Outcome.UNCLEAR, NONE));
                 }
                 return overdue;
             });
@@ -297,7 +297,7 @@
 
     private void reply(NodeId origin, long call, Outcome outcome, byte[] body) {
         if (origin.equals(replica.self)) {
-            replica.emit(new Chain.Out.Answer(call, outcome, body));
+            replica.emit(new ReplicatedState.Out.Answer(call, outcome, body));
         } else {
             replica.send(origin, new Reply(call, outcome.ordinal(), body));
         }
@@ -308,7 +308,7 @@
         Map<Long, Held> calls = held.get(replica.self);
         boolean known = reply.outcome() >= 0 && reply.outcome() < Outcome.values().length;
         if (known && calls != null && calls.remove(reply.id()) != null) {
-            replica.emit(new Chain.Out.Answer(reply.id(), Outcome.values()[reply.outcome()], reply.body()));
+            replica.emit(new ReplicatedState.Out.Answer(reply.id(), Outcome.values()[reply.outcome()], reply.body()));
         }
     }
 
--- a/src/main/java/ringspindle/chain/Proposer.java
+++ b/src/main/java/ringspindle/replication/Proposer.java
@@ -1,17 +1,17 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import ringspindle.wire.Msg.Accept;
-import ringspindle.wire.Msg.Accepted;
-import ringspindle.wire.Msg.Decided;
-import ringspindle.wire.Msg.Pledge;
-import ringspindle.wire.Msg.Prepare;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.Accept;
+import ringspindle.protocol.Message.Accepted;
+import ringspindle.protocol.Message.Decided;
+import ringspindle.protocol.Message.Pledge;
+import ringspindle.protocol.Message.Prepare;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
 
 /** The proposing side of the agreement on the next view: single-decree agreement among the voters of the view in force. */
 final class Proposer {
--- a/src/main/java/ringspindle/chain/Relearning.java
+++ b/src/main/java/ringspindle/replication/Relearning.java
@@ -1,13 +1,13 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import ringspindle.wire.Msg.Relearn;
-import ringspindle.wire.Msg.Relearned;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.Relearn;
+import ringspindle.protocol.Message.Relearned;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
 
 /**
  * How a node without memory, new or with a lost disk, becomes fit to vote. It may have promised something before it lost its
--- a/src/main/java/ringspindle/chain/Replica.java
+++ b/src/main/java/ringspindle/replication/Replica.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import it.unimi.dsi.fastutil.longs.Long2ObjectMap;
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
 
 /**
  * What the parts of one replica share: who it is, the view in force, the time and the links of the input at hand, and what
@@ -22,11 +22,11 @@
     final List<NodeId> seeds;
     final Random random;
     private final Long2ObjectMap<Runnable> afterStore = new Long2ObjectOpenHashMap<>();
-    private final ArrayDeque<Msg> toSelf = new ArrayDeque<>();
-    private List<Chain.Out> outputs = new ArrayList<>();
+    private final ArrayDeque<Message> toSelf = new ArrayDeque<>();
+    private List<ReplicatedState.Out> outputs = new ArrayList<>();
     private View view;
     private boolean blank;
-    private Chain.Reach reach;
+    private ReplicatedState.Reach reach;
     private long nowMs;
     private long lastTickMs = -1;
     private long pausedMs = Long.MIN_VALUE / 2;
@@ -49,7 +49,7 @@
     }
 
     /** A tick; true if this node was paused before it, so that it cannot tell how long the others were silent. */
-    boolean tick(long nowMs, Chain.Reach reach) {
+    boolean tick(long nowMs, ReplicatedState.Reach reach) {
         at(nowMs);
         this.reach = reach;
         boolean paused = lastTickMs >= 0 && nowMs - lastTickMs > PAUSE_MS;
@@ -67,7 +67,7 @@
     // ---- links, as of the last tick
 
     /** Links as of the last tick, null before the first. */
-    Chain.Reach reach() {
+    ReplicatedState.Reach reach() {
         return reach;
     }
 
@@ -131,19 +131,19 @@
 
     // ---- outputs
 
-    void send(NodeId to, Msg message) {
+    void send(NodeId to, Message message) {
         if (to.equals(self)) {
             toSelf.add(message);
         } else {
-            outputs.add(new Chain.Out.Send(to, message));
+            outputs.add(new ReplicatedState.Out.Send(to, message));
         }
     }
 
     /** Writes and syncs the records, then goes on with {@code then}; a snapshot replaces all that was written before it. */
-    void store(List<Msg> records, boolean snapshot, Runnable then) {
+    void store(List<Message> records, boolean snapshot, Runnable then) {
         long token = nextToken++;
         afterStore.put(token, then);
-        outputs.add(new Chain.Out.Store(token, records, snapshot));
+        outputs.add(new ReplicatedState.Out.Store(token, records, snapshot));
     }
 
     void stored(long token) {
@@ -153,7 +153,7 @@
         }
     }
 
-    void emit(Chain.Out output) {
+    void emit(ReplicatedState.Out output) {
         outputs.add(output);
     }
 
@@ -162,12 +162,12 @@
     }
 
     /** The next message of this node to itself, null if there is none. */
-    Msg pollSelf() {
+    Message pollSelf() {
         return toSelf.poll();
     }
 
-    List<Chain.Out> takeOutputs() {
-        List<Chain.Out> taken = outputs;
+    List<ReplicatedState.Out> takeOutputs() {
+        List<ReplicatedState.Out> taken = outputs;
         outputs = new ArrayList<>();
         return taken;
     }
--- a/src/main/java/ringspindle/chain/Chain.java
+++ b/src/main/java/ringspindle/replication/ReplicatedState.java
@@ -1,24 +1,24 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.Collection;
 import java.util.List;
 import ringspindle.api.Outcome;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.State;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
 
 /** The replicated control state of one node: a state machine without clock, socket, disk or chance. */
-public interface Chain {
+public interface ReplicatedState {
 
     /** What the owner is to do. */
     sealed interface Out {
         /** Send the message to the node. */
-        record Send(NodeId to, Msg m) implements Out {}
+        record Send(NodeId to, Message m) implements Out {}
 
-        /** Write and sync in order, then call {@link Chain#stored}. */
-        record Store(long token, List<Msg> records, boolean image) implements Out {}
+        /** Write and sync in order, then call {@link ReplicatedState#stored}. */
+        record Store(long token, List<Message> records, boolean image) implements Out {}
 
         /** The answer to a call that came in at this node. */
         record Answer(long call, Outcome outcome, byte[] body) implements Out {}
@@ -76,7 +76,7 @@
     String READ_RULES = "rules";
 
     /** A message came. */
-    List<Out> on(NodeId from, Msg m, long nowMs);
+    List<Out> on(NodeId from, Message m, long nowMs);
 
     /** A new wire to that node stands; what was sent on an older one may be lost. */
     List<Out> opened(NodeId peer, long nowMs);
@@ -106,14 +106,15 @@
     boolean blank();
 
     /** All that must not be forgotten, for an image of the disk. */
-    List<Msg> durable();
+    List<Message> durable();
 
     /**
-     * {@code Chain.create(me, seeds, true, disk.load(), 7, 5)}: the first start of a system that must bear the loss of
+     * {@code ReplicatedState.create(me, seeds, true, disk.load(), 7, 5)}: the first start of a system that must bear the loss of
      * two disks at once, so that five have to vote before anything is acknowledged; with records on disk,
      * {@code bootstrap} does not count.
      */
-    static Chain create(NodeId me, List<NodeId> seeds, boolean bootstrap, List<Msg> found, long luck, int leastVoters) {
-        return new ChainMachine(me, seeds, bootstrap, found, luck, leastVoters);
+    static ReplicatedState create(
+            NodeId me, List<NodeId> seeds, boolean bootstrap, List<Message> found, long luck, int leastVoters) {
+        return new ChainReplicatedState(me, seeds, bootstrap, found, luck, leastVoters);
     }
 }
--- a/src/main/java/ringspindle/chain/Replication.java
+++ b/src/main/java/ringspindle/replication/Replication.java
@@ -1,15 +1,15 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.ArrayDeque;
 import java.util.List;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg.Entry;
-import ringspindle.wire.Msg.Install;
-import ringspindle.wire.Msg.Op;
-import ringspindle.wire.Msg.Position;
-import ringspindle.wire.Msg.State;
-import ringspindle.wire.Msg.Synced;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message.Entry;
+import ringspindle.protocol.Message.Install;
+import ringspindle.protocol.Message.Op;
+import ringspindle.protocol.Message.Position;
+import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.Synced;
+import ringspindle.protocol.NodeId;
 
 /**
  * One member's copy of the control state: a snapshot and entries come from the predecessor, are synced here, and only then go
@@ -325,7 +325,7 @@
         if (newest != null && newer(newest)) {
             uncommittedSinceMs = replica.nowMs();
             committed = inThisView(newest);
-            replica.emit(new Chain.Out.Committed(committed));
+            replica.emit(new ReplicatedState.Out.Committed(committed));
         }
         if (replica.predecessor() != null) {
             replica.send(replica.predecessor(), new Synced(replica.epoch(), seq));
--- a/src/main/java/ringspindle/chain/Rollout.java
+++ b/src/main/java/ringspindle/replication/Rollout.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import jakarta.json.JsonArrayBuilder;
 import jakarta.json.JsonObject;
--- a/src/main/java/ringspindle/chain/Rollouts.java
+++ b/src/main/java/ringspindle/replication/Rollouts.java
@@ -1,7 +1,7 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static ringspindle.chain.Chain.MARK_ROLLOUT;
+import static ringspindle.replication.ReplicatedState.MARK_ROLLOUT;
 
 import jakarta.json.JsonNumber;
 import jakarta.json.JsonObject;
@@ -9,12 +9,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import ringspindle.api.Outcome;
-import ringspindle.conf.Checked;
-import ringspindle.conf.FleetConfig;
-import ringspindle.conf.Problem;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.Mark;
-import ringspindle.wire.Msg.State;
+import ringspindle.config.ConfigError;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.Validated;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.Mark;
+import ringspindle.protocol.Message.State;
 
 /** Orders on roll-outs and what they make of the control state. Pure. */
 final class Rollouts {
@@ -23,8 +23,8 @@
     private Rollouts() {}
 
     static Content.Decision decide(State s, Call c) {
-        Checked<JsonObject> body = FleetConfig.json(c.body());
-        if (!(body instanceof Checked.Good<JsonObject> good)) {
+        Validated<JsonObject> body = FleetConfig.json(c.body());
+        if (!(body instanceof Validated.Valid<JsonObject> good)) {
             return refused("not a whole JSON object");
         }
         JsonObject o = good.value();
@@ -64,7 +64,7 @@
                     return same ? Content.outcome(Outcome.TAKEN) : Content.outcome(Outcome.CLASH);
                 }
                 if (!hasService(s, c.arg())) {
-                    return refused(new Problem.UnknownService("of the roll-out", c.arg()).text());
+                    return refused(new ConfigError.UnknownService("of the roll-out", c.arg()).text());
                 }
                 long from = o.get("from") instanceof JsonNumber n ? n.longValue() : -1;
                 return write(
@@ -166,7 +166,7 @@
 
     private static boolean hasService(State s, String name) {
         return s.config().length > 0
-                && FleetConfig.read(FleetConfig.unpack(s.config())) instanceof Checked.Good<FleetConfig> c
+                && FleetConfig.read(FleetConfig.unpack(s.config())) instanceof Validated.Valid<FleetConfig> c
                 && c.value().service(name) != null;
     }
 
--- a/src/main/java/ringspindle/chain/ViewMonitor.java
+++ b/src/main/java/ringspindle/replication/ViewMonitor.java
@@ -1,9 +1,9 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.ArrayList;
 import java.util.List;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
 
 /** Judges whether the view in force still serves, and when this node is to propose another one. */
 final class ViewMonitor {
--- a/src/main/java/ringspindle/chain/ViewPlanner.java
+++ b/src/main/java/ringspindle/replication/ViewPlanner.java
@@ -1,14 +1,14 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
-import ringspindle.wire.Msg.Pledge;
-import ringspindle.wire.Msg.Position;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.Pledge;
+import ringspindle.protocol.Message.Position;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
 
 /**
  * Makes the next view out of what a majority of voters promised: its head is a promiser with the newest copy, its chain a path
--- a/src/main/java/ringspindle/act/Action.java
+++ b/src/main/java/ringspindle/retry/Action.java
@@ -1,4 +1,4 @@
-package ringspindle.act;
+package ringspindle.retry;
 
 /**
  * One consumer's request as the design sees it: the parent scope. It is active until exactly one of completion and
@@ -105,7 +105,7 @@
             long leftMs) {}
 
     /** Where the terminal event goes; called once. */
-    interface Ear {
+    interface Listener {
         /** Takes the terminal event. */
         void ended(Terminal t);
     }
@@ -150,7 +150,7 @@
     void onEnd(Runnable cleanup);
 
     /** {@code Action.open("a-1", 0, 8000, t -> {})} is active for 8 s. */
-    static Action open(String id, long nowMs, long forMs, Ear ear) {
-        return new OneAction(id, nowMs, nowMs + forMs, ear);
+    static Action open(String id, long nowMs, long forMs, Listener ear) {
+        return new AtomicAction(id, nowMs, nowMs + forMs, ear);
     }
 }
--- a/src/main/java/ringspindle/act/OneAction.java
+++ b/src/main/java/ringspindle/retry/AtomicAction.java
@@ -1,4 +1,4 @@
-package ringspindle.act;
+package ringspindle.retry;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /** The parent scope: one atomic reference decides how it ends. */
-final class OneAction implements Action {
+final class AtomicAction implements Action {
     /** State and cause in one, so that they move together. */
     private record Standing(State state, Cause cause) {}
 
@@ -59,7 +59,7 @@
     private final String id;
     private final long sinceMs;
     private final long deadlineMs;
-    private final Ear ear;
+    private final Listener ear;
     private final AtomicReference<Standing> standing = new AtomicReference<>(ACTIVE);
     private final List<Child> children = Collections.synchronizedList(new ArrayList<>(2));
     private final List<Runnable> cleanups = new ArrayList<>(2);
@@ -67,7 +67,7 @@
     private volatile End lastEnd;
     private boolean cleaned;
 
-    OneAction(String id, long nowMs, long deadlineMs, Ear ear) {
+    AtomicAction(String id, long nowMs, long deadlineMs, Listener ear) {
         this.id = id;
         sinceMs = nowMs;
         this.deadlineMs = deadlineMs;
--- a/src/main/java/ringspindle/act/Attempt.java
+++ b/src/main/java/ringspindle/retry/Attempt.java
@@ -1,4 +1,4 @@
-package ringspindle.act;
+package ringspindle.retry;
 
 /** One try at one engine: a child scope of its action. */
 public interface Attempt {
--- a/src/main/java/ringspindle/rule/Affinity.java
+++ b/src/main/java/ringspindle/routing/Affinity.java
@@ -1,4 +1,4 @@
-package ringspindle.rule;
+package ringspindle.routing;
 
 /**
  * What a request goes back by.
--- a/src/main/java/ringspindle/rule/Step.java
+++ b/src/main/java/ringspindle/routing/FallbackTarget.java
@@ -1,4 +1,4 @@
-package ringspindle.rule;
+package ringspindle.routing;
 
 import java.util.List;
 
@@ -8,7 +8,7 @@
  * @param regions for {@link To#REGIONS} which
  * @param waitMs how much longer the request waits for what came before, until it may go here
  */
-public record Step(To to, List<String> regions, int waitMs) {
+public record FallbackTarget(To to, List<String> regions, int waitMs) {
     /** Where to. */
     public enum To {
         /** The engine that would hold it if the holder were not there. */
--- a/src/main/java/ringspindle/rule/Ledger.java
+++ b/src/main/java/ringspindle/routing/RequestLedger.java
@@ -1,4 +1,4 @@
-package ringspindle.rule;
+package ringspindle.routing;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,15 +7,15 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import ringspindle.act.Action;
-import ringspindle.wire.Msg.LedgerReport;
-import ringspindle.wire.Msg.LedgerRow;
+import ringspindle.protocol.Message.LedgerReport;
+import ringspindle.protocol.Message.LedgerRow;
+import ringspindle.retry.Action;
 
 /**
  * A data node's own record of its actions, by revision of the rules and class: what was admitted, what is in progress, how
  * the rest ended, and what its attempts came to. No prompts, bodies or names of clients. Thread safe.
  */
-public final class Ledger {
+public final class RequestLedger {
     /** A law that does not hold. */
     public enum Broken {
         /** Admitted is not in progress and ended together. */
@@ -128,7 +128,7 @@
         return new LedgerReport(life, seq, revision, digest, endedTwice, out);
     }
 
-    /** The laws that a report breaks; empty for a sound one: {@code Ledger.broken(report)}. */
+    /** The laws that a report breaks; empty for a sound one: {@code RequestLedger.broken(report)}. */
     public static Set<Broken> broken(LedgerReport l) {
         Set<Broken> out = new TreeSet<>();
         if (l.endedTwice() > 0) {
--- a/src/main/java/ringspindle/rule/Match.java
+++ b/src/main/java/ringspindle/routing/RequestMatcher.java
@@ -1,4 +1,4 @@
-package ringspindle.rule;
+package ringspindle.routing;
 
 /**
  * Which requests a rule is for; what is empty fits all.
@@ -8,12 +8,13 @@
  * @param promptTo the most prompt tokens
  * @param home whether the request is bound to regions, null for either
  */
-public record Match(String route, String host, String path, String model, int promptFrom, int promptTo, Boolean home) {
+public record RequestMatcher(
+        String route, String host, String path, String model, int promptFrom, int promptTo, Boolean home) {
     /** Fits every request. */
-    public static final Match ALL = new Match("", "", "", "", 0, Integer.MAX_VALUE, null);
+    public static final RequestMatcher ALL = new RequestMatcher("", "", "", "", 0, Integer.MAX_VALUE, null);
 
     /** {@code rule.match().fits(asked)}. */
-    public boolean fits(Asked a) {
+    public boolean fits(RequestAttributes a) {
         return (route.isEmpty() || route.equals(a.route()))
                 && (host.isEmpty() || host.equalsIgnoreCase(a.host()))
                 && a.path().startsWith(path)
@@ -23,8 +24,8 @@
                 && (home == null || home == a.homeBound());
     }
 
-    /** True if whatever fits the other fits this one as well; {@code Match.ALL.covers(any)}. */
-    public boolean covers(Match o) {
+    /** True if whatever fits the other fits this one as well; {@code RequestMatcher.ALL.covers(any)}. */
+    public boolean covers(RequestMatcher o) {
         return (route.isEmpty() || route.equals(o.route))
                 && (host.isEmpty() || host.equalsIgnoreCase(o.host))
                 && o.path.startsWith(path)
--- a/src/main/java/ringspindle/rule/Rule.java
+++ b/src/main/java/ringspindle/routing/ServingRule.java
@@ -1,4 +1,4 @@
-package ringspindle.rule;
+package ringspindle.routing;
 
 import java.util.List;
 
@@ -12,12 +12,12 @@
  * @param busy where to go when the holder has no place; empty as without rules
  * @param gone where to go when the holder is draining, ill, evacuated or cold; empty as without rules
  */
-public record Rule(
+public record ServingRule(
         String name,
-        Match match,
+        RequestMatcher match,
         int rank,
         double share,
         int waitMs,
         Affinity affinity,
-        List<Step> busy,
-        List<Step> gone) {}
+        List<FallbackTarget> busy,
+        List<FallbackTarget> gone) {}
--- a/src/main/java/ringspindle/rule/ServingRules.java
+++ b/src/main/java/ringspindle/routing/ServingRules.java
@@ -1,4 +1,4 @@
-package ringspindle.rule;
+package ringspindle.routing;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -14,11 +14,11 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.TreeSet;
-import ringspindle.conf.Checked;
-import ringspindle.conf.Checked.Good;
-import ringspindle.conf.Checked.Refused;
-import ringspindle.conf.FleetConfig;
-import ringspindle.conf.Problem;
+import ringspindle.config.ConfigError;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.Validated;
+import ringspindle.config.Validated.Invalid;
+import ringspindle.config.Validated.Valid;
 
 /** The operators' serving rules: an ordered list, the first that fits wins, a default closes it. */
 public final class ServingRules {
@@ -32,56 +32,56 @@
 
     private final JsonObject source;
     private final long revision;
-    private final List<Rule> rules;
-    private final Rule otherwise;
+    private final List<ServingRule> rules;
+    private final ServingRule otherwise;
     private final double shares;
 
-    private ServingRules(JsonObject source, long revision, List<Rule> rules, Rule otherwise) {
+    private ServingRules(JsonObject source, long revision, List<ServingRule> rules, ServingRule otherwise) {
         this.source = source;
         this.revision = revision;
         this.rules = rules;
         this.otherwise = otherwise;
-        shares = rules.stream().mapToDouble(Rule::share).sum() + otherwise.share();
+        shares = rules.stream().mapToDouble(ServingRule::share).sum() + otherwise.share();
     }
 
     /** Reads and checks the document by itself; {@code ServingRules.read(bytes)}. */
-    public static Checked<ServingRules> read(byte[] body) {
+    public static Validated<ServingRules> read(byte[] body) {
         if (body.length > BYTES_MAX) {
-            return Checked.refused(new Problem.TooLong(body.length, BYTES_MAX));
+            return Validated.refused(new ConfigError.TooLong(body.length, BYTES_MAX));
         }
-        Checked<JsonObject> j = FleetConfig.json(body);
-        if (j instanceof Refused<JsonObject> bad) {
-            return new Refused<>(bad.problems());
+        Validated<JsonObject> j = FleetConfig.json(body);
+        if (j instanceof Invalid<JsonObject> bad) {
+            return new Invalid<>(bad.problems());
         }
         Reader r = new Reader();
-        ServingRules out = r.document(((Good<JsonObject>) j).value());
-        return r.problems.isEmpty() ? new Good<>(out) : new Refused<>(List.copyOf(r.problems));
+        ServingRules out = r.document(((Valid<JsonObject>) j).value());
+        return r.problems.isEmpty() ? new Valid<>(out) : new Invalid<>(List.copyOf(r.problems));
     }
 
     /**
      * What does not fit the configuration or the zones; {@code rules.problems(config, Set.of("ahd", "srt"))}. Without a
      * configuration routes and models are not looked at, without regions these are not.
      */
-    public List<Problem> problems(FleetConfig config, Set<String> regions) {
-        List<Problem> out = new ArrayList<>();
-        List<Rule> all = new ArrayList<>(rules);
+    public List<ConfigError> problems(FleetConfig config, Set<String> regions) {
+        List<ConfigError> out = new ArrayList<>();
+        List<ServingRule> all = new ArrayList<>(rules);
         all.add(otherwise);
         for (int i = 0; i < all.size(); i++) {
-            Rule rule = all.get(i);
+            ServingRule rule = all.get(i);
             String at = i < rules.size() ? "rules[" + i + "]" : "default";
-            FleetConfig.Mapping route = null;
+            FleetConfig.Route route = null;
             if (config != null) {
                 route = config.mappings().stream()
                         .filter(m -> m.name().equals(rule.match().route()))
                         .findFirst()
                         .orElse(null);
                 if (route == null && !rule.match().route().isEmpty()) {
-                    out.add(new Problem.UnknownName(
+                    out.add(new ConfigError.UnknownName(
                             at + ".match.route", rule.match().route()));
                 }
                 if (!rule.match().model().isEmpty()
                         && !models(config).contains(rule.match().model())) {
-                    out.add(new Problem.UnknownName(
+                    out.add(new ConfigError.UnknownName(
                             at + ".match.model", rule.match().model()));
                 }
             }
@@ -92,15 +92,19 @@
     }
 
     private static void check(
-            List<Problem> out, String at, List<Step> steps, FleetConfig.Mapping route, Set<String> regions) {
+            List<ConfigError> out,
+            String at,
+            List<FallbackTarget> steps,
+            FleetConfig.Route route,
+            Set<String> regions) {
         for (int i = 0; i < steps.size(); i++) {
             for (String region : steps.get(i).regions()) {
                 if (!regions.isEmpty() && !regions.contains(region)) {
-                    out.add(new Problem.UnknownName(at + "[" + i + "].names", region));
+                    out.add(new ConfigError.UnknownName(at + "[" + i + "].names", region));
                 } else if (route != null
                         && !route.homes().isEmpty()
                         && !route.homes().contains(region)) {
-                    out.add(new Problem.OutsideHomes(at + "[" + i + "].names", region));
+                    out.add(new ConfigError.OutsideHomes(at + "[" + i + "].names", region));
                 }
             }
         }
@@ -126,13 +130,13 @@
         return rules.stream()
                 .filter(r -> !r.match().route().isEmpty()
                         && !routes.contains(r.match().route()))
-                .map(Rule::name)
+                .map(ServingRule::name)
                 .toList();
     }
 
     /** The rule for a request; {@code rules.of(asked).name()}. */
-    public Rule of(Asked a) {
-        for (Rule r : rules) {
+    public ServingRule of(RequestAttributes a) {
+        for (ServingRule r : rules) {
             if (r.match().fits(a)) {
                 return r;
             }
@@ -141,13 +145,13 @@
     }
 
     /** The share of places that a class must leave to the others. */
-    public double kept(Rule r) {
+    public double kept(ServingRule r) {
         return Math.max(0, shares - r.share());
     }
 
     /** All rules, the default last. */
-    public List<Rule> all() {
-        List<Rule> out = new ArrayList<>(rules);
+    public List<ServingRule> all() {
+        List<ServingRule> out = new ArrayList<>(rules);
         out.add(otherwise);
         return out;
     }
@@ -174,39 +178,39 @@
 
     /** Reads strictly and notes every problem with its place. */
     private static final class Reader {
-        final List<Problem> problems = new ArrayList<>();
+        final List<ConfigError> problems = new ArrayList<>();
 
         ServingRules document(JsonObject o) {
             fields(o, "", "revision", "rules", "default");
             long revision = number(o, "", "revision", 1, Long.MAX_VALUE >> 1, -1);
             if (!o.containsKey("revision")) {
-                problems.add(new Problem.Missing("revision"));
+                problems.add(new ConfigError.Missing("revision"));
             }
-            List<Rule> rules = new ArrayList<>();
+            List<ServingRule> rules = new ArrayList<>();
             Set<String> names = new HashSet<>(List.of(PLAIN));
             List<JsonValue> list = array(o, "", "rules");
             if (list.size() > RULES_MAX) {
-                problems.add(new Problem.OutOfRange("rules", list.size() + " rules", "at most " + RULES_MAX));
+                problems.add(new ConfigError.OutOfRange("rules", list.size() + " rules", "at most " + RULES_MAX));
             }
             for (int i = 0; i < list.size(); i++) {
                 String at = "rules[" + i + "]";
                 if (!(list.get(i) instanceof JsonObject r)) {
-                    problems.add(new Problem.OutOfRange(at, list.get(i).toString(), "an object"));
+                    problems.add(new ConfigError.OutOfRange(at, list.get(i).toString(), "an object"));
                     continue;
                 }
                 fields(r, at, "name", "match", "class", "affinity", "busy", "gone");
                 String name = text(r, at, "name");
                 if (name.isEmpty() || name.length() > 60) {
-                    problems.add(new Problem.OutOfRange(at + ".name", name, "1 to 60 letters"));
+                    problems.add(new ConfigError.OutOfRange(at + ".name", name, "1 to 60 letters"));
                 } else if (!names.add(name)) {
-                    problems.add(new Problem.SameName(name));
+                    problems.add(new ConfigError.SameName(name));
                 }
                 rules.add(rule(r, at, name, match(r, at)));
             }
             for (int j = 0; j < rules.size(); j++) {
                 for (int i = 0; i < j; i++) {
                     if (rules.get(i).match().covers(rules.get(j).match())) {
-                        problems.add(new Problem.Unreachable(
+                        problems.add(new ConfigError.Unreachable(
                                 "rules[" + j + "]", rules.get(i).name()));
                         break;
                     }
@@ -214,16 +218,16 @@
             }
             JsonObject d = object(o, "", "default");
             fields(d, "default", "class", "affinity", "busy", "gone");
-            Rule otherwise = rule(d, "default", PLAIN, Match.ALL);
+            ServingRule otherwise = rule(d, "default", PLAIN, RequestMatcher.ALL);
             ServingRules out = new ServingRules(o, revision, List.copyOf(rules), otherwise);
             if (out.shares > 1 + 1e-9) {
-                problems.add(new Problem.OutOfRange(
+                problems.add(new ConfigError.OutOfRange(
                         "shares of all classes", String.format(Locale.ROOT, "%.3f", out.shares), "at most 1 together"));
             }
             return out;
         }
 
-        private Match match(JsonObject r, String at) {
+        private RequestMatcher match(JsonObject r, String at) {
             JsonObject m = object(r, at, "match");
             String here = at + ".match";
             fields(m, here, "route", "host", "path", "model", "prompt", "home");
@@ -232,17 +236,18 @@
             int from = (int) number(p, here + ".prompt", "from", 0, Integer.MAX_VALUE, 0);
             int to = (int) number(p, here + ".prompt", "to", 0, Integer.MAX_VALUE, Integer.MAX_VALUE);
             if (to < from) {
-                problems.add(new Problem.OutOfRange(here + ".prompt.to", Integer.toString(to), "no less than from"));
+                problems.add(
+                        new ConfigError.OutOfRange(here + ".prompt.to", Integer.toString(to), "no less than from"));
             }
             Boolean home = null;
             JsonValue h = m.get("home");
             if (h != null) {
                 if (h != JsonValue.TRUE && h != JsonValue.FALSE) {
-                    problems.add(new Problem.OutOfRange(here + ".home", h.toString(), "true or false"));
+                    problems.add(new ConfigError.OutOfRange(here + ".home", h.toString(), "true or false"));
                 }
                 home = h == JsonValue.TRUE;
             }
-            return new Match(
+            return new RequestMatcher(
                     text(m, here, "route"),
                     text(m, here, "host"),
                     text(m, here, "path"),
@@ -252,7 +257,7 @@
                     home);
         }
 
-        private Rule rule(JsonObject r, String at, String name, Match match) {
+        private ServingRule rule(JsonObject r, String at, String name, RequestMatcher match) {
             JsonObject c = object(r, at, "class");
             fields(c, at + ".class", "rank", "share", "waitMs");
             int rank = (int) number(c, at + ".class", "rank", 0, 9, -1);
@@ -269,7 +274,8 @@
                     case "prompt" -> by = Affinity.By.PROMPT;
                     case "session" -> by = Affinity.By.SESSION;
                     case "none" -> by = Affinity.By.NONE;
-                    default -> problems.add(new Problem.OutOfRange(here + ".by", wanted, "prompt, session or none"));
+                    default ->
+                        problems.add(new ConfigError.OutOfRange(here + ".by", wanted, "prompt, session or none"));
                 }
                 affinity = new Affinity(
                         by,
@@ -277,55 +283,55 @@
                         (int) number(a, here, "tokens", 1, 100_000_000, Integer.MAX_VALUE),
                         fraction(a, here, "uneven", 1, 100, 1.5));
             }
-            List<Step> busy = steps(r, at, "busy", waitMs);
-            List<Step> gone = steps(r, at, "gone", waitMs);
-            return new Rule(name, match, rank, share, waitMs, affinity, busy, gone);
+            List<FallbackTarget> busy = steps(r, at, "busy", waitMs);
+            List<FallbackTarget> gone = steps(r, at, "gone", waitMs);
+            return new ServingRule(name, match, rank, share, waitMs, affinity, busy, gone);
         }
 
-        private List<Step> steps(JsonObject r, String at, String key, int mostMs) {
-            List<Step> out = new ArrayList<>();
+        private List<FallbackTarget> steps(JsonObject r, String at, String key, int mostMs) {
+            List<FallbackTarget> out = new ArrayList<>();
             List<JsonValue> list = array(r, at, key);
             long sumMs = 0;
             for (int i = 0; i < list.size(); i++) {
                 String here = at + "." + key + "[" + i + "]";
                 if (!(list.get(i) instanceof JsonObject s)) {
-                    problems.add(new Problem.OutOfRange(here, list.get(i).toString(), "an object"));
+                    problems.add(new ConfigError.OutOfRange(here, list.get(i).toString(), "an object"));
                     continue;
                 }
                 fields(s, here, "to", "names", "waitMs");
                 String wanted = text(s, here, "to");
-                Step.To to = Step.To.ANY;
+                FallbackTarget.To to = FallbackTarget.To.ANY;
                 switch (wanted) {
-                    case "next" -> to = Step.To.NEXT;
-                    case "zone" -> to = Step.To.ZONE;
-                    case "region" -> to = Step.To.REGION;
-                    case "regions" -> to = Step.To.REGIONS;
-                    case "any" -> to = Step.To.ANY;
+                    case "next" -> to = FallbackTarget.To.NEXT;
+                    case "zone" -> to = FallbackTarget.To.ZONE;
+                    case "region" -> to = FallbackTarget.To.REGION;
+                    case "regions" -> to = FallbackTarget.To.REGIONS;
+                    case "any" -> to = FallbackTarget.To.ANY;
                     default ->
                         problems.add(
-                                new Problem.OutOfRange(here + ".to", wanted, "next, zone, region, regions or any"));
+                                new ConfigError.OutOfRange(here + ".to", wanted, "next, zone, region, regions or any"));
                 }
                 List<String> names = new ArrayList<>();
                 for (JsonValue v : array(s, here, "names")) {
                     if (v instanceof JsonString n && !n.getString().isEmpty()) {
                         names.add(n.getString());
                     } else {
-                        problems.add(new Problem.OutOfRange(here + ".names", v.toString(), "names of regions"));
+                        problems.add(new ConfigError.OutOfRange(here + ".names", v.toString(), "names of regions"));
                     }
                 }
-                if ((to == Step.To.REGIONS) == names.isEmpty()) {
-                    problems.add(new Problem.OutOfRange(
+                if ((to == FallbackTarget.To.REGIONS) == names.isEmpty()) {
+                    problems.add(new ConfigError.OutOfRange(
                             here + ".names", names.toString(), "names where to is regions, none elsewhere"));
                 }
                 int waitMs = (int) number(s, here, "waitMs", 0, WAIT_MAX_MS, 0);
                 sumMs += waitMs;
                 if (sumMs > 0 && sumMs > mostMs) {
-                    problems.add(new Problem.OutOfRange(
+                    problems.add(new ConfigError.OutOfRange(
                             here + ".waitMs",
                             Long.toString(sumMs) + " with those before",
                             "at most the class's waitMs, " + Math.max(0, mostMs)));
                 }
-                out.add(new Step(to, List.copyOf(names), waitMs));
+                out.add(new FallbackTarget(to, List.copyOf(names), waitMs));
             }
             return List.copyOf(out);
         }
@@ -333,7 +339,7 @@
         private void fields(JsonObject o, String at, String... known) {
             for (String k : o.keySet()) {
                 if (!List.of(known).contains(k)) {
-                    problems.add(new Problem.UnknownField(at, k));
+                    problems.add(new ConfigError.UnknownField(at, k));
                 }
             }
         }
@@ -346,7 +352,7 @@
             if (v instanceof JsonObject x) {
                 return x;
             }
-            problems.add(new Problem.OutOfRange(at + "." + key, v.toString(), "an object"));
+            problems.add(new ConfigError.OutOfRange(at + "." + key, v.toString(), "an object"));
             return JsonValue.EMPTY_JSON_OBJECT;
         }
 
@@ -358,7 +364,7 @@
             if (v instanceof JsonArray x) {
                 return x;
             }
-            problems.add(new Problem.OutOfRange(at + "." + key, v.toString(), "a list"));
+            problems.add(new ConfigError.OutOfRange(at + "." + key, v.toString(), "a list"));
             return List.of();
         }
 
@@ -370,7 +376,7 @@
             if (v instanceof JsonString s) {
                 return s.getString();
             }
-            problems.add(new Problem.OutOfRange(at + "." + key, v.toString(), "a text"));
+            problems.add(new ConfigError.OutOfRange(at + "." + key, v.toString(), "a text"));
             return "";
         }
 
@@ -386,7 +392,7 @@
                     && n.longValue() <= most) {
                 return n.longValue();
             }
-            problems.add(new Problem.OutOfRange(
+            problems.add(new ConfigError.OutOfRange(
                     at + "." + key, v.toString(), "a whole number from " + least + " to " + most));
             return otherwise;
         }
@@ -400,7 +406,7 @@
                 return n.doubleValue();
             }
             problems.add(
-                    new Problem.OutOfRange(at + "." + key, v.toString(), "a number from " + least + " to " + most));
+                    new ConfigError.OutOfRange(at + "." + key, v.toString(), "a number from " + least + " to " + most));
             return otherwise;
         }
     }
--- a/src/main/java/ringspindle/disk/RecordFormat.java
+++ b/src/main/java/ringspindle/storage/RecordFormat.java
@@ -1,4 +1,4 @@
-package ringspindle.disk;
+package ringspindle.storage;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
--- a/src/main/java/ringspindle/disk/SlotDisk.java
+++ b/src/main/java/ringspindle/storage/SlotDisk.java
@@ -1,4 +1,4 @@
-package ringspindle.disk;
+package ringspindle.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -7,12 +7,12 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 import org.agrona.concurrent.UnsafeBuffer;
-import ringspindle.disk.RecordFormat.Records;
-import ringspindle.disk.StorageFolder.StorageFile;
-import ringspindle.disk.UnreadableStorageException.Reason;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message;
 import ringspindle.sbe.MessageHeaderDecoder;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg;
+import ringspindle.storage.RecordFormat.Records;
+import ringspindle.storage.StorageFolder.StorageFile;
+import ringspindle.storage.UnreadableStorageException.Reason;
 
 /**
  * Slot files {@code slot-0} and {@code slot-1} hold an image each, of generations g and g-1; {@code log-g} holds what was
@@ -29,7 +29,7 @@
     private static final Records EMPTY = new Records(0, List.of(), 0, false);
 
     private final StorageFolder folder;
-    private final Predicate<Msg> known;
+    private final Predicate<Message> known;
     private long generation;
     /** Null if it has to be opened, and cut to {@link #logEnd}, before the next append. */
     private StorageFile log;
@@ -39,13 +39,13 @@
     private boolean otherSlotInDoubt;
 
     /** {@code known} may throw on a record that it cannot read. */
-    SlotDisk(StorageFolder folder, Predicate<Msg> known) {
+    SlotDisk(StorageFolder folder, Predicate<Message> known) {
         this.folder = folder;
         this.known = known;
     }
 
     @Override
-    public List<Msg> load() throws IOException {
+    public List<Message> load() throws IOException {
         folder.create();
         Records slot = newestSlot();
         generation = slot.generation();
@@ -57,7 +57,7 @@
         if (tail.closed()) {
             throw new UnreadableStorageException(Reason.UNKNOWN_RECORD, logName(generation), null);
         }
-        List<Msg> found = new ArrayList<>(decode(slotName(generation), slot.bodies()));
+        List<Message> found = new ArrayList<>(decode(slotName(generation), slot.bodies()));
         found.addAll(decode(logName(generation), tail.bodies()));
         logEnd = tail.size();
         syncSlot();
@@ -78,22 +78,22 @@
         return newest;
     }
 
-    private List<Msg> decode(String file, List<byte[]> bodies) throws UnreadableStorageException {
-        List<Msg> out = new ArrayList<>();
+    private List<Message> decode(String file, List<byte[]> bodies) throws UnreadableStorageException {
+        List<Message> out = new ArrayList<>();
         for (byte[] body : bodies) {
             out.add(decode(file, body));
         }
         return out;
     }
 
-    private Msg decode(String file, byte[] body) throws UnreadableStorageException {
+    private Message decode(String file, byte[] body) throws UnreadableStorageException {
         try {
             int version =
                     new MessageHeaderDecoder().wrap(new UnsafeBuffer(body), 0).version();
             if (version > MessageHeaderDecoder.SCHEMA_VERSION) {
                 throw new IllegalArgumentException("schema version " + version);
             }
-            Msg record = Codec.decode(body);
+            Message record = Codec.decode(body);
             if (!known.test(record)) {
                 throw new IllegalArgumentException(
                         "unknown record " + record.getClass().getSimpleName());
@@ -169,7 +169,7 @@
     }
 
     @Override
-    public void append(List<Msg> records) throws IOException {
+    public void append(List<Message> records) throws IOException {
         List<ByteBuffer> frames = frames(records, generation);
         if (otherSlotInDoubt) {
             emptyOtherSlot();
@@ -189,7 +189,7 @@
         }
     }
 
-    private static List<ByteBuffer> frames(List<Msg> records, long generation) {
+    private static List<ByteBuffer> frames(List<Message> records, long generation) {
         return records.stream()
                 .map(record -> RecordFormat.frame(Codec.encode(record), generation))
                 .toList();
@@ -215,7 +215,7 @@
     }
 
     @Override
-    public void image(List<Msg> records) throws IOException {
+    public void image(List<Message> records) throws IOException {
         long next = generation + 1;
         List<ByteBuffer> frames = new ArrayList<>(frames(records, next));
         frames.add(RecordFormat.end(next));
--- a/src/main/java/ringspindle/sum/Presence.java
+++ b/src/main/java/ringspindle/telemetry/EnginePresence.java
@@ -1,4 +1,4 @@
-package ringspindle.sum;
+package ringspindle.telemetry;
 
 import it.unimi.dsi.fastutil.longs.Long2ObjectMap;
 import it.unimi.dsi.fastutil.longs.Long2ObjectRBTreeMap;
@@ -6,15 +6,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.HeartbeatRow;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.HeartbeatRow;
 
 /**
  * Engines' own heartbeats as one control node knows them: those it heard itself, and how long ago its region's other
  * control nodes heard theirs. Only what changes is news: an engine that is new or says something else, one that fell
  * silent, one that is heard again. Pure; not thread safe.
  */
-public final class Presence {
+public final class EnginePresence {
     /** Ours: an engine may miss three heartbeats. */
     private static final double SILENT_BEATS = 3.2;
     /** Ours: after a start of this node engines get this long to find it. */
@@ -46,15 +46,15 @@
     private final Map<String, Row> byAddress = new HashMap<>();
     private long startMs = Long.MIN_VALUE;
 
-    /** {@code new Presence(1200)} for engines that beat every 1.2 s. */
-    public Presence(int beatMs) {
+    /** {@code new EnginePresence(1200)} for engines that beat every 1.2 s. */
+    public EnginePresence(int beatMs) {
         this.beatMs = beatMs;
         silentMs = (int) (SILENT_BEATS * beatMs);
     }
 
     private Row row(String id, long nowMs) {
         startMs = startMs == Long.MIN_VALUE ? nowMs : startMs;
-        return rows.computeIfAbsent(Sum.key(id), k -> new Row(id, Math.max(nowMs, startMs + START_MS)));
+        return rows.computeIfAbsent(LoadSummary.key(id), k -> new Row(id, Math.max(nowMs, startMs + START_MS)));
     }
 
     /** The engine called here; true if what it says is news. */
@@ -103,7 +103,7 @@
     }
 
     /** What the region's other control nodes heard. */
-    public void peers(Sum s, long nowMs) {
+    public void peers(LoadSummary s, long nowMs) {
         for (long key : s.heartbeats()) {
             Row r = rows.get(key);
             if (r != null) {
@@ -130,7 +130,7 @@
 
     /** Another node says that an engine is silent, resting on that heartbeat; true if this node knows better. */
     public boolean contradicts(String id, long seq, long nowMs) {
-        Row r = rows.get(Sum.key(id));
+        Row r = rows.get(LoadSummary.key(id));
         if (r == null) {
             return false;
         }
@@ -141,13 +141,13 @@
 
     /** The number of the engine's last heartbeat known here. */
     public long seq(String id) {
-        Row r = rows.get(Sum.key(id));
+        Row r = rows.get(LoadSummary.key(id));
         return r == null ? -1 : r.seq;
     }
 
     /** How long ago the engine was heard, here or in the region; {@code Long.MAX_VALUE} if never. */
     public long agoMs(String id, long nowMs) {
-        Row r = rows.get(Sum.key(id));
+        Row r = rows.get(LoadSummary.key(id));
         return r == null ? Long.MAX_VALUE : Math.max(0, nowMs - r.evidenceMs);
     }
 
--- a/src/main/java/ringspindle/sum/Sum.java
+++ b/src/main/java/ringspindle/telemetry/LoadSummary.java
@@ -1,4 +1,4 @@
-package ringspindle.sum;
+package ringspindle.telemetry;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -10,45 +10,45 @@
 import it.unimi.dsi.fastutil.longs.LongSortedSet;
 import java.util.ArrayList;
 import java.util.List;
-import ringspindle.wire.Msg.HeartbeatRow;
-import ringspindle.wire.Msg.Report;
-import ringspindle.wire.Msg.SourceRow;
-import ringspindle.wire.Msg.TallyRow;
+import ringspindle.protocol.Message.HeartbeatRow;
+import ringspindle.protocol.Message.Report;
+import ringspindle.protocol.Message.SourceRow;
+import ringspindle.protocol.Message.TallyRow;
 
 /**
  * Tallies by engine and kind, and when each engine's own heartbeat was last heard. Sums can be added in any order and
  * grouping: {@code a.merge(b)} equals {@code b.merge(a)}, and {@code NONE} changes nothing.
  */
-public final class Sum {
+public final class LoadSummary {
     /** Nothing seen. */
-    public static final Sum NONE = new Sum(new Long2ObjectRBTreeMap<>(), new Long2IntRBTreeMap());
+    public static final LoadSummary NONE = new LoadSummary(new Long2ObjectRBTreeMap<>(), new Long2IntRBTreeMap());
 
     private static final int U16 = 65534;
     private static final long U32 = 4294967294L;
     /** Ours: a report names at most so many engines, far more than a node talks to in its window. */
     static final int ROWS_MAX = 8192;
 
-    private final Long2ObjectSortedMap<Tally[]> tallies;
+    private final Long2ObjectSortedMap<AttemptCounts[]> tallies;
     private final Long2IntSortedMap agoMs;
 
-    private Sum(Long2ObjectSortedMap<Tally[]> tallies, Long2IntSortedMap agoMs) {
+    private LoadSummary(Long2ObjectSortedMap<AttemptCounts[]> tallies, Long2IntSortedMap agoMs) {
         this.tallies = tallies;
         this.agoMs = agoMs;
     }
 
-    /** How an engine is named in sums; {@code Sum.key("i-7f3a91c2")}. */
+    /** How an engine is named in sums; {@code LoadSummary.key("i-7f3a91c2")}. */
     public static long key(String engine) {
         return Hashing.murmur3_128().hashString(engine, UTF_8).asLong();
     }
 
-    /** What a report says; numbers are as its source sent them. {@code Sum.of(report)}. */
-    public static Sum of(Report r) {
-        Sum out = new Sum(new Long2ObjectRBTreeMap<>(), new Long2IntRBTreeMap());
+    /** What a report says; numbers are as its source sent them. {@code LoadSummary.of(report)}. */
+    public static LoadSummary of(Report r) {
+        LoadSummary out = new LoadSummary(new Long2ObjectRBTreeMap<>(), new Long2IntRBTreeMap());
         for (TallyRow t : r.tallies()) {
             out.add(
                     t.engine(),
                     t.kind(),
-                    new Tally(t.answered(), t.notRun(), t.failed(), t.running(), t.tokens(), new int[] {
+                    new AttemptCounts(t.answered(), t.notRun(), t.failed(), t.running(), t.tokens(), new int[] {
                         t.b0(), t.b1(), t.b2(), t.b3(), t.b4(), t.b5()
                     }));
         }
@@ -58,26 +58,26 @@
         return out;
     }
 
-    /** One engine seen by one source; {@code Sum.of(Sum.key("i-1"), Kind.SHORT, tally)}. */
-    public static Sum of(long engine, Kind kind, Tally t) {
-        Sum out = new Sum(new Long2ObjectRBTreeMap<>(), new Long2IntRBTreeMap());
+    /** One engine seen by one source; {@code LoadSummary.of(LoadSummary.key("i-1"), RequestKind.SHORT, tally)}. */
+    public static LoadSummary of(long engine, RequestKind kind, AttemptCounts t) {
+        LoadSummary out = new LoadSummary(new Long2ObjectRBTreeMap<>(), new Long2IntRBTreeMap());
         out.add(engine, kind.ordinal(), t);
         return out;
     }
 
-    /** All together, each looked at once; {@code Sum.all(List.of(a, b))} equals {@code a.merge(b)}. */
-    public static Sum all(Iterable<Sum> sums) {
-        Sum out = new Sum(new Long2ObjectRBTreeMap<>(), new Long2IntRBTreeMap());
+    /** All together, each looked at once; {@code LoadSummary.all(List.of(a, b))} equals {@code a.merge(b)}. */
+    public static LoadSummary all(Iterable<LoadSummary> sums) {
+        LoadSummary out = new LoadSummary(new Long2ObjectRBTreeMap<>(), new Long2IntRBTreeMap());
         sums.forEach(out::addAll);
         return out;
     }
 
     /** Both together. */
-    public Sum merge(Sum o) {
+    public LoadSummary merge(LoadSummary o) {
         return all(List.of(this, o));
     }
 
-    private void addAll(Sum o) {
+    private void addAll(LoadSummary o) {
         o.agoMs.forEach((k, v) -> agoMs.merge((long) k, (int) v, Math::min));
         o.tallies.forEach((k, byKind) -> {
             for (int i = 0; i < byKind.length; i++) {
@@ -88,8 +88,8 @@
         });
     }
 
-    private void add(long engine, int kind, Tally t) {
-        Tally[] of = tallies.computeIfAbsent(engine, k -> new Tally[Kind.values().length]);
+    private void add(long engine, int kind, AttemptCounts t) {
+        AttemptCounts[] of = tallies.computeIfAbsent(engine, k -> new AttemptCounts[RequestKind.values().length]);
         of[kind] = of[kind] == null ? t : of[kind].merge(t);
     }
 
@@ -104,15 +104,15 @@
     }
 
     /** One kind at one engine; NONE if nothing was seen. */
-    public Tally of(long engine, Kind kind) {
-        Tally[] of = tallies.get(engine);
-        return of == null || of[kind.ordinal()] == null ? Tally.NONE : of[kind.ordinal()];
+    public AttemptCounts of(long engine, RequestKind kind) {
+        AttemptCounts[] of = tallies.get(engine);
+        return of == null || of[kind.ordinal()] == null ? AttemptCounts.NONE : of[kind.ordinal()];
     }
 
-    /** All kinds at one engine; {@code sum.all(Sum.key("i-1")).running()}. */
-    public Tally all(long engine) {
-        Tally out = Tally.NONE;
-        for (Kind k : Kind.values()) {
+    /** All kinds at one engine; {@code sum.all(LoadSummary.key("i-1")).running()}. */
+    public AttemptCounts all(long engine) {
+        AttemptCounts out = AttemptCounts.NONE;
+        for (RequestKind k : RequestKind.values()) {
             out = out.merge(of(engine, k));
         }
         return out;
@@ -133,7 +133,7 @@
         List<TallyRow> rows = new ArrayList<>();
         tallies.forEach((engine, byKind) -> {
             for (int i = 0; i < byKind.length; i++) {
-                Tally t = byKind[i];
+                AttemptCounts t = byKind[i];
                 if (t != null && !t.empty()) {
                     int[] f = t.firsts();
                     rows.add(new TallyRow(
@@ -164,7 +164,7 @@
 
     @Override
     public boolean equals(Object o) {
-        return o instanceof Sum s && report(0, 0).equals(s.report(0, 0));
+        return o instanceof LoadSummary s && report(0, 0).equals(s.report(0, 0));
     }
 
     @Override
--- a/src/main/java/ringspindle/sum/Totals.java
+++ b/src/main/java/ringspindle/telemetry/LoadTotals.java
@@ -1,25 +1,25 @@
-package ringspindle.sum;
+package ringspindle.telemetry;
 
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import ringspindle.wire.Msg.EngineLoad;
-import ringspindle.wire.Msg.RegionLoad;
+import ringspindle.protocol.Message.EngineLoad;
+import ringspindle.protocol.Message.RegionLoad;
 
 /** From sums to what goes back: engines with their totals, regions by service. Pure. */
-public final class Totals {
+public final class LoadTotals {
     /** An engine as the collector knows it. */
     public record Member(long key, String service, String region, int capacity) {}
 
-    private Totals() {}
+    private LoadTotals() {}
 
-    /** Every engine of which anything was seen; {@code Totals.engines(sum)}. */
-    public static List<EngineLoad> engines(Sum s) {
+    /** Every engine of which anything was seen; {@code LoadTotals.engines(sum)}. */
+    public static List<EngineLoad> engines(LoadSummary s) {
         List<EngineLoad> out = new ArrayList<>();
         for (long key : s.engines()) {
-            Tally t = s.all(key);
+            AttemptCounts t = s.all(key);
             if (!t.empty()) {
                 out.add(new EngineLoad(
                         key,
@@ -32,12 +32,12 @@
         return out;
     }
 
-    /** One region by service; {@code Totals.region(sum, members, "ahd")}. */
-    public static List<RegionLoad> region(Sum s, Collection<Member> members, String region) {
+    /** One region by service; {@code LoadTotals.region(sum, members, "ahd")}. */
+    public static List<RegionLoad> region(LoadSummary s, Collection<Member> members, String region) {
         Map<String, int[]> by = new TreeMap<>();
         for (Member m : members) {
             if (m.region().equals(region)) {
-                Tally t = s.all(m.key());
+                AttemptCounts t = s.all(m.key());
                 int[] n = by.computeIfAbsent(m.service(), k -> new int[5]);
                 n[0]++;
                 n[1] += Math.max(0, m.capacity() - t.running());
--- a/src/main/java/ringspindle/sum/Collector.java
+++ b/src/main/java/ringspindle/telemetry/ReportCollector.java
@@ -1,4 +1,4 @@
-package ringspindle.sum;
+package ringspindle.telemetry;
 
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -7,58 +7,58 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import ringspindle.wire.Msg.HeartbeatRow;
-import ringspindle.wire.Msg.Report;
-import ringspindle.wire.Msg.SourceRow;
-import ringspindle.wire.Msg.TallyRow;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.HeartbeatRow;
+import ringspindle.protocol.Message.Report;
+import ringspindle.protocol.Message.SourceRow;
+import ringspindle.protocol.Message.TallyRow;
+import ringspindle.protocol.NodeId;
 
 /**
  * The newest report of each source, and their sum, computed anew each time: a resend, a reorder or a second way in adds
  * nothing. Reports expire on steady time. Pure; not thread safe.
  */
-public final class Collector {
-    private record Held(long life, long seq, Sum sum, long atMs) {}
+public final class ReportCollector {
+    private record Held(long life, long seq, LoadSummary sum, long atMs) {}
 
     /** Ours: how long it is remembered what an expired source said last, so that nothing older counts again. */
     private static final int MEMORY_MS = 600_000;
 
     private final int ttlMs;
     private final Map<NodeId, Held> newest = new TreeMap<>();
-    private final long[] counts = new long[Taken.values().length];
+    private final long[] counts = new long[ReportVerdict.values().length];
 
-    /** {@code new Collector(2000)} forgets a source that was silent for two seconds. */
-    public Collector(int ttlMs) {
+    /** {@code new ReportCollector(2000)} forgets a source that was silent for two seconds. */
+    public ReportCollector(int ttlMs) {
         this.ttlMs = ttlMs;
     }
 
     /** A report came; {@code collector.take(from, report, nowMs)} is NEWEST if it counts from now on. */
-    public Taken take(NodeId source, Report r, long nowMs) {
-        Taken t = judge(source, r);
+    public ReportVerdict take(NodeId source, Report r, long nowMs) {
+        ReportVerdict t = judge(source, r);
         counts[t.ordinal()]++;
-        if (t == Taken.NEWEST) {
-            newest.put(source, new Held(r.life(), r.seq(), Sum.of(r), nowMs));
+        if (t == ReportVerdict.NEWEST) {
+            newest.put(source, new Held(r.life(), r.seq(), LoadSummary.of(r), nowMs));
         }
         return t;
     }
 
-    private Taken judge(NodeId source, Report r) {
-        if (r.tallies().size() > Sum.ROWS_MAX || r.heartbeats().size() > Sum.ROWS_MAX) {
-            return Taken.OVERSIZED;
+    private ReportVerdict judge(NodeId source, Report r) {
+        if (r.tallies().size() > LoadSummary.ROWS_MAX || r.heartbeats().size() > LoadSummary.ROWS_MAX) {
+            return ReportVerdict.OVERSIZED;
         }
         for (TallyRow t : r.tallies()) {
-            if (t.kind() >= Kind.values().length || t.tokens() < 0) {
-                return Taken.GARBLED;
+            if (t.kind() >= RequestKind.values().length || t.tokens() < 0) {
+                return ReportVerdict.GARBLED;
             }
         }
         for (HeartbeatRow h : r.heartbeats()) {
             if (h.agoMs() < 0) {
-                return Taken.GARBLED;
+                return ReportVerdict.GARBLED;
             }
         }
         Held had = newest.get(source);
         boolean newer = had == null || r.life() > had.life() || r.life() == had.life() && r.seq() > had.seq();
-        return newer ? Taken.NEWEST : Taken.OLD;
+        return newer ? ReportVerdict.NEWEST : ReportVerdict.OLD;
     }
 
     /**
@@ -73,8 +73,8 @@
     }
 
     /** The sum of the newest reports that have not expired. */
-    public Sum sum(long nowMs) {
-        List<Sum> count = new ArrayList<>();
+    public LoadSummary sum(long nowMs) {
+        List<LoadSummary> count = new ArrayList<>();
         for (Iterator<Held> it = newest.values().iterator(); it.hasNext(); ) {
             Held h = it.next();
             if (nowMs - h.atMs() <= ttlMs) {
@@ -83,14 +83,14 @@
                 it.remove();
             }
         }
-        return Sum.all(count);
+        return LoadSummary.all(count);
     }
 
     /** The source has gone elsewhere with that report, or ended: what it said here before counts no more. */
     public void leave(NodeId source, long life, long seq) {
         Held h = newest.get(source);
         if (h != null && (life > h.life() || life == h.life() && seq > h.seq())) {
-            newest.put(source, new Held(life, seq, Sum.NONE, h.atMs()));
+            newest.put(source, new Held(life, seq, LoadSummary.NONE, h.atMs()));
         }
     }
 
@@ -98,7 +98,7 @@
     public void drop(NodeId source) {
         Held h = newest.get(source);
         if (h != null) {
-            newest.put(source, new Held(h.life(), h.seq(), Sum.NONE, h.atMs()));
+            newest.put(source, new Held(h.life(), h.seq(), LoadSummary.NONE, h.atMs()));
         }
     }
 
@@ -106,7 +106,7 @@
     public List<SourceRow> holds(long nowMs) {
         List<SourceRow> out = new ArrayList<>();
         newest.forEach((k, h) -> {
-            if (nowMs - h.atMs() <= ttlMs && h.sum() != Sum.NONE) {
+            if (nowMs - h.atMs() <= ttlMs && h.sum() != LoadSummary.NONE) {
                 out.add(new SourceRow(k, h.life(), h.seq()));
             }
         });
@@ -130,8 +130,8 @@
         return h == null ? -1 : nowMs - h.atMs();
     }
 
-    /** How many reports became what; {@code collector.count(Taken.GARBLED)}. */
-    public long count(Taken t) {
+    /** How many reports became what; {@code collector.count(ReportVerdict.GARBLED)}. */
+    public long count(ReportVerdict t) {
         return counts[t.ordinal()];
     }
 }
--- a/src/main/java/ringspindle/sum/Taken.java
+++ b/src/main/java/ringspindle/telemetry/ReportVerdict.java
@@ -1,7 +1,7 @@
-package ringspindle.sum;
+package ringspindle.telemetry;
 
 /** What became of a report. */
-public enum Taken {
+public enum ReportVerdict {
     /** It is the newest of its source. */
     NEWEST,
     /** Its source has said something newer, or just this. */
@@ -11,7 +11,7 @@
     /** A number or a kind is out of its range. */
     GARBLED;
 
-    /** True if it changed nothing and shows a fault; {@code Taken.GARBLED.refused()}. */
+    /** True if it changed nothing and shows a fault; {@code ReportVerdict.GARBLED.refused()}. */
     public boolean refused() {
         return this == OVERSIZED || this == GARBLED;
     }
--- a/src/main/java/ringspindle/wire/JettyMesh.java
+++ b/src/main/java/ringspindle/transport/JettyMesh.java
@@ -1,4 +1,4 @@
-package ringspindle.wire;
+package ringspindle.transport;
 
 import com.google.common.flogger.FluentLogger;
 import java.net.InetSocketAddress;
@@ -27,6 +27,10 @@
 import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.Promise;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.FrameException;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.NodeId;
 
 /** Frames (length, SBE) over Jetty's endpoints. */
 final class JettyMesh implements Mesh {
@@ -39,7 +43,7 @@
 
     private static final int BACKLOG_MAX = 32 << 20;
 
-    private final Msg.Hello self;
+    private final Message.Hello self;
     private final Executor pool;
     private final org.eclipse.jetty.util.thread.Scheduler beats;
     private final Map<NodeId, FrameWire> wires = new ConcurrentHashMap<>();
@@ -47,9 +51,9 @@
     private final ClientConnector dialer = new PlainConnector();
     private final Map<FrameException.Reason, LongAdder> refused = new EnumMap<>(FrameException.Reason.class);
     private Server server;
-    private volatile Ear ear;
+    private volatile Listener ear;
 
-    JettyMesh(Msg.Hello self, Executor pool, org.eclipse.jetty.util.thread.Scheduler beats) {
+    JettyMesh(Message.Hello self, Executor pool, org.eclipse.jetty.util.thread.Scheduler beats) {
         this.self = self;
         this.pool = pool;
         this.beats = beats;
@@ -64,7 +68,7 @@
     }
 
     @Override
-    public void open(Ear ear) throws Exception {
+    public void open(Listener ear) throws Exception {
         this.ear = ear;
         ByteBufferPool buffers = new ArrayByteBufferPool(0, 4096, 65536, 64, 1 << 20, 1 << 20);
         dialer.setExecutor(pool);
@@ -100,7 +104,7 @@
     }
 
     @Override
-    public void send(NodeId peer, Msg m) {
+    public void send(NodeId peer, Message m) {
         FrameWire w = wires.get(peer);
         if (w != null) {
             w.send(m);
@@ -122,8 +126,8 @@
 
     @Override
     public void close() {
-        LifeCycleQuietly.stop(dialer);
-        LifeCycleQuietly.stop(server);
+        LifeCycles.stopQuietly(dialer);
+        LifeCycles.stopQuietly(server);
     }
 
     private final class Factory extends AbstractConnectionFactory {
@@ -159,7 +163,7 @@
             send(self);
         }
 
-        void send(Msg m) {
+        void send(Message m) {
             byte[] body = Codec.encode(m);
             ByteBuffer frame = ByteBuffer.allocate(4 + body.length)
                     .putInt(body.length)
@@ -252,9 +256,9 @@
             in.compact();
         }
 
-        private void heard(Msg m) {
+        private void heard(Message m) {
             if (peer == null) {
-                if (!(m instanceof Msg.Hello h)) {
+                if (!(m instanceof Message.Hello h)) {
                     throw new FrameException(
                             FrameException.Reason.NO_HELLO, m.getClass().getSimpleName());
                 }
--- a/src/main/java/ringspindle/wire/LifeCycleQuietly.java
+++ b/src/main/java/ringspindle/transport/LifeCycles.java
@@ -1,13 +1,13 @@
-package ringspindle.wire;
+package ringspindle.transport;
 
 import org.eclipse.jetty.util.component.LifeCycle;
 
 /** Stops parts at the end of a process, where a failure to stop changes nothing. */
-public final class LifeCycleQuietly {
-    private LifeCycleQuietly() {}
+public final class LifeCycles {
+    private LifeCycles() {}
 
-    /** {@code LifeCycleQuietly.stop(server)}; null is fine. */
-    public static void stop(LifeCycle part) {
+    /** {@code LifeCycles.stopQuietly(server)}; null is fine. */
+    public static void stopQuietly(LifeCycle part) {
         if (part != null) {
             try {
                 part.stop();
--- a/src/main/java/ringspindle/wire/PlainConnector.java
+++ b/src/main/java/ringspindle/transport/PlainConnector.java
@@ -1,4 +1,4 @@
-package ringspindle.wire;
+package ringspindle.transport;
 
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.ssl.SslContextFactory;
--- a/src/main/java/ringspindle/wire/Threads.java
+++ b/src/main/java/ringspindle/transport/Threads.java
@@ -1,4 +1,4 @@
-package ringspindle.wire;
+package ringspindle.transport;
 
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
--- a/src/test/java/ringspindle/FeatureTest.java
+++ b/src/test/java/ringspindle/FeatureTest.java
@@ -28,7 +28,7 @@
                         LauncherDiscoveryRequestBuilder.request()
                                 .selectors(selectPackage("features"))
                                 .filters(includeEngines("cucumber"))
-                                .configurationParameter(GLUE_PROPERTY_NAME, "ringspindle.act")
+                                .configurationParameter(GLUE_PROPERTY_NAME, "ringspindle.retry")
                                 .build(),
                         heard);
         TestExecutionSummary s = heard.getSummary();
--- a/src/test/java/ringspindle/ops/CliTest.java
+++ b/src/test/java/ringspindle/cli/CliTest.java
@@ -1,4 +1,4 @@
-package ringspindle.ops;
+package ringspindle.cli;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 import static java.nio.charset.StandardCharsets.UTF_8;
--- a/src/test/java/ringspindle/ops/FleetLedgerTest.java
+++ b/src/test/java/ringspindle/cli/FleetLedgerTest.java
@@ -1,4 +1,4 @@
-package ringspindle.ops;
+package ringspindle.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/ringspindle/conf/ConfTest.java
+++ b/src/test/java/ringspindle/config/FleetConfigTest.java
@@ -1,4 +1,4 @@
-package ringspindle.conf;
+package ringspindle.config;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -11,11 +11,11 @@
 import java.util.Map;
 import java.util.Properties;
 import org.junit.jupiter.api.Test;
-import ringspindle.conf.Checked.Good;
-import ringspindle.conf.Checked.Refused;
+import ringspindle.config.Validated.Invalid;
+import ringspindle.config.Validated.Valid;
 
 /** Settings and configurations: good ones, and every bad kind with its problem. */
-class ConfTest {
+class FleetConfigTest {
     static final String SERVICE =
             "{\"name\":\"s\",\"healthPath\":\"/health\",\"maxConnections\":10,\"warmupS\":3.0,\"warmupPerS\":21.0}";
 
@@ -30,20 +30,20 @@
     }
 
     private static FleetConfig good(String json) {
-        Checked<FleetConfig> c = FleetConfig.read(json.getBytes(UTF_8));
+        Validated<FleetConfig> c = FleetConfig.read(json.getBytes(UTF_8));
         assertInstanceOf(
-                Good.class, c, () -> ((Refused<FleetConfig>) c).problems().toString());
-        return ((Good<FleetConfig>) c).value();
+                Valid.class, c, () -> ((Invalid<FleetConfig>) c).problems().toString());
+        return ((Valid<FleetConfig>) c).value();
     }
 
-    private static Problem bad(String json) {
-        Checked<FleetConfig> c = FleetConfig.read(json.getBytes(UTF_8));
-        assertInstanceOf(Refused.class, c, json);
-        return ((Refused<FleetConfig>) c).problems().get(0);
+    private static ConfigError bad(String json) {
+        Validated<FleetConfig> c = FleetConfig.read(json.getBytes(UTF_8));
+        assertInstanceOf(Invalid.class, c, json);
+        return ((Invalid<FleetConfig>) c).problems().get(0);
     }
 
-    private static Checked<FleetConfig> patched(FleetConfig c, String patch) {
-        return c.patched(((Good<jakarta.json.JsonObject>) FleetConfig.json(patch.getBytes(UTF_8))).value());
+    private static Validated<FleetConfig> patched(FleetConfig c, String patch) {
+        return c.patched(((Valid<jakarta.json.JsonObject>) FleetConfig.json(patch.getBytes(UTF_8))).value());
     }
 
     @Test
@@ -59,30 +59,30 @@
 
     @Test
     void eachBadConfigurationHasItsProblem() {
-        assertInstanceOf(Problem.Unreadable.class, bad("{\"revision\":3,\"routes\":["));
+        assertInstanceOf(ConfigError.Unreadable.class, bad("{\"revision\":3,\"routes\":["));
         assertInstanceOf(
-                Problem.Unreadable.class, bad("{\"revision\":3,\"revision\":4,\"routes\":[],\"services\":[]}"));
-        assertInstanceOf(Problem.Unreadable.class, bad("[]"));
-        assertInstanceOf(Problem.Missing.class, bad("{\"routes\":[],\"services\":[]}"));
+                ConfigError.Unreadable.class, bad("{\"revision\":3,\"revision\":4,\"routes\":[],\"services\":[]}"));
+        assertInstanceOf(ConfigError.Unreadable.class, bad("[]"));
+        assertInstanceOf(ConfigError.Missing.class, bad("{\"routes\":[],\"services\":[]}"));
         assertInstanceOf(
-                Problem.UnknownService.class,
+                ConfigError.UnknownService.class,
                 bad(whole(1, mapping("a", "/x/", "").replace("\"service\":\"s\"", "\"service\":\"t\""))));
-        assertInstanceOf(Problem.SamePlace.class, bad(whole(1, mapping("a", "/x/", ""), mapping("b", "/x/", ""))));
-        assertInstanceOf(Problem.SameName.class, bad(whole(1, mapping("a", "/x/", ""), mapping("a", "/y/", ""))));
+        assertInstanceOf(ConfigError.SamePlace.class, bad(whole(1, mapping("a", "/x/", ""), mapping("b", "/x/", ""))));
+        assertInstanceOf(ConfigError.SameName.class, bad(whole(1, mapping("a", "/x/", ""), mapping("a", "/y/", ""))));
         assertInstanceOf(
-                Problem.NoWeight.class,
+                ConfigError.NoWeight.class,
                 bad(whole(1, mapping("a", "/x/", ",\"weightedTargets\":[{\"service\":\"s\",\"weight\":0}]"))));
         assertInstanceOf(
-                Problem.NoDeadline.class,
+                ConfigError.NoDeadline.class,
                 bad(whole(1, mapping("a", "/x/", "").replace("\"deadlineMs\":1000", "\"deadlineMs\":0"))));
-        assertInstanceOf(Problem.Unreadable.class, bad(whole(1, "{\"name\":7}")));
-        assertInstanceOf(Problem.Unreadable.class, bad("{\"revision\":1,\"routes\":{},\"services\":[]}"));
+        assertInstanceOf(ConfigError.Unreadable.class, bad(whole(1, "{\"name\":7}")));
+        assertInstanceOf(ConfigError.Unreadable.class, bad("{\"revision\":1,\"routes\":{},\"services\":[]}"));
     }
 
     @Test
     void patchesAddReplaceAndRemoveByName() {
         FleetConfig c = good(whole(1, mapping("a", "/x/", ""), mapping("b", "/y/", "")));
-        FleetConfig next = ((Good<FleetConfig>) patched(
+        FleetConfig next = ((Valid<FleetConfig>) patched(
                         c,
                         "{\"revision\":4,\"upserts\":{\"routes\":[" + mapping("b", "/z/", "") + ","
                                 + mapping("c", "/w/", "") + "]},\"removals\":{\"routes\":[\"a\"]}}"))
@@ -95,7 +95,7 @@
         assertEquals(
                 next.source(),
                 good(new String(FleetConfig.unpack(next.packed()), UTF_8)).source());
-        assertInstanceOf(Refused.class, patched(c, "{\"revision\":4,\"removals\":{\"services\":[\"s\"]}}"));
+        assertInstanceOf(Invalid.class, patched(c, "{\"revision\":4,\"removals\":{\"services\":[\"s\"]}}"));
     }
 
     @Test
@@ -118,7 +118,7 @@
                 "-3",
                 "some.field",
                 "unknown"));
-        String all = ((Refused<NodeConfig>) NodeConfig.check(p)).problems().toString();
+        String all = ((Invalid<NodeConfig>) NodeConfig.check(p)).problems().toString();
         for (String key :
                 List.of("node.region", "node.ip", "listen.inner", "seeds", "listen.frontend", "bound.graceS")) {
             assertTrue(all.contains(key), key + " is not named in " + all);
--- a/src/test/java/ringspindle/conf/SettingsTest.java
+++ b/src/test/java/ringspindle/config/SettingsTest.java
@@ -1,4 +1,4 @@
-package ringspindle.conf;
+package ringspindle.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.fail;
@@ -11,7 +11,7 @@
 
 /** What a changed settings file changes in a running node, what it does not, and that a bad one changes nothing. */
 class SettingsTest {
-    private static Checked<NodeConfig> file(String... changes) {
+    private static Validated<NodeConfig> file(String... changes) {
         Properties p = new Properties();
         p.putAll(Map.of(
                 "node.name",
@@ -38,8 +38,8 @@
         return NodeConfig.check(p);
     }
 
-    private static NodeConfig good(Checked<NodeConfig> c) {
-        return ((Checked.Good<NodeConfig>) c).value();
+    private static NodeConfig good(Validated<NodeConfig> c) {
+        return ((Validated.Valid<NodeConfig>) c).value();
     }
 
     @Test
--- a/src/test/java/ringspindle/cp/CallIdsTest.java
+++ b/src/test/java/ringspindle/controlplane/CallIdsTest.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -8,16 +8,16 @@
 import java.util.Properties;
 import org.junit.jupiter.api.Test;
 import ringspindle.api.Outcome;
-import ringspindle.conf.Checked;
-import ringspindle.conf.NodeConfig;
-import ringspindle.wire.Means;
-import ringspindle.wire.Mesh;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.Heartbeat;
-import ringspindle.wire.Msg.Hello;
-import ringspindle.wire.Msg.Reply;
-import ringspindle.wire.NodeId;
+import ringspindle.config.NodeConfig;
+import ringspindle.config.Validated;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.Message.Reply;
+import ringspindle.protocol.NodeId;
+import ringspindle.transport.Mesh;
+import ringspindle.transport.NodeEnvironment;
 
 /** A reply to a call of an earlier process meets no call of this one, though both drew the same life. */
 class CallIdsTest {
@@ -27,11 +27,11 @@
 
     /** Keeps what is sent. */
     private static final class Sent implements Mesh {
-        final List<Msg> toHead = new ArrayList<>();
-        Ear ear;
+        final List<Message> toHead = new ArrayList<>();
+        Listener ear;
 
         @Override
-        public void open(Ear e) {
+        public void open(Listener e) {
             ear = e;
         }
 
@@ -41,7 +41,7 @@
         }
 
         @Override
-        public void send(NodeId peer, Msg m) {
+        public void send(NodeId peer, Message m) {
             if (peer.equals(HEAD)) {
                 toHead.add(m);
             }
@@ -66,7 +66,7 @@
     private final Sent mesh = new Sent();
     private final List<Outcome> outcomes = new ArrayList<>();
     private long nowMs = 1000;
-    private HollowControl control;
+    private HollowControlNode control;
 
     private void start(long chance) throws Exception {
         Properties p = new Properties();
@@ -91,9 +91,11 @@
                 "1",
                 "node.bootstrap",
                 "true"));
-        NodeConfig config = ((Checked.Good<NodeConfig>) NodeConfig.check(p)).value();
-        control = new HollowControl(
-                config, new Means(() -> nowMs, LIFE, () -> chance, Runnable::run, hello -> mesh), (inMs, r) -> {});
+        NodeConfig config = ((Validated.Valid<NodeConfig>) NodeConfig.check(p)).value();
+        control = new HollowControlNode(
+                config,
+                new NodeEnvironment(() -> nowMs, LIFE, () -> chance, Runnable::run, hello -> mesh),
+                (inMs, r) -> {});
         for (NodeId n : List.of(HEAD, THIRD)) {
             mesh.ear.opened(new Hello(n, 1, 0, n.bits(), n.toString(), "z", "r"));
             // one heartbeat goes out when a connection opens
--- a/src/test/java/ringspindle/cp/DiskStorageTest.java
+++ b/src/test/java/ringspindle/controlplane/DiskStorageTest.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -7,15 +7,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import ringspindle.disk.Disk;
-import ringspindle.disk.UnreadableStorageException;
-import ringspindle.disk.UnreadableStorageException.Reason;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Entry;
-import ringspindle.wire.Msg.Op;
-import ringspindle.wire.Msg.Relearn;
-import ringspindle.wire.Msg.Vote;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Entry;
+import ringspindle.protocol.Message.Op;
+import ringspindle.protocol.Message.Relearn;
+import ringspindle.protocol.Message.Vote;
+import ringspindle.storage.Disk;
+import ringspindle.storage.UnreadableStorageException;
+import ringspindle.storage.UnreadableStorageException.Reason;
 
 /** Only what a control node writes is read back as its state. */
 class DiskStorageTest {
@@ -24,7 +24,7 @@
     @TempDir
     Path folder;
 
-    private void write(Msg record) throws Exception {
+    private void write(Message record) throws Exception {
         Disk disk = Disk.open(folder);
         disk.load();
         disk.append(List.of(record));
@@ -40,7 +40,7 @@
 
     @Test
     void otherMessagesAndUnreadableOperationsAreRefused() throws Exception {
-        List<Msg> unknown =
+        List<Message> unknown =
                 List.of(new Relearn(1), new Entry(1, 1, Codec.encode(VOTE)), new Entry(1, 1, new byte[] {1, 2, 3}));
         for (int i = 0; i < unknown.size(); i++) {
             Disk disk = Disk.open(folder);
--- a/src/test/java/ringspindle/cp/DiskThreadGroupsTest.java
+++ b/src/test/java/ringspindle/controlplane/DiskThreadGroupsTest.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ringspindle.chain.Chain.Out.Store;
-import ringspindle.disk.Disk;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Entry;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Entry;
+import ringspindle.replication.ReplicatedState.Out.Store;
+import ringspindle.storage.Disk;
 
 /** Groups and images, step by step without a thread: nothing is written twice or out of order, and the log stays short. */
 class DiskThreadGroupsTest {
@@ -23,7 +23,7 @@
 
     /** Keeps what counts, as after a load; refuses at will. */
     private static final class MemoryDisk implements Disk {
-        final List<Msg> records = new ArrayList<>();
+        final List<Message> records = new ArrayList<>();
         BooleanSupplier refusesAppends = () -> false;
         BooleanSupplier refusesImages = () -> false;
         long logBytes;
@@ -36,12 +36,12 @@
         }
 
         @Override
-        public List<Msg> load() {
+        public List<Message> load() {
             return records;
         }
 
         @Override
-        public void append(List<Msg> added) throws IOException {
+        public void append(List<Message> added) throws IOException {
             refuseIf(refusesAppends);
             records.addAll(added);
             logBytes += added.stream()
@@ -51,7 +51,7 @@
         }
 
         @Override
-        public void image(List<Msg> all) throws IOException {
+        public void image(List<Message> all) throws IOException {
             refuseIf(refusesImages);
             records.clear();
             records.addAll(all);
--- a/src/test/java/ringspindle/cp/DiskThreadTest.java
+++ b/src/test/java/ringspindle/controlplane/DiskThreadTest.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,17 +10,17 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import ringspindle.chain.Chain.Out.Store;
-import ringspindle.disk.Disk;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Synced;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Synced;
+import ringspindle.replication.ReplicatedState.Out.Store;
+import ringspindle.storage.Disk;
 
 /** A disk that is full for a while: nothing is told to be stored that is not, nothing is lost, and it goes on by itself. */
 @Timeout(60)
 class DiskThreadTest {
     /** Refuses a number of writes, as a full disk does, and notes what was written when. */
     private static final class FullDisk implements Disk {
-        final List<Msg> written = Collections.synchronizedList(new ArrayList<>());
+        final List<Message> written = Collections.synchronizedList(new ArrayList<>());
         final CountDownLatch refused;
 
         FullDisk(int times) {
@@ -28,12 +28,12 @@
         }
 
         @Override
-        public List<Msg> load() {
+        public List<Message> load() {
             return List.of();
         }
 
         @Override
-        public void append(List<Msg> records) throws IOException {
+        public void append(List<Message> records) throws IOException {
             if (refused.getCount() > 0) {
                 refused.countDown();
                 throw new IOException("No space left on device");
@@ -42,7 +42,7 @@
         }
 
         @Override
-        public void image(List<Msg> records) throws IOException {
+        public void image(List<Message> records) throws IOException {
             append(records);
         }
 
--- a/src/test/java/ringspindle/cp/EngineFileTest.java
+++ b/src/test/java/ringspindle/controlplane/EngineFileTest.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,10 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.Msg.Relearn;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.Relearn;
 
 /** The hint of engines comes back after a restart, and a broken one counts as none. */
 class EngineFileTest {
@@ -20,14 +20,14 @@
     Path folder;
 
     private static final byte[] ENGINE = Codec.encode(new Engine(8, 0, false, 0, -1, "chat", "10.0.0.1:80", "a", "r1"));
-    private static final List<Item> TWO = List.of(new Item(4, "i-1", 0, 7, ENGINE), new Item(4, "i-2", 0, 9, ENGINE));
+    private static final List<Fact> TWO = List.of(new Fact(4, "i-1", 0, 7, ENGINE), new Fact(4, "i-2", 0, 9, ENGINE));
 
     private EngineFile file() {
         return new EngineFile(folder.resolve("engines"), Runnable::run);
     }
 
-    private static List<String> keys(List<Item> items) {
-        return items.stream().map(Item::key).toList();
+    private static List<String> keys(List<Fact> items) {
+        return items.stream().map(Fact::key).toList();
     }
 
     @Test
@@ -68,7 +68,7 @@
         byte[] foreign = ENGINE.clone();
         foreign[2] = 99;
         for (byte[] value : List.of(foreign, new byte[] {1}, Codec.encode(new Relearn(1)))) {
-            file().keep(List.of(TWO.get(0), new Item(4, "i-2", 0, 9, value)));
+            file().keep(List.of(TWO.get(0), new Fact(4, "i-2", 0, 9, value)));
             assertEquals(List.of(), file().load());
         }
     }
--- a/src/test/java/ringspindle/cp/ReportsTest.java
+++ b/src/test/java/ringspindle/controlplane/EngineReportClientTest.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -22,7 +22,7 @@
 
 /** An engine's report tells whether it is free to swap; what is no report says nothing. */
 @Timeout(60)
-class ReportsTest {
+class EngineReportClientTest {
     private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
     private QueuedThreadPool pool;
     private ScheduledExecutorScheduler beats;
@@ -73,7 +73,8 @@
 
     @Test
     void reportsAreReadAndRubbishIsNot() throws Exception {
-        Reports r = new Reports(pool, beats).tell((id, active, queued) -> heard.add(id + " " + active + " " + queued));
+        EngineReportClient r = new EngineReportClient(pool, beats)
+                .tell((id, active, queued) -> heard.add(id + " " + active + " " + queued));
         String good = "{\"phase\":\"combined\",\"models\":[],\"active\":3,\"queued\":1}";
         r.ask("i-1", engine("not json", good));
         r.ask("i-0", null);
--- a/src/test/java/ringspindle/cp/HollowControl.java
+++ b/src/test/java/ringspindle/controlplane/HollowControlNode.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import java.util.Collection;
 import java.util.List;
@@ -8,20 +8,20 @@
 import java.util.function.LongConsumer;
 import org.eclipse.jetty.server.Handler;
 import ringspindle.api.Outcome;
-import ringspindle.chain.Chain;
-import ringspindle.conf.NodeConfig;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Means;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.NodeId;
+import ringspindle.config.NodeConfig;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.NodeId;
+import ringspindle.replication.ReplicatedState;
+import ringspindle.transport.NodeEnvironment;
 
 /** A real control node without sockets and disk: ticked, called and fed from outside. */
-public final class HollowControl {
+public final class HollowControlNode {
     private static final int SYNC_MS = 2;
 
-    private final Control control;
+    private final ControlNode control;
 
     /** A timer of whoever runs it. */
     public interface Later {
@@ -30,15 +30,15 @@
     }
 
     /** Starts a control node with storage that only delays. */
-    public HollowControl(NodeConfig config, Means means, Later later) throws Exception {
-        control = new Control(
+    public HollowControlNode(NodeConfig config, NodeEnvironment means, Later later) throws Exception {
+        control = new ControlNode(
                 config,
                 means,
                 new Storage() {
                     private LongConsumer stored;
 
                     @Override
-                    public List<Msg> load() {
+                    public List<Message> load() {
                         return List.of();
                     }
 
@@ -48,18 +48,18 @@
                     }
 
                     @Override
-                    public void take(Chain.Out.Store s) {
+                    public void take(ReplicatedState.Out.Store s) {
                         s.records().forEach(Codec::encode);
                         later.at(SYNC_MS, () -> stored.accept(s.token()));
                     }
 
                     @Override
-                    public List<Item> engines() {
+                    public List<Fact> engines() {
                         return List.of();
                     }
 
                     @Override
-                    public void keep(Collection<Item> engines) {
+                    public void keep(Collection<Fact> engines) {
                         // a hint that nobody reads here
                     }
                 },
@@ -69,7 +69,7 @@
 
     /** Milliseconds between two ticks. */
     public static int tickMs() {
-        return Control.TICK_MS;
+        return ControlNode.TICK_MS;
     }
 
     /** Does the periodic work. */
@@ -84,12 +84,12 @@
 
     /** Puts a configuration that builds on a revision. */
     public void put(long base, byte[] body, Consumer<Outcome> then) {
-        control.call(Chain.PUT, base, "", body, (o, b) -> then.accept(o));
+        control.call(ReplicatedState.PUT, base, "", body, (o, b) -> then.accept(o));
     }
 
     /** Puts serving rules that build on a revision. */
     public void rules(long base, byte[] body, Consumer<Outcome> then) {
-        control.call(Chain.RULES, base, "", body, (o, b) -> then.accept(o));
+        control.call(ReplicatedState.RULES, base, "", body, (o, b) -> then.accept(o));
     }
 
     /** What nodes that report here say they follow. */
@@ -103,7 +103,7 @@
 
     /** The calls of engines, operators and consumers, for a server of whoever runs it. */
     public Handler gate() {
-        return new Gate(control);
+        return new ControlApiHandler(control);
     }
 
     /** True while the node is in touch with a majority of the voters. */
@@ -127,7 +127,7 @@
     }
 
     /** The sum of all reports that came in. */
-    public ringspindle.sum.Sum total() {
+    public ringspindle.telemetry.LoadSummary total() {
         return control.total();
     }
 }
--- a/src/test/java/ringspindle/cp/MajorityProofTest.java
+++ b/src/test/java/ringspindle/controlplane/MajorityProofTest.java
@@ -1,4 +1,4 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import ringspindle.cp.MajorityProof.Contact;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.controlplane.MajorityProof.Contact;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
 
 /** A majority is proven as of a time, and not beyond it. */
 class MajorityProofTest {
--- a/src/test/java/ringspindle/cp/LedgersTest.java
+++ b/src/test/java/ringspindle/controlplane/RequestLedgersTest.java
@@ -1,16 +1,16 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import ringspindle.wire.Msg.LedgerReport;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.LedgerReport;
+import ringspindle.protocol.NodeId;
 
 /** The newest ledger of each of the last lives of a node, whatever numbers the lives have. */
-class LedgersTest {
+class RequestLedgersTest {
     private static final NodeId A = NodeId.of("10.0.0.1:7001");
-    private final Ledgers ledgers = new Ledgers();
+    private final RequestLedgers ledgers = new RequestLedgers();
 
     private void take(long life, long seq) {
         ledgers.take(A, new LedgerReport(life, seq, 0, 0, 0, List.of()));
--- a/src/test/java/ringspindle/cp/HandoverTest.java
+++ b/src/test/java/ringspindle/controlplane/ShutdownHandoverTest.java
@@ -1,23 +1,23 @@
-package ringspindle.cp;
+package ringspindle.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import ringspindle.cp.Handover.Holder;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.controlplane.ShutdownHandover.Holder;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
 
 /** A node ends once a majority of the others follow the view without it and hold what it holds. */
-class HandoverTest {
+class ShutdownHandoverTest {
     private static final NodeId A = NodeId.of("10.0.0.1:7000");
     private static final NodeId B = NodeId.of("10.0.0.2:7000");
     private static final NodeId C = NodeId.of("10.0.0.3:7000");
     private static final View WITHOUT_A = new View(5, List.of(A, B, C), List.of(B, C));
 
     private static boolean done(View view, Holder... holders) {
-        return Handover.done(A, view, 7, List.of(holders));
+        return ShutdownHandover.done(A, view, 7, List.of(holders));
     }
 
     private static Holder holder(NodeId n) {
--- a/src/test/java/ringspindle/dp/HollowData.java
+++ b/src/test/java/ringspindle/dataplane/HollowDataNode.java
@@ -1,34 +1,34 @@
-package ringspindle.dp;
+package ringspindle.dataplane;
 
 import java.util.Map;
-import ringspindle.conf.FleetConfig;
-import ringspindle.conf.NodeConfig;
-import ringspindle.edge.Edge;
-import ringspindle.pick.Picker;
-import ringspindle.rule.Ledger;
-import ringspindle.rule.ServingRules;
-import ringspindle.wire.Means;
-import ringspindle.wire.Msg.LedgerReport;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.NodeConfig;
+import ringspindle.loadbalancing.LoadBalancer;
+import ringspindle.protocol.Message.LedgerReport;
+import ringspindle.proxy.Proxy;
+import ringspindle.routing.RequestLedger;
+import ringspindle.routing.ServingRules;
+import ringspindle.transport.NodeEnvironment;
 
 /** A real data node's knowledge and choices without its clients' side: ticked from outside. */
-public final class HollowData implements Edge {
-    private final Data data;
-    private final Picker picker;
+public final class HollowDataNode implements Proxy {
+    private final DataNode data;
+    private final LoadBalancer picker;
     private boolean confirmed;
     private long revision = -1;
     private long rules;
     private long digest;
 
     /** Starts a data node without a listener. */
-    public HollowData(NodeConfig config, Means means) throws Exception {
-        picker = Picker.create(config);
-        data = new Data(config, this, picker, means);
+    public HollowDataNode(NodeConfig config, NodeEnvironment means) throws Exception {
+        picker = LoadBalancer.create(config);
+        data = new DataNode(config, this, picker, means);
         data.start();
     }
 
     /** Milliseconds between two ticks. */
     public static int tickMs() {
-        return Data.TICK_MS;
+        return DataNode.TICK_MS;
     }
 
     /** Does the periodic work. */
@@ -37,7 +37,7 @@
     }
 
     /** The node's choice of engines. */
-    public Picker picker() {
+    public LoadBalancer picker() {
         return picker;
     }
 
@@ -61,7 +61,7 @@
 
     @Override
     public LedgerReport ledger(long life, long seq) {
-        return new Ledger().report(life, seq, rules, digest);
+        return new RequestLedger().report(life, seq, rules, digest);
     }
 
     /** The serving rules in force here, 0 while there are none. */
--- a/src/test/java/ringspindle/know/BookTest.java
+++ b/src/test/java/ringspindle/gossip/FactStoreTest.java
@@ -1,4 +1,4 @@
-package ringspindle.know;
+package ringspindle.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,24 +7,24 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.NodeId;
 
 /** News spreads over lossy gossip, the newer wins, and digests mend what was lost. */
-class BookTest {
-    private static Item item(int kind, String key, long life, long version) {
-        return new Item(kind, key, life, version, new byte[] {(byte) version});
+class FactStoreTest {
+    private static Fact item(int kind, String key, long life, long version) {
+        return new Fact(kind, key, life, version, new byte[] {(byte) version});
     }
 
     @Test
     void newerWinsWhateverTheOrder() {
-        List<Item> items = List.of(
+        List<Fact> items = List.of(
                 item(1, "", 0, 3), item(1, "", 0, 9), item(1, "", 0, 5), item(5, "n", 7, 2), item(5, "n", 8, 1));
         Random luck = new Random(1);
         for (int i = 0; i < 50; i++) {
-            List<Item> mixed = new ArrayList<>(items);
+            List<Fact> mixed = new ArrayList<>(items);
             Collections.shuffle(mixed, luck);
-            Book b = Book.create();
+            FactStore b = FactStore.create();
             mixed.forEach(x -> b.merge(List.of(x)));
             assertEquals(9, b.get(1, "").version());
             assertEquals(8, b.get(5, "n").life());
@@ -36,10 +36,10 @@
         for (long seed = 1; seed <= 20; seed++) {
             Random luck = new Random(seed);
             int n = 9;
-            List<Book> books = new ArrayList<>();
+            List<FactStore> books = new ArrayList<>();
             List<NodeId> ids = new ArrayList<>();
             for (int i = 0; i < n; i++) {
-                books.add(Book.create());
+                books.add(FactStore.create());
                 ids.add(NodeId.of("10.0.0." + (i + 1) + ":7721"));
             }
             for (int round = 0; round < 400; round++) {
@@ -53,14 +53,14 @@
                     pass(books, ids, to, i, luck, round);
                 }
             }
-            for (Book b : books) {
+            for (FactStore b : books) {
                 assertEquals(books.get(0).digest(), b.digest(), "seed " + seed);
             }
         }
     }
 
-    private static void pass(List<Book> books, List<NodeId> ids, int from, int to, Random luck, int round) {
-        List<Item> items = books.get(from).pending(ids.get(to), 64);
+    private static void pass(List<FactStore> books, List<NodeId> ids, int from, int to, Random luck, int round) {
+        List<Fact> items = books.get(from).pending(ids.get(to), 64);
         if (luck.nextInt(4) != 0) {
             books.get(to).merge(items);
             books.get(to).told(ids.get(from), items);
@@ -72,13 +72,13 @@
 
     @Test
     void whatAPeerSaidDoesNotGoBackToIt() {
-        Book b = Book.create();
+        FactStore b = FactStore.create();
         NodeId peer = NodeId.of("10.0.0.1:1");
-        List<Item> said = List.of(item(4, "i-1", 0, 1));
+        List<Fact> said = List.of(item(4, "i-1", 0, 1));
         b.merge(said);
         b.told(peer, said);
         b.merge(List.of(item(4, "i-2", 0, 1)));
-        assertEquals(List.of("i-2"), b.pending(peer, 10).stream().map(Item::key).toList());
+        assertEquals(List.of("i-2"), b.pending(peer, 10).stream().map(Fact::key).toList());
         assertEquals(List.of(), b.pending(peer, 10));
     }
 }
--- a/src/test/java/ringspindle/pick/PickerTest.java
+++ b/src/test/java/ringspindle/loadbalancing/LoadBalancerTest.java
@@ -1,4 +1,4 @@
-package ringspindle.pick;
+package ringspindle.loadbalancing;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -18,31 +18,31 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import ringspindle.act.Action.End;
-import ringspindle.conf.Checked;
-import ringspindle.conf.FleetConfig;
-import ringspindle.conf.NodeConfig;
-import ringspindle.pick.Picker.Ask;
-import ringspindle.pick.Picker.Choice;
-import ringspindle.pick.Picker.Chosen;
-import ringspindle.pick.Picker.Steer;
-import ringspindle.rule.Step;
-import ringspindle.sum.Kind;
-import ringspindle.sum.Sum;
-import ringspindle.sum.Tally;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.EngineLoad;
-import ringspindle.wire.Msg.Lease;
-import ringspindle.wire.Msg.Load;
-import ringspindle.wire.Msg.RegionLoad;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.NodeConfig;
+import ringspindle.config.Validated;
+import ringspindle.loadbalancing.LoadBalancer.Ask;
+import ringspindle.loadbalancing.LoadBalancer.Choice;
+import ringspindle.loadbalancing.LoadBalancer.Chosen;
+import ringspindle.loadbalancing.LoadBalancer.Steer;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.EngineLoad;
+import ringspindle.protocol.Message.Lease;
+import ringspindle.protocol.Message.Load;
+import ringspindle.protocol.Message.RegionLoad;
+import ringspindle.retry.Action.End;
+import ringspindle.routing.FallbackTarget;
+import ringspindle.telemetry.AttemptCounts;
+import ringspindle.telemetry.LoadSummary;
+import ringspindle.telemetry.RequestKind;
 
 /** Who may be asked, and that shares summed over nodes keep their bounds in every sliding window. */
-class PickerTest {
-    private static Picker picker(String zone, String region) {
+class LoadBalancerTest {
+    private static LoadBalancer picker(String zone, String region) {
         return picker("n", zone, region);
     }
 
-    private static Picker picker(String name, String zone, String region) {
+    private static LoadBalancer picker(String name, String zone, String region) {
         Properties p = new Properties();
         p.putAll(Map.of(
                 "node.name",
@@ -72,10 +72,10 @@
                 "1.5",
                 "bound.warmupSlack",
                 "5"));
-        Picker out = Picker.create(((Checked.Good<NodeConfig>) NodeConfig.check(p)).value());
+        LoadBalancer out = LoadBalancer.create(((Validated.Valid<NodeConfig>) NodeConfig.check(p)).value());
         String json =
                 "{\"revision\":1,\"routes\":[],\"services\":[{\"name\":\"s\",\"maxConnections\":100,\"warmupS\":3,\"warmupPerS\":20}]}";
-        out.config(((Checked.Good<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value());
+        out.config(((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value());
         return out;
     }
 
@@ -97,7 +97,7 @@
 
     @Test
     void homesDrainsEvacuationsTurnsAndWeightsBind() {
-        Picker p = picker("a1", "a");
+        LoadBalancer p = picker("a1", "a");
         p.lease(new Lease(1, 1, 100_000), 0);
         p.engine("i-a", engine("a1", 1, 0, false), 1, 0);
         p.engine("i-b", engine("b1", 2, 0, false), 1, 0);
@@ -120,7 +120,7 @@
 
     @Test
     void consumerCancelsNeverMakeAnEngineSuspect() {
-        Picker p = picker("a1", "a");
+        LoadBalancer p = picker("a1", "a");
         p.engine("i-a", engine("a1", 1, 0, false), 1, 0);
         for (int i = 0; i < 50; i++) {
             assertEquals("i-a", id(p.choose(any(), 100 + i)));
@@ -132,7 +132,7 @@
 
     @Test
     void silenceMakesAnEngineSuspectUntilAProbeSaysOtherwise() {
-        Picker p = picker("a1", "a");
+        LoadBalancer p = picker("a1", "a");
         p.engine("i-a", engine("a1", 1, 0, false), 1, 0);
         p.choose(any(), 0);
         p.sent("i-a", 0);
@@ -148,7 +148,7 @@
         for (long seed = 1; seed <= 10; seed++) {
             Random luck = new Random(seed);
             int nodes = 9;
-            List<Picker> all = new ArrayList<>();
+            List<LoadBalancer> all = new ArrayList<>();
             for (int i = 0; i < nodes; i++) {
                 all.add(picker("a1", "a"));
             }
@@ -159,7 +159,7 @@
                 if (nowMs % 1000 == 0) {
                     all.forEach(x -> x.lease(new Lease(1, nodes, 3000), at));
                 }
-                Picker p = all.get(luck.nextInt(nodes));
+                LoadBalancer p = all.get(luck.nextInt(nodes));
                 p.asked("s", nowMs);
                 asked.add(nowMs);
                 for (int i = 0; i < 2; i++) {
@@ -184,7 +184,7 @@
     void manyNodesKeepTheBudgetWhileLeasesComeAndGo() {
         for (int nodes : new int[] {80, 300}) {
             Random luck = new Random(nodes);
-            List<Picker> all = new ArrayList<>();
+            List<LoadBalancer> all = new ArrayList<>();
             for (int i = 0; i < nodes; i++) {
                 all.add(picker("a1", "a"));
             }
@@ -197,7 +197,7 @@
                 if (nowMs % 1000 == 0 && held) {
                     all.forEach(x -> x.lease(new Lease(1 + at / 20_000, nodes, 3000), at));
                 }
-                Picker p = all.get(luck.nextInt(nodes));
+                LoadBalancer p = all.get(luck.nextInt(nodes));
                 p.asked("s", nowMs);
                 asked.add(nowMs);
                 for (int i = 0; i < 3; i++) {
@@ -218,7 +218,7 @@
 
     @Test
     void withoutALeaseOnlyWhatOwnRequestsEarn() {
-        Picker p = picker("a1", "a");
+        LoadBalancer p = picker("a1", "a");
         p.lease(new Lease(1, 9, 3000), 0);
         assertTrue(p.takeRetry("s", 100));
         assertFalse(picker("a1", "a").takeRetry("s", 100));
@@ -230,16 +230,16 @@
     @Test
     void coldEngineGetsNoMoreThanItBearsInAnySecond() {
         int nodes = 9;
-        List<Picker> all = new ArrayList<>();
+        List<LoadBalancer> all = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            Picker p = picker("a1", "a");
+            LoadBalancer p = picker("a1", "a");
             p.lease(new Lease(1, nodes, 100_000), 0);
             p.engine("i-a", engine("a1", 1, 20_000, false), 1, 0);
             all.add(p);
         }
         List<Long> sent = new ArrayList<>();
         for (long nowMs = 0; nowMs < 15_000; nowMs += 5) {
-            for (Picker p : all) {
+            for (LoadBalancer p : all) {
                 if (p.choose(any(), nowMs) instanceof Chosen) {
                     sent.add(nowMs);
                     p.ended("i-a", any(), End.ANSWERED, 10, nowMs);
@@ -258,7 +258,7 @@
     void oneHeadOfPromptsLivesAtOneEngineForAllNodes() {
         Set<String> where = new HashSet<>();
         for (int n = 0; n < 6; n++) {
-            Picker p = picker(n % 2 == 0 ? "a1" : "b1", n % 2 == 0 ? "a" : "b");
+            LoadBalancer p = picker(n % 2 == 0 ? "a1" : "b1", n % 2 == 0 ? "a" : "b");
             for (int i = 1; i <= 6; i++) {
                 p.engine("i-" + i, engine(i % 2 == 0 ? "a1" : "b1", i, 0, false), 1, 0);
             }
@@ -269,7 +269,7 @@
 
     private static Load load(Map<String, int[]> byEngine, String... regions) {
         List<EngineLoad> rows = new ArrayList<>();
-        byEngine.forEach((id, n) -> rows.add(new EngineLoad(Sum.key(id), n[0], n[1], n[2], 0)));
+        byEngine.forEach((id, n) -> rows.add(new EngineLoad(LoadSummary.key(id), n[0], n[1], n[2], 0)));
         List<RegionLoad> there = new ArrayList<>();
         for (String r : regions) {
             there.add(new RegionLoad(r, "s", 3, 90, 6, 10, 0));
@@ -277,7 +277,7 @@
         return new Load(1, 1, rows, there);
     }
 
-    private static Map<String, Integer> choices(Picker p, int n, long nowMs) {
+    private static Map<String, Integer> choices(LoadBalancer p, int n, long nowMs) {
         Map<String, Integer> out = new TreeMap<>();
         Random luck = new Random(5);
         for (int i = 0; i < n; i++) {
@@ -291,7 +291,7 @@
 
     @Test
     void engineThatFailsPartOfItsRequestsGetsATrickleWhateverItsHealthSays() {
-        Picker p = picker("a1", "a");
+        LoadBalancer p = picker("a1", "a");
         for (int i = 1; i <= 6; i++) {
             p.engine("i-" + i, engine("a1", i, 0, false), 1, 0);
         }
@@ -312,7 +312,7 @@
 
     @Test
     void whatAllEnginesFailIsNoEnginesFault() {
-        Picker p = picker("a1", "a");
+        LoadBalancer p = picker("a1", "a");
         Map<String, int[]> all = new HashMap<>();
         for (int i = 1; i <= 6; i++) {
             p.engine("i-" + i, engine("a1", i, 0, false), 1, 0);
@@ -326,7 +326,7 @@
 
     @Test
     void neverSoManyAreSparedThatTheRestCouldNotCarryTheLoad() {
-        Picker p = picker("a1", "a");
+        LoadBalancer p = picker("a1", "a");
         Map<String, int[]> most = new HashMap<>();
         for (int i = 1; i <= 6; i++) {
             p.engine("i-" + i, engine("a1", i, 0, false), 1, 0);
@@ -344,7 +344,7 @@
 
     @Test
     void othersLoadCountsWhileItIsFresh() {
-        Picker p = picker("a1", "a");
+        LoadBalancer p = picker("a1", "a");
         p.engine("i-1", engine("a1", 1, 0, false), 1, 0);
         p.engine("i-2", engine("a1", 2, 0, false), 1, 0);
         p.load(load(Map.of("i-1", new int[] {5, 0, 40}, "i-2", new int[] {5, 0, 2})), 100);
@@ -354,7 +354,7 @@
 
     @Test
     void silentEnginesAndRegionsOfWhichNothingIsHeardComeLast() {
-        Picker p = picker("a1", "a");
+        LoadBalancer p = picker("a1", "a");
         p.engine("i-a", engine("a1", 1, 0, false), 1, 0);
         p.engine("i-b", engine("b1", 2, 0, false), 1, 0);
         Ask digest = new Ask("s", Set.of(), 4712, 13_000, 3000, 100, Set.of(), -1, 1);
@@ -373,36 +373,36 @@
 
     @Test
     void resetOfAForgottenConnectionSaysNothingOfTheEngine() {
-        Picker p = picker("a1", "a");
+        LoadBalancer p = picker("a1", "a");
         p.engine("i-a", engine("a1", 1, 0, false), 1, 0);
         for (int i = 0; i < 6; i++) {
             p.choose(any(), 100 + i);
-            p.ended("i-a", any(), End.BROKEN, Picker.STALE_MS, 101 + i);
+            p.ended("i-a", any(), End.BROKEN, LoadBalancer.STALE_MS, 101 + i);
         }
         assertEquals(List.of(), p.probes(200));
-        assertEquals(0, p.report(200).all(Sum.key("i-a")).failed());
+        assertEquals(0, p.report(200).all(LoadSummary.key("i-a")).failed());
         for (int i = 0; i < 6; i++) {
             p.choose(any(), 300 + i);
             p.ended("i-a", any(), End.BROKEN, -1, 301 + i);
         }
-        assertEquals(6, p.report(400).all(Sum.key("i-a")).failed());
+        assertEquals(6, p.report(400).all(LoadSummary.key("i-a")).failed());
         assertEquals(1, p.probes(400).size());
     }
 
     @Test
     void reportHoldsWhatWasSeenLatelyAndWhatRuns() {
-        Picker p = picker("a1", "a");
+        LoadBalancer p = picker("a1", "a");
         p.engine("i-a", engine("a1", 1, 0, false), 1, 0);
         Ask digest = new Ask("s", Set.of(), 4712, 13_000, 3000, 100, Set.of(), -1, 1);
         p.choose(digest, 100);
         p.choose(any(), 100);
         p.ended("i-a", any(), End.ANSWERED, 120, 200);
-        Sum s = p.report(300);
-        assertEquals(1, s.of(Sum.key("i-a"), Kind.LONG).running());
-        assertEquals(1, s.of(Sum.key("i-a"), Kind.SHORT).answered());
-        assertEquals(1, s.of(Sum.key("i-a"), Kind.SHORT).firsts()[1]);
+        LoadSummary s = p.report(300);
+        assertEquals(1, s.of(LoadSummary.key("i-a"), RequestKind.LONG).running());
+        assertEquals(1, s.of(LoadSummary.key("i-a"), RequestKind.SHORT).answered());
+        assertEquals(1, s.of(LoadSummary.key("i-a"), RequestKind.SHORT).firsts()[1]);
         p.ended("i-a", digest, End.PARENT_ENDED, -1, 400);
-        Tally later = p.report(2500).all(Sum.key("i-a"));
+        AttemptCounts later = p.report(2500).all(LoadSummary.key("i-a"));
         assertTrue(later.empty(), "clients' cancels stay out, what is old goes: " + later);
     }
 
@@ -410,16 +410,16 @@
     @Test
     void coldEngineKeepsItsBoundHoweverManyNodesThereAre() {
         for (int nodes : new int[] {24, 40, 77, 300}) {
-            List<Picker> all = new ArrayList<>();
+            List<LoadBalancer> all = new ArrayList<>();
             for (int i = 0; i < nodes; i++) {
-                Picker p = picker("n-" + i, "a1", "a");
+                LoadBalancer p = picker("n-" + i, "a1", "a");
                 p.lease(new Lease(1, nodes, 100_000), 0);
                 p.engine("i-a", engine("a1", 1, 60_000, false), 1, 0);
                 all.add(p);
             }
             List<Long> sent = new ArrayList<>();
             for (long nowMs = 0; nowMs < 30_000; nowMs += 10) {
-                for (Picker p : all) {
+                for (LoadBalancer p : all) {
                     if (p.choose(any(), nowMs) instanceof Chosen) {
                         sent.add(nowMs);
                         p.ended("i-a", any(), End.ANSWERED, 10, nowMs);
@@ -439,32 +439,33 @@
         return new Ask("s", Set.of(), affinity, 13_000, 3000, 100, Set.of(), -1, 7, steer);
     }
 
-    private static Step step(Step.To to, int waitMs) {
-        return new Step(to, List.of(), waitMs);
+    private static FallbackTarget step(FallbackTarget.To to, int waitMs) {
+        return new FallbackTarget(to, List.of(), waitMs);
     }
 
     /** Six engines, three of them here; returns them by rank for the key 4711. */
-    private static List<String> six(Picker p) {
+    private static List<String> six(LoadBalancer p) {
         List<String> ids = new ArrayList<>();
         for (int i = 1; i <= 6; i++) {
             p.engine("i-" + i, engine(i % 2 == 0 ? "a1" : "b1", i, 0, false), 1, 0);
             ids.add("i-" + i);
         }
-        ids.sort(Comparator.comparingLong(id -> Rendezvous.rank(Sum.key(id), 4711)));
+        ids.sort(Comparator.comparingLong(id -> RendezvousHash.rank(LoadSummary.key(id), 4711)));
         return ids;
     }
 
     @Test
     void busyHolderIsWaitedForAndThenItsPlacesAreTriedInOrder() {
-        Picker p = picker("a1", "a");
+        LoadBalancer p = picker("a1", "a");
         List<String> ranked = six(p);
-        List<Step> busy = List.of(step(Step.To.NEXT, 100), step(Step.To.REGION, 200));
+        List<FallbackTarget> busy = List.of(step(FallbackTarget.To.NEXT, 100), step(FallbackTarget.To.REGION, 200));
         assertEquals(ranked.get(0), id(p.choose(steered(new Steer(0, 1.5, busy, List.of(), 0), 4711), 10)));
         // far more than its share runs there
         Map<String, int[]> seen = new HashMap<>();
         ranked.forEach(i -> seen.put(i, new int[] {1, 0, 1}));
         List<EngineLoad> rows = new ArrayList<>();
-        ranked.forEach(i -> rows.add(new EngineLoad(Sum.key(i), 1, 0, 1, i.equals(ranked.get(0)) ? 900_000 : 0)));
+        ranked.forEach(
+                i -> rows.add(new EngineLoad(LoadSummary.key(i), 1, 0, 1, i.equals(ranked.get(0)) ? 900_000 : 0)));
         p.load(new Load(1, 1, rows, List.of()), 20);
         assertEquals("none", id(p.choose(steered(new Steer(0, 1.5, busy, List.of(), 50), 4711), 30)), "not yet");
         assertEquals(ranked.get(1), id(p.choose(steered(new Steer(0, 1.5, busy, List.of(), 120), 4711), 40)));
@@ -477,14 +478,16 @@
         assertTrue(Integer.parseInt(third.substring(2)) % 2 == 0, third + " is not of the region");
         assertEquals(
                 "none",
-                id(p.choose(steered(new Steer(0, 1.5, List.of(step(Step.To.NEXT, 0)), List.of(), 9000), 4711), 80)),
+                id(p.choose(
+                        steered(new Steer(0, 1.5, List.of(step(FallbackTarget.To.NEXT, 0)), List.of(), 9000), 4711),
+                        80)),
                 "at the end it is refused");
     }
 
     @Test
     void goneHolderHasItsOwnPlaces() {
         for (String how : List.of("draining", "evacuated", "silent", "cold", "suspect")) {
-            Picker p = picker("a1", "a");
+            LoadBalancer p = picker("a1", "a");
             List<String> ranked = six(p);
             String holder = ranked.get(0);
             boolean here = Integer.parseInt(holder.substring(2)) % 2 == 0;
@@ -499,7 +502,11 @@
                 }
             }
             Steer steer = new Steer(
-                    0, 1.5, List.of(step(Step.To.NEXT, 5000)), List.of(new Step(Step.To.REGIONS, List.of("b"), 0)), 0);
+                    0,
+                    1.5,
+                    List.of(step(FallbackTarget.To.NEXT, 5000)),
+                    List.of(new FallbackTarget(FallbackTarget.To.REGIONS, List.of("b"), 0)),
+                    0);
             String got = id(p.choose(steered(steer, 4711), 10));
             if (how.equals("evacuated") && !here) {
                 assertEquals("none", got, how);
@@ -511,7 +518,7 @@
 
     @Test
     void placesKeptForOthersStayFree() {
-        Picker p = picker("a1", "a");
+        LoadBalancer p = picker("a1", "a");
         p.engine("i-2", engine("a1", 2, 0, false), 1, 0);
         Steer digests = new Steer(0.75, 100, List.of(), List.of(), 0);
         int taken = 0;
@@ -527,7 +534,7 @@
     void rulesNarrowAndNeverWiden() {
         Random luck = new Random(3);
         for (int round = 0; round < 400; round++) {
-            Picker p = picker("a1", "a");
+            LoadBalancer p = picker("a1", "a");
             List<String> ranked = six(p);
             Set<String> out = new HashSet<>();
             if (luck.nextBoolean()) {
@@ -546,10 +553,11 @@
                 p.turn("s", Set.of("i-4"), 1);
                 out.add("i-4");
             }
-            List<Step> steps = new ArrayList<>();
+            List<FallbackTarget> steps = new ArrayList<>();
             for (int i = luck.nextInt(4); i > 0; i--) {
-                Step.To to = Step.To.values()[luck.nextInt(5)];
-                steps.add(new Step(to, to == Step.To.REGIONS ? List.of(luck.nextBoolean() ? "a" : "b") : List.of(), 0));
+                FallbackTarget.To to = FallbackTarget.To.values()[luck.nextInt(5)];
+                steps.add(new FallbackTarget(
+                        to, to == FallbackTarget.To.REGIONS ? List.of(luck.nextBoolean() ? "a" : "b") : List.of(), 0));
             }
             Steer steer = new Steer(luck.nextInt(2) * 0.5, 1 + luck.nextInt(3), steps, steps, luck.nextInt(500));
             String got = id(p.choose(
--- a/src/test/java/ringspindle/meet/FactsTest.java
+++ b/src/test/java/ringspindle/membership/FactValidatorTest.java
@@ -1,4 +1,4 @@
-package ringspindle.meet;
+package ringspindle.membership;
 
 import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -7,42 +7,42 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import ringspindle.know.Book;
-import ringspindle.wire.Codec;
-import ringspindle.wire.FrameException;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.Hello;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.Msg.Lease;
-import ringspindle.wire.Msg.Synced;
-import ringspindle.wire.NodeId;
+import ringspindle.gossip.FactStore;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.FrameException;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.Message.Lease;
+import ringspindle.protocol.Message.Synced;
+import ringspindle.protocol.NodeId;
 
 /** Facts whose values cannot be read are refused before any of those that came with them is taken. */
-class FactsTest {
+class FactValidatorTest {
     private static final NodeId A = NodeId.of("10.0.0.1:7000");
     private static final byte[] RUBBISH = {1, 2, 3};
 
-    private static Item item(int kind, byte[] value) {
-        return new Item(kind, "k", 1, 1, value);
+    private static Fact item(int kind, byte[] value) {
+        return new Fact(kind, "k", 1, 1, value);
     }
 
     private static Map<Integer, byte[]> good() {
         return Map.of(
-                Book.ENGINE,
+                FactStore.ENGINE,
                 Codec.encode(new Engine(1, 0, false, -1, 1, "s", "10.0.0.1:80", "z", "v")),
-                Book.LEASE,
+                FactStore.LEASE,
                 Codec.encode(new Lease(1, 2, 3000)),
-                Book.NODE,
-                new Roster(1, A, new Hello(A, 1, 1, A.bits(), "n", "z", "r")).value(),
-                Book.SILENT,
+                FactStore.NODE,
+                new DataNodeFact(1, A, new Hello(A, 1, 1, A.bits(), "n", "z", "r")).value(),
+                FactStore.SILENT,
                 new byte[] {1});
     }
 
     @Test
     void whatCanBeReadPasses() {
-        good().forEach((kind, value) -> assertDoesNotThrow(() -> Facts.check(List.of(item(kind, value)))));
+        good().forEach((kind, value) -> assertDoesNotThrow(() -> FactValidator.check(List.of(item(kind, value)))));
         assertDoesNotThrow(
-                () -> Facts.check(List.of(item(Book.CONFIG, RUBBISH))),
+                () -> FactValidator.check(List.of(item(FactStore.CONFIG, RUBBISH))),
                 "a configuration is checked where it comes into force");
     }
 
@@ -51,8 +51,8 @@
         byte[] another = Codec.encode(new Synced(1, 2));
         for (int kind : good().keySet()) {
             for (byte[] bad : List.of(RUBBISH, new byte[0], another)) {
-                FrameException x =
-                        assertThrows(FrameException.class, () -> Facts.check(List.of(item(kind, bad))), "kind " + kind);
+                FrameException x = assertThrows(
+                        FrameException.class, () -> FactValidator.check(List.of(item(kind, bad))), "kind " + kind);
                 assertNotNull(x.reason());
             }
         }
--- a/src/test/java/ringspindle/meet/MeetTest.java
+++ b/src/test/java/ringspindle/membership/SessionTableTest.java
@@ -1,4 +1,4 @@
-package ringspindle.meet;
+package ringspindle.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,12 +10,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import ringspindle.wire.Msg.Heartbeat;
-import ringspindle.wire.Msg.Hello;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.NodeId;
 
 /** In touch means that both sides heard each other, and contact dates from when the echoed heartbeat was sent. */
-class MeetTest {
+class SessionTableTest {
     private static final NodeId A = NodeId.of("10.0.0.1:7000");
     private static final NodeId B = NodeId.of("10.0.0.2:7000");
     private static final NodeId C = NodeId.of("10.0.0.3:7000");
@@ -30,7 +30,7 @@
         return new Hello(n, 1, kind, 0, n.toString(), "z", "r");
     }
 
-    private static Heartbeat sent(Meet from, NodeId to, long nowMs) {
+    private static Heartbeat sent(SessionTable from, NodeId to, long nowMs) {
         return from.heartbeat(to, 0, 0, 0, 0, nowMs);
     }
 
@@ -43,8 +43,8 @@
     private static final class Pair {
         private record OnItsWay(long atMs, boolean toA, Heartbeat heartbeat) {}
 
-        final Meet a;
-        final Meet b;
+        final SessionTable a;
+        final SessionTable b;
         final List<NodeId> dropped = new ArrayList<>();
         private final int everyMs;
         private final int delayMs;
@@ -62,8 +62,8 @@
         long oldestMs;
 
         Pair(int kindOfB, int everyMs, int delayMs, int phaseMs) {
-            a = Meet.forControl(A);
-            b = kindOfB == DATA ? Meet.forData(B) : Meet.forControl(B);
+            a = SessionTable.forControl(A);
+            b = kindOfB == DATA ? SessionTable.forData(B) : SessionTable.forControl(B);
             this.everyMs = everyMs;
             this.delayMs = delayMs;
             this.phaseMs = phaseMs;
@@ -175,7 +175,7 @@
         }
         assertTrue(bothUntilMs >= 4000, "in touch before the cut");
         assertTrue(
-                oneUntilMs <= 4000 + MeetTable.CONTROL_CONTACT_MS + 2 * 40,
+                oneUntilMs <= 4000 + HeartbeatSessionTable.CONTROL_CONTACT_MS + 2 * 40,
                 "nobody is in touch for long after it: " + oneUntilMs);
         assertTrue(
                 oneUntilMs - bothUntilMs <= 500,
@@ -207,7 +207,7 @@
 
     @Test
     void afterAFreezeNobodyIsInTouchBeforeAnEchoOfAHeartbeatSentSince() {
-        Meet a = Meet.forControl(A);
+        SessionTable a = SessionTable.forControl(A);
         a.opened(hello(B), 0);
         Heartbeat before = sent(a, B, 0);
         a.heard(B, echo(1, before), 50);
@@ -230,7 +230,7 @@
 
     @Test
     void afterAFreezeASilentPeerIsDroppedInTheEnd() {
-        Meet a = Meet.forControl(A);
+        SessionTable a = SessionTable.forControl(A);
         a.opened(hello(B), 0);
         a.heard(B, echo(1, sent(a, B, 0)), 50);
         a.beat(100);
@@ -246,7 +246,7 @@
 
     @Test
     void aConnectionThatCarriesOnlyOldEchoesIsDropped() {
-        Meet a = Meet.forControl(A);
+        SessionTable a = SessionTable.forControl(A);
         a.opened(hello(B), 0);
         Heartbeat first = sent(a, B, 0);
         long n = 1;
@@ -260,7 +260,7 @@
 
     @Test
     void anEchoOfANumberThatWasNeverSentThereProvesNothing() {
-        Meet a = Meet.forControl(A);
+        SessionTable a = SessionTable.forControl(A);
         a.opened(hello(B), 0);
         a.opened(hello(C), 0);
         Heartbeat toC = sent(a, C, 0);
@@ -271,7 +271,7 @@
         a.heard(B, echo(1, toB), 250);
         assertFalse(a.linked(A, B), "an echo over a new connection of what was sent on the old one");
         Heartbeat old = sent(a, B, 300);
-        for (int i = 0; i < MeetTable.IN_FLIGHT_MAX; i++) {
+        for (int i = 0; i < HeartbeatSessionTable.IN_FLIGHT_MAX; i++) {
             sent(a, B, 301 + i);
         }
         a.heard(B, echo(2, old), 400);
@@ -289,7 +289,7 @@
 
     @Test
     void othersLinksAreKnownFromTheirHeartbeats() {
-        Meet a = Meet.forControl(A);
+        SessionTable a = SessionTable.forControl(A);
         a.opened(hello(B), 0);
         a.opened(hello(C), 0);
         Heartbeat p = sent(a, B, 0);
--- a/src/test/java/ringspindle/wire/CodecTest.java
+++ b/src/test/java/ringspindle/protocol/CodecTest.java
@@ -1,4 +1,4 @@
-package ringspindle.wire;
+package ringspindle.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -10,36 +10,36 @@
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import ringspindle.wire.Msg.Accept;
-import ringspindle.wire.Msg.Accepted;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.Confirm;
-import ringspindle.wire.Msg.Confirmed;
-import ringspindle.wire.Msg.Decided;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.EngineLoad;
-import ringspindle.wire.Msg.Heartbeat;
-import ringspindle.wire.Msg.HeartbeatRow;
-import ringspindle.wire.Msg.Hello;
-import ringspindle.wire.Msg.Item;
-import ringspindle.wire.Msg.Lease;
-import ringspindle.wire.Msg.LedgerReport;
-import ringspindle.wire.Msg.LedgerRow;
-import ringspindle.wire.Msg.Load;
-import ringspindle.wire.Msg.Mark;
-import ringspindle.wire.Msg.News;
-import ringspindle.wire.Msg.Pledge;
-import ringspindle.wire.Msg.Prepare;
-import ringspindle.wire.Msg.RegionLoad;
-import ringspindle.wire.Msg.Relearn;
-import ringspindle.wire.Msg.Relearned;
-import ringspindle.wire.Msg.Report;
-import ringspindle.wire.Msg.SourceRow;
-import ringspindle.wire.Msg.State;
-import ringspindle.wire.Msg.Synced;
-import ringspindle.wire.Msg.TallyRow;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.Msg.Vote;
+import ringspindle.protocol.Message.Accept;
+import ringspindle.protocol.Message.Accepted;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.Confirm;
+import ringspindle.protocol.Message.Confirmed;
+import ringspindle.protocol.Message.Decided;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.EngineLoad;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.Message.HeartbeatRow;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.Message.Lease;
+import ringspindle.protocol.Message.LedgerReport;
+import ringspindle.protocol.Message.LedgerRow;
+import ringspindle.protocol.Message.Load;
+import ringspindle.protocol.Message.Mark;
+import ringspindle.protocol.Message.News;
+import ringspindle.protocol.Message.Pledge;
+import ringspindle.protocol.Message.Prepare;
+import ringspindle.protocol.Message.RegionLoad;
+import ringspindle.protocol.Message.Relearn;
+import ringspindle.protocol.Message.Relearned;
+import ringspindle.protocol.Message.Report;
+import ringspindle.protocol.Message.SourceRow;
+import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.Synced;
+import ringspindle.protocol.Message.TallyRow;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.Message.Vote;
 
 /** Every message comes back as it went; what is no whole message is refused. */
 class CodecTest {
@@ -47,7 +47,7 @@
     private static final NodeId B = NodeId.of("255.255.255.255:65535");
     private static final View VIEW = new View(4, List.of(A, B), List.of(B));
 
-    private static List<Msg> all() {
+    private static List<Message> all() {
         return List.of(
                 new Hello(A, 5, 1, B.bits(), "näme", "z", ""),
                 new Heartbeat(1, 2, 7, 3, -1, 9, List.of(A, B)),
@@ -82,7 +82,7 @@
 
     @Test
     void messagesComeBack() {
-        for (Msg m : all()) {
+        for (Message m : all()) {
             assertEquals(m, Codec.decode(Codec.encode(m)));
         }
         Call c = (Call) Codec.decode(Codec.encode(new Call(1, 2, 3, "arg", new byte[] {1, 2})));
@@ -92,13 +92,13 @@
                 new State(1, 2, 3, List.of(new long[] {4, 5}), List.of(new Mark(1, "z", 6, "on")), new byte[] {7})));
         assertArrayEquals(new long[] {4, 5}, s.past().get(0));
         assertEquals(List.of(new Mark(1, "z", 6, "on")), s.marks());
-        News n = (News) Codec.decode(Codec.encode(new News(true, List.of(new Item(1, "k", 2, 3, new byte[] {4})))));
+        News n = (News) Codec.decode(Codec.encode(new News(true, List.of(new Fact(1, "k", 2, 3, new byte[] {4})))));
         assertEquals("k", n.items().get(0).key());
     }
 
     @Test
     void cutMessagesAreRefusedAtEveryByte() {
-        for (Msg m : all()) {
+        for (Message m : all()) {
             byte[] whole = Codec.encode(m);
             for (int cut = 0; cut < whole.length; cut++) {
                 byte[] part = Arrays.copyOf(whole, cut);
@@ -157,11 +157,11 @@
 
     @Test
     void whateverIsFlippedIsReadOrRefusedAndNothingElse() {
-        List<Msg> messages = new ArrayList<>(all());
-        messages.add(new News(true, List.of(new Item(1, "k", 2, 3, new byte[] {4}))));
+        List<Message> messages = new ArrayList<>(all());
+        messages.add(new News(true, List.of(new Fact(1, "k", 2, 3, new byte[] {4}))));
         messages.add(
                 new State(1, 2, 3, List.of(new long[] {4, 5}), List.of(new Mark(1, "z", 6, "on")), new byte[] {7}));
-        for (Msg m : messages) {
+        for (Message m : messages) {
             byte[] whole = Codec.encode(m);
             for (int at = 0; at < whole.length; at++) {
                 for (int flip : new int[] {1, 0x7f, 0x80, 0xff}) {
--- a/src/test/java/ringspindle/edge/BrokenStreamTest.java
+++ b/src/test/java/ringspindle/proxy/BrokenStreamTest.java
@@ -1,4 +1,4 @@
-package ringspindle.edge;
+package ringspindle.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,7 +15,7 @@
 
 /** A client sees a stream as complete only if the engine's own end was seen and no event is missing or doubled. */
 @Timeout(60)
-class BrokenStreamTest extends EdgeFixture {
+class BrokenStreamTest extends ProxyFixture {
     private static final String CLOSE = "Connection: close\r\n";
     private static final String END_OF_CHUNKS = "0\r\n\r\n";
     private static final String UNFRAMED = "Connection: close\r\nContent-Type: text/event-stream\r\n\r\n";
@@ -25,7 +25,7 @@
         return "id: " + id + "\ndata: <" + id + ">\n\n";
     }
 
-    private static String okHead(StandIn.Seen seen) {
+    private static String okHead(StandInEngine.Seen seen) {
         return "HTTP/1.1 200 OK\r\nAttempt-Id: " + seen.heads().get("Attempt-Id")
                 + "\r\nServer-Seal: seal\r\nWeight-Versions: 1\r\n";
     }
@@ -43,7 +43,7 @@
     private String streamResetAfter(String path, String head, String events, String last) throws Exception {
         CountDownLatch passedOn = new CountDownLatch(1);
         engine("i-1", "z", (seen, out, socket) -> {
-            StandIn.say(out, okHead(seen) + head + events);
+            StandInEngine.say(out, okHead(seen) + head + events);
             passedOn.await();
             reset(socket);
         });
@@ -63,7 +63,7 @@
     @Test
     void unframedStreamThatIsClosedIsComplete() throws Exception {
         engine("i-1", "z", (seen, out, socket) -> {
-            StandIn.say(out, okHead(seen) + UNFRAMED + event(0) + event(1));
+            StandInEngine.say(out, okHead(seen) + UNFRAMED + event(0) + event(1));
             throw new IOException("close");
         });
         String got = ok("/short/x", "t1");
@@ -75,7 +75,7 @@
         engine("i-1", "z", (seen, out, socket) -> {
             // the relay holds a plain answer back until its end, so nothing tells when it was read: large enough that
             // the reset can only come once much of it was taken
-            StandIn.say(out, okHead(seen) + "Connection: close\r\n\r\n" + "x".repeat(8 << 20));
+            StandInEngine.say(out, okHead(seen) + "Connection: close\r\n\r\n" + "x".repeat(8 << 20));
             reset(socket);
         });
         String got = ok("/once/x", "t1");
@@ -97,8 +97,8 @@
         engine(
                 "i-1",
                 "z",
-                (seen, out, socket) ->
-                        StandIn.say(out, StandIn.streamHead(seen) + StandIn.chunk(events.toString()) + END_OF_CHUNKS));
+                (seen, out, socket) -> StandInEngine.say(
+                        out, StandInEngine.streamHead(seen) + StandInEngine.chunk(events.toString()) + END_OF_CHUNKS));
         String got = ok("/short/x", "t1");
         assertFalse(looksComplete(got), got);
         long before = -1;
@@ -115,10 +115,10 @@
     /** A resumable stream goes on at another engine behind the last event that followed. */
     @Test
     void wrongIdInsideOneReadIsResumedElsewhere() throws Exception {
-        StandIn.Script script = (seen, out, socket) -> {
+        StandInEngine.Script script = (seen, out, socket) -> {
             String last = seen.heads().get("Last-Event-Id");
             String events = last == null ? event(0) + event(1) + event(3) : event(2) + event(3);
-            StandIn.say(out, StandIn.streamHead(seen) + StandIn.chunk(events) + END_OF_CHUNKS);
+            StandInEngine.say(out, StandInEngine.streamHead(seen) + StandInEngine.chunk(events) + END_OF_CHUNKS);
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
--- a/src/test/java/ringspindle/edge/EngineAnswersTest.java
+++ b/src/test/java/ringspindle/proxy/EngineAnswersTest.java
@@ -1,4 +1,4 @@
-package ringspindle.edge;
+package ringspindle.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -20,7 +20,7 @@
 
 /** No answer to the wrong request, and nothing that may run only once sent twice, whatever an engine answers. */
 @Timeout(60)
-class EngineAnswersTest extends EdgeFixture {
+class EngineAnswersTest extends ProxyFixture {
     private static final String CLOSE = "Connection: close\r\n";
     private static final int LARGE_BODY = 3 << 20;
 
@@ -28,18 +28,18 @@
         return "HTTP/1.1 " + status + " X\r\n" + fields + "\r\n";
     }
 
-    private static String whole(StandIn.Seen seen, String body) {
+    private static String whole(StandInEngine.Seen seen, String body) {
         return "HTTP/1.1 200 OK\r\nAttempt-Id: " + seen.heads().get("Attempt-Id")
                 + "\r\nServer-Seal: s\r\nKeep-Alive: timeout=30\r\nContent-Length: " + body.length() + "\r\n\r\n"
                 + body;
     }
 
     /** An engine that answers with that text each time and notes the connections that requests came on. */
-    private Set<Socket> engineThatSays(Function<StandIn.Seen, String> answer) throws IOException {
+    private Set<Socket> engineThatSays(Function<StandInEngine.Seen, String> answer) throws IOException {
         Set<Socket> used = ConcurrentHashMap.newKeySet();
         engine("i-1", "z", (seen, out, socket) -> {
             used.add(socket);
-            StandIn.say(out, answer.apply(seen));
+            StandInEngine.say(out, answer.apply(seen));
         });
         return used;
     }
@@ -111,8 +111,8 @@
                 "500 X\r\nServer-Seal: s\r\nAttempt-Id: other"
             })
     void failureWithoutTheIdIsNobodysAnswer(String head) throws Exception {
-        StandIn.Script script =
-                (seen, out, socket) -> StandIn.say(out, "HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n");
+        StandInEngine.Script script =
+                (seen, out, socket) -> StandInEngine.say(out, "HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n");
         engine("i-1", "z", script);
         engine("i-2", "z", script);
         assertMayHaveRun(ok("/once/x", "t1"));
@@ -140,7 +140,7 @@
 
     @Test
     void resetBetweenHeadAndBodyIsNeverSentAgain() throws Exception {
-        StandIn.Script reset = (seen, out, socket) -> {
+        StandInEngine.Script reset = (seen, out, socket) -> {
             socket.setSoLinger(true, 0);
             socket.close();
         };
@@ -157,11 +157,11 @@
     @ParameterizedTest
     @ValueSource(strings = {"200 OK\r\nServer-Seal: s", "503 X\r\nNot-Executed: 1"})
     void answerBeforeTheBodyIsSentEndsTheConnection(String head) throws Exception {
-        StandIn e = engine("i-1", "z", (seen, out, socket) -> {
+        StandInEngine e = engine("i-1", "z", (seen, out, socket) -> {
             throw new IOException("the body was read");
         });
         e.early((seen, out, socket) -> {
-            StandIn.say(
+            StandInEngine.say(
                     out,
                     "HTTP/1.1 " + head + "\r\nAttempt-Id: " + seen.heads().get("Attempt-Id")
                             + "\r\nContent-Length: 1\r\n\r\n1");
@@ -176,7 +176,7 @@
 
     @Test
     void halfClosedConnectionLosesTheAnswerAndIsClosed() throws Exception {
-        StandIn e = engine("i-1", "z", (seen, out, socket) -> {
+        StandInEngine e = engine("i-1", "z", (seen, out, socket) -> {
             socket.shutdownOutput();
             assertEquals(-1, socket.getInputStream().read());
         });
@@ -193,17 +193,17 @@
         CountDownLatch served = new CountDownLatch(1);
         CountDownLatch said = new CountDownLatch(1);
         Set<String> silent = ConcurrentHashMap.newKeySet();
-        StandIn.Script script = (seen, out, socket) -> {
+        StandInEngine.Script script = (seen, out, socket) -> {
             if (silent.add("once")) {
                 served.await();
                 try {
-                    StandIn.say(out, whole(seen, "late"));
+                    StandInEngine.say(out, whole(seen, "late"));
                 } finally {
                     said.countDown();
                 }
                 return;
             }
-            StandIn.say(out, whole(seen, "hello"));
+            StandInEngine.say(out, whole(seen, "hello"));
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
@@ -236,17 +236,17 @@
 
     @Test
     void nothingThatAnEngineSetsGoesOutWithTheRequestOfAnother() throws Exception {
-        StandIn e = engine("i-1", "z", StandIn.whole(200, "hello", "Set-Cookie: who=me; Path=/\r\n"));
+        StandInEngine e = engine("i-1", "z", StandInEngine.whole(200, "hello", "Set-Cookie: who=me; Path=/\r\n"));
         assertTrue(ok("/card/x", "t1").contains("Set-Cookie"));
         ok("/card/x", "t2");
-        for (StandIn.Seen seen : e.seen) {
+        for (StandInEngine.Seen seen : e.seen) {
             assertFalse(seen.heads().containsKey("Cookie"), seen.heads().toString());
         }
     }
 
     @Test
     void headersUpToTheLimitArePassedOn() throws Exception {
-        StandIn e = engine("i-1", "z", StandIn.whole(200, "hello", ""));
+        StandInEngine e = engine("i-1", "z", StandInEngine.whole(200, "hello", ""));
         String prefix = "ab:1,".repeat(3000);
         String got = all(send("/once/x", "t1", CLOSE + "Prompt-Prefix: " + prefix + "cd:2\r\n", ""));
         assertTrue(got.startsWith("HTTP/1.1 200"), got);
@@ -257,8 +257,8 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void brokenStreamDoesNotLookWholeOnAConnectionThatCloses(boolean leaving) throws Exception {
-        StandIn e = engine("i-1", "z", (seen, out, socket) -> {
-            StandIn.say(out, StandIn.streamHead(seen) + StandIn.chunk("id: 1\ndata: a\n\n"));
+        StandInEngine e = engine("i-1", "z", (seen, out, socket) -> {
+            StandInEngine.say(out, StandInEngine.streamHead(seen) + StandInEngine.chunk("id: 1\ndata: a\n\n"));
             throw new IOException("break off");
         });
         if (leaving) {
@@ -268,8 +268,8 @@
         String broken = all(send("/short/x", "t1", leaving ? "" : CLOSE, ""));
         assertTrue(broken.startsWith(head) && broken.contains("Connection: close"), broken);
         assertTrue(broken.contains("Transfer-Encoding: chunked") && !broken.endsWith("0\r\n\r\n"), broken);
-        e.script((seen, out, socket) ->
-                StandIn.say(out, StandIn.streamHead(seen) + StandIn.chunk("id: 1\ndata: a\n\n") + "0\r\n\r\n"));
+        e.script((seen, out, socket) -> StandInEngine.say(
+                out, StandInEngine.streamHead(seen) + StandInEngine.chunk("id: 1\ndata: a\n\n") + "0\r\n\r\n"));
         String complete = all(send("/short/x", "t2", leaving ? "" : CLOSE, ""));
         assertTrue(complete.startsWith(head) && complete.endsWith("0\r\n\r\n"), complete);
     }
@@ -279,11 +279,12 @@
     void clientsThatVanishLeaveNothingToTheNext() throws Exception {
         engine("i-1", "z", (seen, out, socket) -> {
             String id = seen.heads().get("Attempt-Id");
-            StandIn.say(out, StandIn.streamHead(seen));
+            StandInEngine.say(out, StandInEngine.streamHead(seen));
             for (int i = 0; i < 40; i++) {
-                StandIn.say(out, StandIn.chunk("id: " + i + "\ndata: <" + id + ">" + ".".repeat(20_000) + "\n\n"));
+                StandInEngine.say(
+                        out, StandInEngine.chunk("id: " + i + "\ndata: <" + id + ">" + ".".repeat(20_000) + "\n\n"));
             }
-            StandIn.say(out, "0\r\n\r\n");
+            StandInEngine.say(out, "0\r\n\r\n");
         });
         for (int round = 0; round < 20; round++) {
             String id = "t" + round;
--- a/src/test/java/ringspindle/edge/WiresTest.java
+++ b/src/test/java/ringspindle/proxy/EngineConnectionPoolTest.java
@@ -1,4 +1,4 @@
-package ringspindle.edge;
+package ringspindle.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -19,16 +19,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import ringspindle.wire.NodeId;
-import ringspindle.wire.Steady;
+import ringspindle.protocol.NodeId;
+import ringspindle.time.MonotonicClock;
 
 /** Connections to engines: what is given up is never sent, and what saw anything unexpected carries nothing more. */
 @Timeout(60)
-class WiresTest {
+class EngineConnectionPoolTest {
     private QueuedThreadPool pool;
     private ScheduledExecutorScheduler scheduler;
-    private Wires wires;
-    private StandIn engine;
+    private EngineConnectionPool wires;
+    private StandInEngine engine;
     private final BlockingQueue<Socket> sockets = new LinkedBlockingQueue<>();
 
     @BeforeEach
@@ -39,10 +39,10 @@
         pool.start();
         scheduler = new ScheduledExecutorScheduler("ticks", true, 1);
         scheduler.start();
-        wires = new Wires(pool, scheduler, Steady.system());
-        engine = new StandIn((seen, out, socket) -> {
+        wires = new EngineConnectionPool(pool, scheduler, MonotonicClock.system());
+        engine = new StandInEngine((seen, out, socket) -> {
             sockets.add(socket);
-            StandIn.whole(200, "hello", "").run(seen, out, socket);
+            StandInEngine.whole(200, "hello", "").run(seen, out, socket);
         });
     }
 
@@ -54,11 +54,11 @@
         scheduler.stop();
     }
 
-    private Wires.Wire take() {
-        CompletableFuture<Wires.Wire> taken = new CompletableFuture<>();
-        wires.take("i-1", NodeId.of(engine.address()), 1, true, new Wires.Ready() {
+    private EngineConnectionPool.Wire take() {
+        CompletableFuture<EngineConnectionPool.Wire> taken = new CompletableFuture<>();
+        wires.take("i-1", NodeId.of(engine.address()), 1, true, new EngineConnectionPool.Ready() {
             @Override
-            public void up(Wires.Wire wire) {
+            public void up(EngineConnectionPool.Wire wire) {
                 taken.complete(wire);
             }
 
@@ -78,7 +78,7 @@
                 .body(new BytesRequestContent(new byte[100_000]));
     }
 
-    private static CompletableFuture<Result> send(Wires.Wire wire, Request request) {
+    private static CompletableFuture<Result> send(EngineConnectionPool.Wire wire, Request request) {
         CompletableFuture<Result> result = new CompletableFuture<>();
         wire.connection.send(request, result::complete);
         return result;
@@ -86,7 +86,7 @@
 
     @Test
     void connectionIsKeptAfterAWholeAnswer() {
-        Wires.Wire first = take();
+        EngineConnectionPool.Wire first = take();
         assertTrue(send(first, request()).join().isSucceeded());
         wires.give(first, 30);
         assertSame(first, take());
@@ -95,7 +95,7 @@
     /** The attempt may be given up between the choice of its connection and the send. */
     @Test
     void whatWasGivenUpBeforeTheSendIsNeverSent() {
-        Wires.Wire wire = take();
+        EngineConnectionPool.Wire wire = take();
         Request request = request();
         wires.drop(wire);
         request.abort(new IllegalStateException("given up"));
@@ -107,11 +107,11 @@
     /** Half an answer that nobody asked for, on a connection at rest. */
     @Test
     void connectionThatSpeaksAtRestCarriesNothingMore() throws Exception {
-        Wires.Wire first = take();
+        EngineConnectionPool.Wire first = take();
         assertTrue(send(first, request()).join().isSucceeded());
         wires.give(first, 30);
         long had = first.connection.getBytesIn();
-        StandIn.say(sockets.take().getOutputStream(), "HTTP/1.1 200 OK\r\nAttempt-Id: t");
+        StandInEngine.say(sockets.take().getOutputStream(), "HTTP/1.1 200 OK\r\nAttempt-Id: t");
         while (first.connection.getBytesIn() == had) {
             Thread.onSpinWait();
         }
@@ -122,17 +122,17 @@
     /** One connection may be open: an unused one given back is counted once, and used again if it is new. */
     @Test
     void unusedConnectionIsCountedOnce() {
-        Wires.Wire fresh = take();
+        EngineConnectionPool.Wire fresh = take();
         wires.giveUnused(fresh);
-        Wires.Wire again = take();
+        EngineConnectionPool.Wire again = take();
         assertSame(fresh, again);
         wires.giveUnused(again);
         assertTrue(again.connection.isClosed(), "how long it rested is not known any more");
-        Wires.Wire other = take();
+        EngineConnectionPool.Wire other = take();
         CompletableFuture<Boolean> full = new CompletableFuture<>();
-        wires.take("i-1", NodeId.of(engine.address()), 1, true, new Wires.Ready() {
+        wires.take("i-1", NodeId.of(engine.address()), 1, true, new EngineConnectionPool.Ready() {
             @Override
-            public void up(Wires.Wire wire) {
+            public void up(EngineConnectionPool.Wire wire) {
                 full.complete(false);
             }
 
--- a/src/test/java/ringspindle/edge/LimitsTest.java
+++ b/src/test/java/ringspindle/proxy/LimitsTest.java
@@ -1,4 +1,4 @@
-package ringspindle.edge;
+package ringspindle.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,7 +11,7 @@
 
 /** The limits of a configuration, and the deadline of a route, as clients and engines see them. */
 @Timeout(60)
-class LimitsTest extends EdgeFixture {
+class LimitsTest extends ProxyFixture {
     private static final int SHORT_IDLE_MS = 300;
     private static final String SHORT_IDLE = limits("idleTimeoutMs", SHORT_IDLE_MS);
 
@@ -20,19 +20,19 @@
     }
 
     /** An engine that answers at once, but for requests of /once/, which it never answers. */
-    private StandIn engineSilentFor(CountDownLatch never) throws IOException {
+    private StandInEngine engineSilentFor(CountDownLatch never) throws IOException {
         return engine("i-1", "z", (seen, out, socket) -> {
             if (seen.line().contains("/once/")) {
                 never.await();
             }
-            StandIn.whole(200, "hello", "").run(seen, out, socket);
+            StandInEngine.whole(200, "hello", "").run(seen, out, socket);
         });
     }
 
     /** Lets far more than the short idle time pass: a silent request runs into its own deadline. */
     private void outlastTheShortIdleTime() throws IOException {
         Socket s = new Socket("127.0.0.1", port);
-        StandIn.say(
+        StandInEngine.say(
                 s.getOutputStream(),
                 "POST /once/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: wait\r\nDeadline-Ms: " + 4 * SHORT_IDLE_MS
                         + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
@@ -76,9 +76,10 @@
     void connectionWithARequestAtWorkIsNotIdle() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
         CountDownLatch hold = new CountDownLatch(1);
-        StandIn e = engine("i-1", "z", (seen, out, socket) -> {
+        StandInEngine e = engine("i-1", "z", (seen, out, socket) -> {
             (seen.line().contains("/once/") ? never : hold).await();
-            StandIn.say(out, StandIn.streamHead(seen) + StandIn.chunk("id: 0\ndata: x\n\n") + "0\r\n\r\n");
+            StandInEngine.say(
+                    out, StandInEngine.streamHead(seen) + StandInEngine.chunk("id: 0\ndata: x\n\n") + "0\r\n\r\n");
         });
         config(4, SHORT_IDLE);
         try (Socket s = send("/short/x", "t1", "", "")) {
@@ -96,7 +97,7 @@
 
     @Test
     void bodyOverTheLimitIsRefusedAndOneAtTheLimitIsNot() throws Exception {
-        StandIn e = engine("i-1", "z", StandIn.whole(200, "hello", ""));
+        StandInEngine e = engine("i-1", "z", StandInEngine.whole(200, "hello", ""));
         config(4, limits("maxBodyBytes", 1000));
         assertTrue(all(send("/card/x", "t1", "Connection: close\r\n", "b".repeat(1000)))
                 .startsWith("HTTP/1.1 200"));
@@ -109,10 +110,10 @@
     @Test
     void routesDeadlineBoundsWhatTheEngineIsGivenAndHowLongItIsHeld() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        StandIn e = engineSilentFor(never);
+        StandInEngine e = engineSilentFor(never);
         Socket s = new Socket("127.0.0.1", port);
         s.setSoTimeout(20_000);
-        StandIn.say(
+        StandInEngine.say(
                 s.getOutputStream(),
                 "POST /once/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: t1\r\n"
                         + "Deadline-Ms: 600000\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
@@ -124,10 +125,10 @@
     /** A client that reads nothing holds its engine back: no reason to look at the clock all the time until the deadline. */
     @Test
     void clientThatDoesNotReadCostsNoTimers() throws Exception {
-        StandIn e = engine("i-1", "z", (seen, out, socket) -> {
-            StandIn.say(out, StandIn.streamHead(seen));
+        StandInEngine e = engine("i-1", "z", (seen, out, socket) -> {
+            StandInEngine.say(out, StandInEngine.streamHead(seen));
             for (int i = 0; i < 200; i++) {
-                StandIn.say(out, StandIn.chunk("id: " + i + "\ndata: " + "x".repeat(200_000) + "\n\n"));
+                StandInEngine.say(out, StandInEngine.chunk("id: " + i + "\ndata: " + "x".repeat(200_000) + "\n\n"));
             }
         });
         try (Socket s = send("/long/x", "t1", "", "")) {
--- a/src/test/java/ringspindle/edge/EdgeFixture.java
+++ b/src/test/java/ringspindle/proxy/ProxyFixture.java
@@ -1,4 +1,4 @@
-package ringspindle.edge;
+package ringspindle.proxy;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 import static java.nio.charset.StandardCharsets.UTF_8;
@@ -17,29 +17,29 @@
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
-import ringspindle.conf.Checked;
-import ringspindle.conf.FleetConfig;
-import ringspindle.conf.NodeConfig;
-import ringspindle.pick.Picker;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.Lease;
-import ringspindle.wire.Steady;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.NodeConfig;
+import ringspindle.config.Validated;
+import ringspindle.loadbalancing.LoadBalancer;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.Lease;
+import ringspindle.time.MonotonicClock;
 
 /** The real edge on loopback with stand-in engines, opened for each test and closed after it. */
-abstract class EdgeFixture {
-    final List<StandIn> engines = new ArrayList<>();
+abstract class ProxyFixture {
+    final List<StandInEngine> engines = new ArrayList<>();
     QueuedThreadPool pool;
     ScheduledExecutorScheduler beats;
     /** How often anything was scheduled. */
     final LongAdder scheduled = new LongAdder();
 
-    Front front;
-    Picker picker;
+    ProxyHandler front;
+    LoadBalancer picker;
     int port;
-    private final Steady steady = Steady.system();
+    private final MonotonicClock steady = MonotonicClock.system();
     volatile long onMs;
     /** The steady clock, put on by hand where time has to pass. */
-    final Steady clock = () -> steady.nowMs() + onMs;
+    final MonotonicClock clock = () -> steady.nowMs() + onMs;
 
     @BeforeEach
     void open() throws Exception {
@@ -80,9 +80,9 @@
                 "seeds",
                 "127.0.0.1:1"));
         p.putAll(Map.of("zone.z", "r", "zone.far", "q", "bound.retrySlack", "100", "bound.retryRatio", "0.2"));
-        NodeConfig node = ((Checked.Good<NodeConfig>) NodeConfig.check(p)).value();
-        picker = Picker.create(node);
-        front = new Front(node, picker, pool, beats, clock);
+        NodeConfig node = ((Validated.Valid<NodeConfig>) NodeConfig.check(p)).value();
+        picker = LoadBalancer.create(node);
+        front = new ProxyHandler(node, picker, pool, beats, clock);
         front.open();
         config(3, "");
         front.confirm();
@@ -99,7 +99,7 @@
                 + route("long", "/long/", "streaming", 4000, 800, 2, true, "")
                 + "],\"services\":[{\"name\":\"s\",\"healthPath\":\"/health\",\"maxConnections\":100,\"warmupS\":0,\"warmupPerS\":0}]"
                 + more + "}";
-        FleetConfig c = ((Checked.Good<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
+        FleetConfig c = ((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
         picker.config(c);
         front.config(c);
     }
@@ -116,15 +116,15 @@
     @AfterEach
     void close() throws Exception {
         front.close();
-        for (StandIn e : engines) {
+        for (StandInEngine e : engines) {
             e.close();
         }
         pool.stop();
         beats.stop();
     }
 
-    StandIn engine(String id, String zone, StandIn.Script script) throws IOException {
-        StandIn e = new StandIn(script);
+    StandInEngine engine(String id, String zone, StandInEngine.Script script) throws IOException {
+        StandInEngine e = new StandInEngine(script);
         engines.add(e);
         picker.engine(id, new Engine(8, 0, false, -1, 1, "s", e.address(), zone, "v"), 1, clock.nowMs());
         return e;
@@ -138,7 +138,7 @@
     }
 
     static void ask(Socket s, String path, String id, String more, String body) throws IOException {
-        StandIn.say(
+        StandInEngine.say(
                 s.getOutputStream(),
                 "POST " + path + " HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: " + id + "\r\nDeadline-Ms: 2500\r\n"
                         + more + "Content-Length: " + body.length() + "\r\n\r\n" + body);
