--- a/src/test/java/ringspindle/edge/FrontTest.java
+++ b/src/test/java/ringspindle/proxy/ProxyHandlerTest.java
@@ -1,4 +1,4 @@
-package ringspindle.edge;
+package ringspindle.proxy;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -20,24 +20,24 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ringspindle.conf.Checked;
-import ringspindle.rule.Ledger;
-import ringspindle.rule.ServingRules;
-import ringspindle.wire.Msg.LedgerRow;
+import ringspindle.config.Validated;
+import ringspindle.protocol.Message.LedgerRow;
+import ringspindle.routing.RequestLedger;
+import ringspindle.routing.ServingRules;
 
 /** The real edge on loopback, with stand-in engines that behave badly. */
 @Timeout(60)
-class FrontTest extends EdgeFixture {
+class ProxyHandlerTest extends ProxyFixture {
     @Test
     void passesRequestAndAnswerUnchanged() throws Exception {
-        StandIn e = engine("i-1", "z", StandIn.whole(200, "hello", "X-More: 1\r\n"));
+        StandInEngine e = engine("i-1", "z", StandInEngine.whole(200, "hello", "X-More: 1\r\n"));
         Socket s = send(
                 "/card//a%2Fb/../c;x=1?q=a%20b&&=",
                 "t1", "X-Odd: a, b\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\n", "body");
         String got = all(s);
         assertTrue(got.startsWith("HTTP/1.1 200"), got);
         assertTrue(got.contains("Server-Seal: s") && got.contains("X-More: 1") && got.endsWith("hello"), got);
-        StandIn.Seen x = e.seen.take();
+        StandInEngine.Seen x = e.seen.take();
         assertEquals("POST /card//a%2Fb/../c;x=1?q=a%20b&&= HTTP/1.1", x.line());
         assertEquals("body", new String(x.body(), UTF_8));
         assertEquals("i-1", x.heads().get("Target-Instance"));
@@ -54,20 +54,20 @@
     void unknownPlacesGet404AndNoIdGets400() throws Exception {
         assertTrue(all(send("/nowhere/x", "t1", "Connection: close\r\n", "")).startsWith("HTTP/1.1 404"));
         Socket s = new Socket("127.0.0.1", port);
-        StandIn.say(s.getOutputStream(), "GET /card/x HTTP/1.1\r\nHost: h.example\r\nConnection: close\r\n\r\n");
+        StandInEngine.say(s.getOutputStream(), "GET /card/x HTTP/1.1\r\nHost: h.example\r\nConnection: close\r\n\r\n");
         assertTrue(all(s).startsWith("HTTP/1.1 400"));
     }
 
     @Test
     void refusesSmuggledForms() throws Exception {
-        engine("i-1", "z", StandIn.whole(200, "hello", ""));
+        engine("i-1", "z", StandInEngine.whole(200, "hello", ""));
         for (String head : List.of(
                 "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
                 "Content-Length: 4\r\nContent-Length: 5\r\n",
                 "Transfer-Encoding: xchunked\r\n")) {
             Socket s = new Socket("127.0.0.1", port);
             s.setSoTimeout(10_000);
-            StandIn.say(
+            StandInEngine.say(
                     s.getOutputStream(),
                     "POST /card/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: a\r\n" + head
                             + "\r\n0\r\n\r\nGET /card/y HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: b\r\n\r\n");
@@ -79,13 +79,13 @@
 
     @Test
     void consumerGoneStopsTheEngineAndCountsAgainstNobody() throws Exception {
-        StandIn e = engine("i-1", "z", (x, out, socket) -> {
+        StandInEngine e = engine("i-1", "z", (x, out, socket) -> {
             if (x.line().contains("/short/")) {
                 // waits for the other side to close
                 socket.getInputStream().read();
                 throw new IOException("closed");
             }
-            StandIn.whole(200, "ok", "").run(x, out, socket);
+            StandInEngine.whole(200, "ok", "").run(x, out, socket);
         });
         Socket s = send("/short/x", "t1", "", "abc");
         e.seen.take();
@@ -98,11 +98,11 @@
     @Test
     void bytesOfAFollowingRequestAreNotLost() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        StandIn e = engine("i-1", "z", (x, out, socket) -> {
+        StandInEngine e = engine("i-1", "z", (x, out, socket) -> {
             if (x.heads().get("Attempt-Id").equals("t1")) {
                 go.await();
             }
-            StandIn.whole(200, x.heads().get("Attempt-Id"), "").run(x, out, socket);
+            StandInEngine.whole(200, x.heads().get("Attempt-Id"), "").run(x, out, socket);
         });
         Socket s = send("/card/x", "t1", "", "abc");
         e.seen.take();
@@ -116,7 +116,7 @@
     @Test
     void streamPassesWholeEventsAndBreaksOffVisibly() throws Exception {
         engine("i-1", "z", (x, out, socket) -> {
-            StandIn.say(out, StandIn.streamHead(x) + StandIn.chunk("id: 1\ndata: a\n\nid: 2\nda"));
+            StandInEngine.say(out, StandInEngine.streamHead(x) + StandInEngine.chunk("id: 1\ndata: a\n\nid: 2\nda"));
             throw new IOException("break off");
         });
         String got = all(send("/short/x", "t1", "", "abc"));
@@ -127,16 +127,17 @@
 
     @Test
     void resumableStreamGoesOnAtAnotherEngine() throws Exception {
-        StandIn.Script script = (x, out, socket) -> {
+        StandInEngine.Script script = (x, out, socket) -> {
             String last = x.heads().get("Last-Event-Id");
             if (last == null) {
-                StandIn.say(out, StandIn.streamHead(x) + StandIn.chunk("id: 1\ndata: a\n\n"));
-                StandIn.say(out, StandIn.chunk("id: 2\ndata: b\n\n"));
+                StandInEngine.say(out, StandInEngine.streamHead(x) + StandInEngine.chunk("id: 1\ndata: a\n\n"));
+                StandInEngine.say(out, StandInEngine.chunk("id: 2\ndata: b\n\n"));
                 socket.setSoLinger(true, 0);
                 throw new IOException("break off");
             }
             assertEquals("1", x.heads().get("Expected-Revision"));
-            StandIn.say(out, StandIn.streamHead(x) + StandIn.chunk("id: 3\ndata: c\n\n") + "0\r\n\r\n");
+            StandInEngine.say(
+                    out, StandInEngine.streamHead(x) + StandInEngine.chunk("id: 3\ndata: c\n\n") + "0\r\n\r\n");
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
@@ -158,10 +159,10 @@
         engine(
                 "i-1",
                 "z",
-                (x, out, socket) -> StandIn.say(
+                (x, out, socket) -> StandInEngine.say(
                         out,
-                        StandIn.streamHead(x) + StandIn.chunk("id: 1\ndata: a\n\n")
-                                + StandIn.chunk("id: 3\ndata: c\n\n") + "0\r\n\r\n"));
+                        StandInEngine.streamHead(x) + StandInEngine.chunk("id: 1\ndata: a\n\n")
+                                + StandInEngine.chunk("id: 3\ndata: c\n\n") + "0\r\n\r\n"));
         String got = all(send("/short/x", "t1", "", "abc"));
         assertFalse(got.contains("id: 3"), got);
         assertFalse(got.endsWith("0\r\n\r\n"), got);
@@ -169,12 +170,12 @@
 
     @Test
     void refusalOfTheEngineIsTriedElsewhereOnlyWithinMaxAttempts() throws Exception {
-        StandIn.Script full = (x, out, socket) -> StandIn.say(
+        StandInEngine.Script full = (x, out, socket) -> StandInEngine.say(
                 out,
                 "HTTP/1.1 503 X\r\nNot-Executed: 1\r\nAttempt-Id: " + x.heads().get("Attempt-Id")
                         + "\r\nContent-Length: 0\r\n\r\n");
-        StandIn a = engine("i-1", "z", full);
-        StandIn b = engine("i-2", "z", full);
+        StandInEngine a = engine("i-1", "z", full);
+        StandInEngine b = engine("i-2", "z", full);
         String once = all(send("/short/x", "t1", "Connection: close\r\n", "abc"));
         assertTrue(once.startsWith("HTTP/1.1 503") && once.contains("Retry-After"), once);
         assertEquals(1, a.seen.size() + b.seen.size());
@@ -196,35 +197,36 @@
 
     @Test
     void statusOfAPromiseWithoutTheEnginesWordIsNotPassedOn() throws Exception {
-        engine("i-1", "z", StandIn.whole(503, "", ""));
+        engine("i-1", "z", StandInEngine.whole(503, "", ""));
         String got = all(send("/once/x", "t1", "Connection: close\r\n", "abc"));
         assertTrue(got.startsWith("HTTP/1.1 502"), got);
     }
 
     @Test
     void answersOfOthersAndWithoutSealAreNoAnswers() throws Exception {
-        StandIn e = engine(
+        StandInEngine e = engine(
                 "i-1",
                 "z",
-                (x, out, socket) -> StandIn.say(
+                (x, out, socket) -> StandInEngine.say(
                         out, "HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nServer-Seal: s\r\nContent-Length: 2\r\n\r\nno"));
         assertTrue(all(send("/once/x", "t1", "Connection: close\r\n", "abc")).startsWith("HTTP/1.1 502"));
         e.script((x, out, socket) ->
-                StandIn.say(out, "HTTP/1.1 200 OK\r\nAttempt-Id: t2\r\nContent-Length: 2\r\n\r\nno"));
+                StandInEngine.say(out, "HTTP/1.1 200 OK\r\nAttempt-Id: t2\r\nContent-Length: 2\r\n\r\nno"));
         assertTrue(all(send("/once/x", "t2", "Connection: close\r\n", "abc")).startsWith("HTTP/1.1 502"));
-        e.script((x, out, socket) -> StandIn.say(out, "rubbish\r\n\r\n"));
+        e.script((x, out, socket) -> StandInEngine.say(out, "rubbish\r\n\r\n"));
         assertTrue(all(send("/once/x", "t3", "Connection: close\r\n", "abc")).startsWith("HTTP/1.1 502"));
     }
 
     @Test
     void idempotentRequestFallsBackAfterABreak() throws Exception {
         Set<String> broken = ConcurrentHashMap.newKeySet();
-        StandIn.Script script = (x, out, socket) -> {
+        StandInEngine.Script script = (x, out, socket) -> {
             if (broken.add("once")) {
-                StandIn.say(out, "HTTP/1.1 200 OK\r\nAttempt-Id: t1\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nha");
+                StandInEngine.say(
+                        out, "HTTP/1.1 200 OK\r\nAttempt-Id: t1\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nha");
                 throw new IOException("cut");
             }
-            StandIn.whole(200, "hello", "").run(x, out, socket);
+            StandInEngine.whole(200, "hello", "").run(x, out, socket);
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
@@ -234,7 +236,7 @@
 
     @Test
     void wireIsKeptForFurtherRequests() throws Exception {
-        engine("i-1", "z", StandIn.whole(200, "hello", ""));
+        engine("i-1", "z", StandInEngine.whole(200, "hello", ""));
         for (String body : List.of("", "abc")) {
             try (Socket s = send("/card/x", "t1", "", body)) {
                 for (int i = 2; i < 5; i++) {
@@ -248,21 +250,21 @@
 
     @Test
     void homesBind() throws Exception {
-        StandIn near = engine("i-1", "z", StandIn.whole(200, "no", ""));
+        StandInEngine near = engine("i-1", "z", StandInEngine.whole(200, "no", ""));
         String got = all(send("/home/x", "t1", "Connection: close\r\n", "abc"));
         assertTrue(got.startsWith("HTTP/1.1 503") && got.contains("Retry-After"), got);
-        StandIn far = engine(
+        StandInEngine far = engine(
                 "i-2",
                 "far",
-                (x, out, socket) ->
-                        StandIn.say(out, StandIn.streamHead(x) + StandIn.chunk("id: 1\ndata: a\n\n") + "0\r\n\r\n"));
+                (x, out, socket) -> StandInEngine.say(
+                        out, StandInEngine.streamHead(x) + StandInEngine.chunk("id: 1\ndata: a\n\n") + "0\r\n\r\n"));
         String stream = all(send("/home/x", "t2", "Connection: close\r\n", "abc"));
         assertTrue(stream.contains("id: 1"), stream);
         assertEquals(0, near.seen.size());
         assertEquals(1, far.seen.size());
     }
 
-    private static String answer(StandIn.Seen seen, String body) {
+    private static String answer(StandInEngine.Seen seen, String body) {
         return "HTTP/1.1 200 OK\r\nAttempt-Id: " + seen.heads().get("Attempt-Id")
                 + "\r\nServer-Seal: s\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
@@ -275,12 +277,12 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void surplusAnswersAreNeverGivenToTheNext(boolean together) throws Exception {
-        StandIn e = engine("i-1", "z", (x, out, socket) -> {
+        StandInEngine e = engine("i-1", "z", (x, out, socket) -> {
             if (together) {
-                StandIn.say(out, answer(x, "one") + answer(x, "two"));
+                StandInEngine.say(out, answer(x, "one") + answer(x, "two"));
             } else {
-                StandIn.say(out, answer(x, "one"));
-                StandIn.say(out, answer(x, "two"));
+                StandInEngine.say(out, answer(x, "one"));
+                StandInEngine.say(out, answer(x, "two"));
             }
         });
         int answered = 0;
@@ -309,21 +311,21 @@
     }
 
     /** Serves one request a connection, then forgets it: what comes next on it is reset. */
-    private static StandIn.Script forgetful(Set<Socket> served) {
+    private static StandInEngine.Script forgetful(Set<Socket> served) {
         return (seen, out, socket) -> {
             if (!served.add(socket)) {
                 socket.setSoLinger(true, 0);
                 socket.close();
                 throw new IOException("forgotten");
             }
-            StandIn.whole(200, "hello", "Keep-Alive: timeout=30\r\n").run(seen, out, socket);
+            StandInEngine.whole(200, "hello", "Keep-Alive: timeout=30\r\n").run(seen, out, socket);
         };
     }
 
     @Test
     void whatMayRunOnlyOnceGoesOverNoConnectionOfDoubtfulAge() throws Exception {
         Set<Socket> served = ConcurrentHashMap.newKeySet();
-        StandIn e = engine("i-1", "z", forgetful(served));
+        StandInEngine e = engine("i-1", "z", forgetful(served));
         for (int i = 0; i < 4; i++) {
             String got = ok("/once/x", "t" + i);
             assertTrue(got.startsWith("HTTP/1.1 200"), got);
@@ -336,14 +338,16 @@
     @Test
     void resetsTeachHowLongIdleConnectionsStayGood() throws Exception {
         Set<Socket> served = ConcurrentHashMap.newKeySet();
-        StandIn e = engine("i-1", "z", forgetful(served));
+        StandInEngine e = engine("i-1", "z", forgetful(served));
         assertTrue(ok("/card/x", "t1").startsWith("HTTP/1.1 200"));
         onMs += 2000;
         // repeatable: the stated thirty seconds are believed once; the reset is no failure of the engine's
         ok("/card/x", "t2");
         assertEquals(
                 0,
-                picker.report(clock.nowMs()).all(ringspindle.sum.Sum.key("i-1")).failed());
+                picker.report(clock.nowMs())
+                        .all(ringspindle.telemetry.LoadSummary.key("i-1"))
+                        .failed());
         for (int i = 3; i < 7; i++) {
             String got = ok("/card/x", "t" + i);
             assertTrue(got.startsWith("HTTP/1.1 200"), i + ": " + got);
@@ -354,15 +358,15 @@
 
     @Test
     void engineThatFailsThoughItsHealthIsGoodIsPassedOver() throws Exception {
-        StandIn grey = engine("i-1", "z", (seen, out, socket) -> {
+        StandInEngine grey = engine("i-1", "z", (seen, out, socket) -> {
             if (seen.line().startsWith("GET")) {
-                StandIn.say(out, "HTTP/1.1 200 OK\r\nInstance-Id: i-1\r\nContent-Length: 0\r\n\r\n");
+                StandInEngine.say(out, "HTTP/1.1 200 OK\r\nInstance-Id: i-1\r\nContent-Length: 0\r\n\r\n");
             } else {
-                StandIn.whole(500, "ill", "").run(seen, out, socket);
+                StandInEngine.whole(500, "ill", "").run(seen, out, socket);
             }
         });
-        engine("i-2", "z", StandIn.whole(200, "hello", ""));
-        engine("i-3", "z", StandIn.whole(200, "hello", ""));
+        engine("i-2", "z", StandInEngine.whole(200, "hello", ""));
+        engine("i-3", "z", StandInEngine.whole(200, "hello", ""));
         for (int i = 0; i < 40; i++) {
             ok("/card/x", "t" + i);
             front.probe();
@@ -377,7 +381,7 @@
     }
 
     private static ServingRules rules(String json) {
-        return ((Checked.Good<ServingRules>) ServingRules.read(json.getBytes(UTF_8))).value();
+        return ((Validated.Valid<ServingRules>) ServingRules.read(json.getBytes(UTF_8))).value();
     }
 
     private LedgerRow row(String cls) {
@@ -389,8 +393,9 @@
 
     @Test
     void rankOfTheClassGoesToTheEngineAndOlderRulesAreIgnored() throws Exception {
-        StandIn e = engine("i-1", "z", (seen, out, socket) -> {
-            StandIn.say(out, StandIn.streamHead(seen) + StandIn.chunk("id: 0\ndata: x\n\n") + "0\r\n\r\n");
+        StandInEngine e = engine("i-1", "z", (seen, out, socket) -> {
+            StandInEngine.say(
+                    out, StandInEngine.streamHead(seen) + StandInEngine.chunk("id: 0\ndata: x\n\n") + "0\r\n\r\n");
         });
         front.rules(
                 rules(
@@ -406,9 +411,9 @@
     @Test
     void actionKeepsTheRulesItWasAdmittedUnder() throws Exception {
         CountDownLatch hold = new CountDownLatch(1);
-        StandIn e = engine("i-1", "z", (seen, out, socket) -> {
+        StandInEngine e = engine("i-1", "z", (seen, out, socket) -> {
             hold.await();
-            StandIn.whole(200, "hello", "").run(seen, out, socket);
+            StandInEngine.whole(200, "hello", "").run(seen, out, socket);
         });
         front.rules(rules("{\"revision\":1,\"default\":{\"class\":{\"rank\":1}}}"));
         Socket first = send("/card/x", "t1", "Connection: close\r\n", "");
@@ -430,12 +435,13 @@
     void shortQuestionsNeverWaitBehindDigests() throws Exception {
         CountDownLatch hold = new CountDownLatch(1);
         List<String> order = Collections.synchronizedList(new ArrayList<>());
-        StandIn e = engine("i-1", "z", (seen, out, socket) -> {
+        StandInEngine e = engine("i-1", "z", (seen, out, socket) -> {
             order.add(seen.heads().get("Attempt-Id"));
             if (seen.heads().get("Attempt-Id").startsWith("d")) {
                 hold.await();
             }
-            StandIn.say(out, StandIn.streamHead(seen) + StandIn.chunk("id: 0\ndata: x\n\n") + "0\r\n\r\n");
+            StandInEngine.say(
+                    out, StandInEngine.streamHead(seen) + StandInEngine.chunk("id: 0\ndata: x\n\n") + "0\r\n\r\n");
         });
         front.rules(
                 rules(
@@ -458,29 +464,29 @@
             all(s);
         }
         assertEquals(6, row("digests").admitted());
-        assertEquals(Set.of(), Ledger.broken(front.ledger(1, 1)));
+        assertEquals(Set.of(), RequestLedger.broken(front.ledger(1, 1)));
     }
 
     /** The ledger against what the stand-in engines and clients counted themselves. */
     @Test
     void ledgerAgreesWithEnginesAndClients() throws Exception {
         int[] n = new int[1];
-        StandIn bad = engine("i-1", "z", (seen, out, socket) -> {
+        StandInEngine bad = engine("i-1", "z", (seen, out, socket) -> {
             if (seen.line().startsWith("GET")) {
-                StandIn.say(out, "HTTP/1.1 200 OK\r\nInstance-Id: i-1\r\nContent-Length: 0\r\n\r\n");
+                StandInEngine.say(out, "HTTP/1.1 200 OK\r\nInstance-Id: i-1\r\nContent-Length: 0\r\n\r\n");
                 return;
             }
             switch (n[0]++ % 3) {
                 case 0 ->
-                    StandIn.say(
+                    StandInEngine.say(
                             out,
                             "HTTP/1.1 503 X\r\nAttempt-Id: " + seen.heads().get("Attempt-Id")
                                     + "\r\nNot-Executed: full\r\nContent-Length: 0\r\n\r\n");
-                case 1 -> StandIn.whole(500, "ill", "").run(seen, out, socket);
+                case 1 -> StandInEngine.whole(500, "ill", "").run(seen, out, socket);
                 default -> socket.close();
             }
         });
-        StandIn good = engine("i-2", "z", StandIn.whole(200, "hello", ""));
+        StandInEngine good = engine("i-2", "z", StandInEngine.whole(200, "hello", ""));
         int whole = 0;
         int refused = 0;
         for (int i = 0; i < 60; i++) {
@@ -496,7 +502,7 @@
         assertEquals(refused, r.givenUp());
         assertEquals(arrived, r.sent());
         assertEquals(0, r.inProgress());
-        assertEquals(Set.of(), Ledger.broken(front.ledger(1, 1)));
+        assertEquals(Set.of(), RequestLedger.broken(front.ledger(1, 1)));
         Map<String, Integer> runs = new HashMap<>();
         good.seen.forEach(x -> runs.merge(x.heads().get("Attempt-Id"), 1, Integer::sum));
         assertTrue(runs.values().stream().allMatch(k -> k == 1), "doubled: " + runs);
--- a/src/test/java/ringspindle/edge/StandIn.java
+++ b/src/test/java/ringspindle/proxy/StandInEngine.java
@@ -1,4 +1,4 @@
-package ringspindle.edge;
+package ringspindle.proxy;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
@@ -16,7 +16,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 /** A stand-in engine on loopback that does what its script says, and keeps what it was sent. */
-final class StandIn implements AutoCloseable {
+final class StandInEngine implements AutoCloseable {
     /** One request as it came. */
     record Seen(String line, Map<String, String> heads, byte[] body) {}
 
@@ -33,7 +33,7 @@
     private volatile Script script;
     private volatile Script early;
 
-    StandIn(Script script) throws IOException {
+    StandInEngine(Script script) throws IOException {
         this.script = script;
         server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         Thread t = new Thread(this::accept);
--- a/src/test/java/ringspindle/chain/ChainMachineTest.java
+++ b/src/test/java/ringspindle/replication/ChainReplicatedStateTest.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -10,32 +10,32 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import ringspindle.api.Outcome;
-import ringspindle.chain.Chain.Out;
-import ringspindle.chain.Chain.Reach;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Accept;
-import ringspindle.wire.Msg.Accepted;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.Confirm;
-import ringspindle.wire.Msg.Confirmed;
-import ringspindle.wire.Msg.Decided;
-import ringspindle.wire.Msg.Entry;
-import ringspindle.wire.Msg.Install;
-import ringspindle.wire.Msg.Op;
-import ringspindle.wire.Msg.Pledge;
-import ringspindle.wire.Msg.Position;
-import ringspindle.wire.Msg.Prepare;
-import ringspindle.wire.Msg.Relearn;
-import ringspindle.wire.Msg.Relearned;
-import ringspindle.wire.Msg.Reply;
-import ringspindle.wire.Msg.State;
-import ringspindle.wire.Msg.Synced;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Accept;
+import ringspindle.protocol.Message.Accepted;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.Confirm;
+import ringspindle.protocol.Message.Confirmed;
+import ringspindle.protocol.Message.Decided;
+import ringspindle.protocol.Message.Entry;
+import ringspindle.protocol.Message.Install;
+import ringspindle.protocol.Message.Op;
+import ringspindle.protocol.Message.Pledge;
+import ringspindle.protocol.Message.Position;
+import ringspindle.protocol.Message.Prepare;
+import ringspindle.protocol.Message.Relearn;
+import ringspindle.protocol.Message.Relearned;
+import ringspindle.protocol.Message.Reply;
+import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.Synced;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
+import ringspindle.replication.ReplicatedState.Out;
+import ringspindle.replication.ReplicatedState.Reach;
 
 /** Single steps of the chain, input by input. */
-class ChainMachineTest {
+class ChainReplicatedStateTest {
     private static final NodeId A = NodeId.of("10.0.0.1:7000");
     private static final NodeId B = NodeId.of("10.0.0.2:7000");
     private static final NodeId C = NodeId.of("10.0.0.3:7000");
@@ -57,10 +57,10 @@
                 id, PUT, base, "", ("{\"revision\":" + revision + ",\"routes\":[],\"services\":[]}").getBytes(UTF_8));
     }
 
-    private static final int PUT = Chain.PUT;
+    private static final int PUT = ReplicatedState.PUT;
 
     /** Syncs everything that is to be written, and what follows from it. */
-    private static List<Out> synced(Chain c, List<Out> outs) {
+    private static List<Out> synced(ReplicatedState c, List<Out> outs) {
         List<Out> all = new ArrayList<>(outs);
         for (int i = 0; i < all.size(); i++) {
             if (all.get(i) instanceof Out.Store s) {
@@ -77,7 +77,7 @@
                 .toList();
     }
 
-    private static List<Msg> sent(List<Out> outs, Class<?> type) {
+    private static List<Message> sent(List<Out> outs, Class<?> type) {
         return outs.stream()
                 .filter(o -> o instanceof Out.Send)
                 .map(o -> ((Out.Send) o).m())
@@ -86,9 +86,9 @@
     }
 
     /** What follows once one more voter says that the view is still the newest. */
-    private static List<Out> confirmed(Chain c, List<Out> outs) {
+    private static List<Out> confirmed(ReplicatedState c, List<Out> outs) {
         List<Out> all = new ArrayList<>();
-        for (Msg m : sent(outs, Confirm.class)) {
+        for (Message m : sent(outs, Confirm.class)) {
             Confirm asked = (Confirm) m;
             all.addAll(c.on(B, new Confirmed(asked.epoch(), asked.id(), true), 10));
         }
@@ -96,15 +96,15 @@
     }
 
     /** The answers to a call that changes nothing: none before a majority has confirmed the view. */
-    private static List<Outcome> answersOnceConfirmed(Chain c, Call call, long nowMs) {
+    private static List<Outcome> answersOnceConfirmed(ReplicatedState c, Call call, long nowMs) {
         List<Out> outs = c.call(call, nowMs);
         assertEquals(List.of(), answers(outs), "answered by a head that may have been deposed");
         return answers(confirmed(c, outs));
     }
 
     /** A head whose followers have synced the first image. */
-    private static Chain head() {
-        Chain a = Chain.create(A, ALL, true, List.of(), 1, 1);
+    private static ReplicatedState head() {
+        ReplicatedState a = ReplicatedState.create(A, ALL, true, List.of(), 1, 1);
         List<Out> outs = synced(a, a.beat(0, TOUCH));
         assertEquals(1, sent(outs, Install.class).size());
         a.on(B, new Synced(1, 0), 20);
@@ -114,7 +114,7 @@
 
     @Test
     void orderIsAnsweredOnlyWhenTheWholeChainSyncedIt() {
-        Chain a = head();
+        ReplicatedState a = head();
         List<Out> outs = a.call(put(1, 0, 3), 30);
         assertEquals(List.of(), sent(outs, Entry.class), "passed on before it is synced here");
         outs = synced(a, outs);
@@ -126,7 +126,7 @@
 
     @Test
     void refusalWaitsForWhatItWasDecidedOn() {
-        Chain a = head();
+        ReplicatedState a = head();
         synced(a, a.call(put(1, 0, 3), 30));
         List<Out> refused = synced(a, a.call(put(2, 0, 5), 31));
         assertEquals(List.of(), answers(refused), "final though the winner may yet be lost");
@@ -136,7 +136,7 @@
 
     @Test
     void orderSentAgainIsKnownByItsDigest() {
-        Chain a = head();
+        ReplicatedState a = head();
         synced(a, a.call(put(1, 0, 3), 30));
         a.on(B, new Synced(1, 1), 40);
         synced(a, a.call(put(2, 3, 7), 50));
@@ -151,12 +151,12 @@
     /** A head that was cut off, while the others went on without it, neither confirms nor refuses on its old state. */
     @Test
     void deposedHeadAnswersNothing() {
-        Chain a = head();
+        ReplicatedState a = head();
         synced(a, a.call(put(1, 0, 3), 30));
         a.on(B, new Synced(1, 1), 40);
         for (Call c : List.of(put(2, 0, 3), put(3, 0, 9), put(4, 3, 2))) {
             List<Out> outs = a.call(c, 50);
-            for (Msg m : sent(outs, Confirm.class)) {
+            for (Message m : sent(outs, Confirm.class)) {
                 Confirm asked = (Confirm) m;
                 assertEquals(List.of(), answers(a.on(B, new Confirmed(1, asked.id(), false), 60)));
                 assertEquals(
@@ -170,17 +170,17 @@
     /** An order that was held up on its way, while its caller repeated it elsewhere and then took it back, has no effect. */
     @Test
     void orderFromBeforeANewerOneIsNotActedUpon() {
-        Chain a = head();
-        Call held = new Call(1, Chain.EVACUATE, 0, "z", new byte[0]);
-        synced(a, a.call(new Call(2, Chain.EVACUATE, 0, "z", new byte[0]), 30));
-        synced(a, a.call(new Call(3, Chain.RESTORE, 0, "z", new byte[0]), 40));
+        ReplicatedState a = head();
+        Call held = new Call(1, ReplicatedState.EVACUATE, 0, "z", new byte[0]);
+        synced(a, a.call(new Call(2, ReplicatedState.EVACUATE, 0, "z", new byte[0]), 30));
+        synced(a, a.call(new Call(3, ReplicatedState.RESTORE, 0, "z", new byte[0]), 40));
         a.on(B, new Synced(1, 2), 50);
         List<Out> late = a.on(C, held, 60);
         assertEquals(List.of(), sent(synced(a, late), Entry.class));
         Reply reply = (Reply) sent(confirmed(a, late), Reply.class).get(0);
         assertEquals(Outcome.UNCLEAR.ordinal(), reply.outcome());
         assertEquals("off", a.committed().marks().get(0).value());
-        synced(a, a.call(new Call(4, Chain.EVACUATE, 0, "z", new byte[0]), 70));
+        synced(a, a.call(new Call(4, ReplicatedState.EVACUATE, 0, "z", new byte[0]), 70));
         a.on(B, new Synced(1, 3), 80);
         assertEquals("on", a.committed().marks().get(0).value(), "an order taken later counts");
     }
@@ -188,9 +188,9 @@
     /** A withdrawal of what was never seen taken is final: the order that it takes back may still be on its way. */
     @Test
     void withdrawalFencesTheOrderThatItTakesBack() {
-        Chain a = head();
-        Call held = new Call(1, Chain.EVACUATE, 0, "z", new byte[0]);
-        synced(a, a.call(new Call(2, Chain.RESTORE, 0, "z", new byte[0]), 30));
+        ReplicatedState a = head();
+        Call held = new Call(1, ReplicatedState.EVACUATE, 0, "z", new byte[0]);
+        synced(a, a.call(new Call(2, ReplicatedState.RESTORE, 0, "z", new byte[0]), 30));
         assertEquals(List.of(Outcome.TAKEN), answers(a.on(B, new Synced(1, 1), 40)));
         List<Out> late = a.on(C, held, 50);
         assertEquals(List.of(), sent(synced(a, late), Entry.class));
@@ -201,7 +201,7 @@
     /** Beyond what is kept an order sent again gets no clear answer, which is neither a confirmation nor a refusal. */
     @Test
     void orderSentAgainAfterHundredsOfChangesIsNeverRefused() {
-        Chain a = head();
+        ReplicatedState a = head();
         int changes = Content.PAST_MAX + 10;
         for (int i = 1; i <= changes; i++) {
             synced(a, a.call(put(i, i - 1, i), 100 + i));
@@ -220,7 +220,7 @@
     /** A tail that got a second snapshot before it synced the first gives no reading older than what it confirmed. */
     @Test
     void tailCommitsTheSnapshotThatItConfirms() {
-        Chain c = Chain.create(C, ALL, true, List.of(), 1, 1);
+        ReplicatedState c = ReplicatedState.create(C, ALL, true, List.of(), 1, 1);
         synced(c, c.beat(0, TOUCH));
         synced(c, c.on(B, new Install(1, 0, Codec.encode(new State(1, 0, 0, List.of(), List.of(), new byte[0]))), 5));
         List<Out> first =
@@ -236,7 +236,7 @@
     /** A copy that was stale when the view was decided may not lead the next one. */
     @Test
     void staleMemberOfTheChainDoesNotDecideWhatWasTaken() {
-        Chain c = Chain.create(C, ALL, true, List.of(), 1, 3);
+        ReplicatedState c = ReplicatedState.create(C, ALL, true, List.of(), 1, 3);
         synced(c, c.beat(0, TOUCH));
         View two = new View(2, ALL, List.of(A, C), new Position(1, 5));
         synced(c, c.on(A, new Decided(two), 5));
@@ -251,10 +251,10 @@
                 return List.of(B);
             }
         };
-        List<Msg> accepts = new ArrayList<>();
+        List<Message> accepts = new ArrayList<>();
         for (long nowMs = 100; nowMs < 4000; nowMs += 100) {
             List<Out> outs = synced(c, c.beat(nowMs, withB));
-            for (Msg m : sent(outs, Prepare.class)) {
+            for (Message m : sent(outs, Prepare.class)) {
                 Prepare p = (Prepare) m;
                 // B, too, holds less than the base of the view: both of them together may lack what A acknowledged
                 Pledge pledge = new Pledge(p.epoch(), p.ballot(), true, p.ballot(), 0, 1, 4, null, two);
@@ -266,14 +266,14 @@
 
     @Test
     void fencedVoterRefusesTheOldEpochAndAnOlderBallot() {
-        Chain b = Chain.create(B, ALL, true, List.of(), 1, 1);
+        ReplicatedState b = ReplicatedState.create(B, ALL, true, List.of(), 1, 1);
         synced(b, b.beat(0, TOUCH));
         View one = b.view();
         synced(b, b.on(A, new Install(1, 0, Codec.encode(new State(1, 0, 0, List.of(), List.of(), new byte[0]))), 5));
         List<Out> outs = synced(b, b.on(C, new Prepare(2, 2049, one), 10));
         Pledge p = (Pledge) sent(outs, Pledge.class).get(0);
         assertTrue(p.granted());
-        byte[] op = Codec.encode(new Op(Chain.EVACUATE, 0, 0, 0, "z", new byte[0]));
+        byte[] op = Codec.encode(new Op(ReplicatedState.EVACUATE, 0, 0, 0, "z", new byte[0]));
         assertEquals(
                 List.of(), b.on(A, new Entry(1, 1, op), 20), "an entry of the old epoch is taken after the pledge");
         assertFalse(((Pledge) sent(synced(b, b.on(A, new Prepare(2, 1025, one), 30)), Pledge.class)
@@ -291,7 +291,7 @@
 
     @Test
     void pledgeIsToldOnlyOnceItIsSynced() {
-        Chain b = Chain.create(B, ALL, true, List.of(), 1, 1);
+        ReplicatedState b = ReplicatedState.create(B, ALL, true, List.of(), 1, 1);
         synced(b, b.beat(0, TOUCH));
         List<Out> outs = b.on(C, new Prepare(2, 2049, b.view()), 10);
         assertEquals(List.of(), sent(outs, Pledge.class));
@@ -300,7 +300,7 @@
 
     @Test
     void wipedNodeSaysNothingBeforeAMajorityToldIt() {
-        Chain c = Chain.create(C, ALL, false, List.of(), 1, 1);
+        ReplicatedState c = ReplicatedState.create(C, ALL, false, List.of(), 1, 1);
         View one = new View(1, ALL, ALL);
         assertEquals(2, sent(c.beat(0, TOUCH), Relearn.class).size());
         assertEquals(List.of(), sent(synced(c, c.on(A, new Prepare(2, 1025, one), 5)), Pledge.class));
@@ -319,10 +319,10 @@
 
     @Test
     void restartedNodeGoesOnFromItsDiskWhateverBootstrapSays() {
-        Chain a = Chain.create(A, List.of(A), true, List.of(), 1, 1);
+        ReplicatedState a = ReplicatedState.create(A, List.of(A), true, List.of(), 1, 1);
         synced(a, a.beat(0, TOUCH));
         assertEquals(List.of(Outcome.TAKEN), answers(synced(a, a.call(put(1, 0, 3), 30))));
-        Chain again = Chain.create(A, List.of(A), true, a.durable(), 2, 1);
+        ReplicatedState again = ReplicatedState.create(A, List.of(A), true, a.durable(), 2, 1);
         synced(again, again.beat(0, TOUCH));
         assertEquals(3, again.committed().revision());
         List<Out> outs = again.call(put(2, 0, 5), 40);
--- a/src/test/java/ringspindle/chain/ChainSim.java
+++ b/src/test/java/ringspindle/replication/ChainSimulation.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -16,16 +16,16 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import ringspindle.api.Outcome;
-import ringspindle.conf.Checked;
-import ringspindle.conf.FleetConfig;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.Validated;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
 
 /** A simulated core over the real chain machines: delays, cuts, freezes, power loss, lost disks. All from one seed. */
-final class ChainSim {
+final class ChainSimulation {
     /** What callers and nodes saw, for checking after the fact. */
     static final class History {
         record Acked(long base, long revision, long atMs) {}
@@ -64,22 +64,22 @@
                 newest = Math.max(newest, a.revision());
             }
             evacuations.forEach((zone, value) -> {
-                if (!value.equals(marksAtEnd.get(Chain.MARK_EVACUATED + zone))) {
-                    out.add("zone " + zone + " ends as " + marksAtEnd.get(Chain.MARK_EVACUATED + zone)
+                if (!value.equals(marksAtEnd.get(ReplicatedState.MARK_EVACUATED + zone))) {
+                    out.add("zone " + zone + " ends as " + marksAtEnd.get(ReplicatedState.MARK_EVACUATED + zone)
                             + ", acknowledged was " + value);
                 }
             });
             if (rules > 0) {
-                String m = marksAtEnd.get(Chain.MARK_RULES + "");
+                String m = marksAtEnd.get(ReplicatedState.MARK_RULES + "");
                 if (m == null
-                        || !(ringspindle.rule.ServingRules.read(m.getBytes(UTF_8))
-                                instanceof Checked.Good<ringspindle.rule.ServingRules> g)
+                        || !(ringspindle.routing.ServingRules.read(m.getBytes(UTF_8))
+                                instanceof Validated.Valid<ringspindle.routing.ServingRules> g)
                         || g.value().revision() < rules) {
                     out.add("serving rules " + rules + " were acknowledged, at the end there is " + m);
                 }
             }
             if (rollTarget >= 0) {
-                String m = marksAtEnd.get(Chain.MARK_ROLLOUT + "s");
+                String m = marksAtEnd.get(ReplicatedState.MARK_ROLLOUT + "s");
                 Rollout r = m == null ? null : Rollout.read(m);
                 if (r == null
                         || r.target() != rollTarget
@@ -88,7 +88,7 @@
                 }
             }
             for (String id : leaving) {
-                if (!marksAtEnd.containsKey(Chain.MARK_LEAVING + id)) {
+                if (!marksAtEnd.containsKey(ReplicatedState.MARK_LEAVING + id)) {
                     out.add("that " + id + " leaves was acknowledged and is forgotten");
                 }
             }
@@ -104,9 +104,9 @@
 
     private static final class Node {
         final NodeId id;
-        ChainMachine machine;
-        List<Msg> disk = new ArrayList<>();
-        final ArrayDeque<Chain.Out.Store> inbox = new ArrayDeque<>();
+        ChainReplicatedState machine;
+        List<Message> disk = new ArrayList<>();
+        final ArrayDeque<ReplicatedState.Out.Store> inbox = new ArrayDeque<>();
         long diskFreeMs;
         long upMs;
         long frozenUntilMs;
@@ -149,12 +149,12 @@
         return name;
     }
 
-    ChainSim(long seed, int size) {
+    ChainSimulation(long seed, int size) {
         this(seed, size, size, 1);
     }
 
     /** Of {@code size} nodes the first {@code known} are seeds, the others join; {@code lost} may lose their disks at once. */
-    ChainSim(long seed, int size, int known, int lost) {
+    ChainSimulation(long seed, int size, int known, int lost) {
         name = seed + " " + size + " of which seeds " + known + " lost at once " + lost;
         this.lost = lost;
         luck = new Random(seed);
@@ -172,8 +172,8 @@
         }
     }
 
-    private ChainMachine machine(NodeId id, boolean bootstrap, List<Msg> disk) {
-        return new ChainMachine(id, seeds, bootstrap, disk, luck.nextLong(), 2 * lost + 1);
+    private ChainReplicatedState machine(NodeId id, boolean bootstrap, List<Message> disk) {
+        return new ChainReplicatedState(id, seeds, bootstrap, disk, luck.nextLong(), 2 * lost + 1);
     }
 
     private final List<NodeId> seeds;
@@ -310,17 +310,17 @@
             return;
         }
         if (n.frozenUntilMs <= nowMs) {
-            carry(n, n.machine.beat(nowMs, new Chain.Reach() {
+            carry(n, n.machine.beat(nowMs, new ReplicatedState.Reach() {
                 @Override
                 public boolean linked(NodeId a, NodeId b) {
-                    return a.equals(b) || ChainSim.this.linked(a, b);
+                    return a.equals(b) || ChainSimulation.this.linked(a, b);
                 }
 
                 @Override
                 public Collection<NodeId> live() {
                     List<NodeId> out = new ArrayList<>();
                     nodes.forEach(o -> {
-                        if (o != n && ChainSim.this.linked(n.id, o.id)) {
+                        if (o != n && ChainSimulation.this.linked(n.id, o.id)) {
                             out.add(o.id);
                         }
                     });
@@ -347,22 +347,22 @@
         at(100, () -> beat(n, life));
     }
 
-    private void carry(Node n, List<Chain.Out> outs) {
-        for (Chain.Out o : outs) {
-            if (o instanceof Chain.Out.Send s) {
+    private void carry(Node n, List<ReplicatedState.Out> outs) {
+        for (ReplicatedState.Out o : outs) {
+            if (o instanceof ReplicatedState.Out.Send s) {
                 send(n, s.to(), s.m());
-            } else if (o instanceof Chain.Out.Store s) {
+            } else if (o instanceof ReplicatedState.Out.Store s) {
                 n.inbox.add(s);
                 int life = n.life;
                 long when = Math.max(Math.max(nowMs, n.diskFreeMs), n.stalledUntilMs) + 1 + luck.nextInt(8);
                 n.diskFreeMs = when;
                 at(when - nowMs, () -> synced(n, life, s));
-            } else if (o instanceof Chain.Out.Answer a) {
+            } else if (o instanceof ReplicatedState.Out.Answer a) {
                 Answer then = calls.remove(a.call());
                 if (then != null) {
                     then.answer(a.outcome(), a.body());
                 }
-            } else if (o instanceof Chain.Out.Committed c) {
+            } else if (o instanceof ReplicatedState.Out.Committed c) {
                 Long had = history.revisionOfSeq.putIfAbsent(
                         c.state().seq(), c.state().revision());
                 if (had != null && had != c.state().revision()) {
@@ -378,7 +378,7 @@
         }
     }
 
-    private void synced(Node n, int life, Chain.Out.Store s) {
+    private void synced(Node n, int life, ReplicatedState.Out.Store s) {
         if (n.life != life || !up(n)) {
             return;
         }
@@ -391,7 +391,7 @@
         carry(n, n.machine.stored(s.token(), nowMs));
     }
 
-    private void send(Node from, NodeId to, Msg m) {
+    private void send(Node from, NodeId to, Message m) {
         if (cut(from.id, to)) {
             return;
         }
@@ -476,7 +476,7 @@
         String body = "{\"revision\":" + revision
                 + ",\"routes\":[],\"services\":[{\"name\":\"s\"}],\"limits\":{\"maxBodyBytes\":"
                 + (1000 + luck.nextInt(100000)) + "}}";
-        attempt(new Order(Chain.PUT, base, revision, body), 0);
+        attempt(new Order(ReplicatedState.PUT, base, revision, body), 0);
     }
 
     private void attempt(Order o, int n) {
@@ -567,7 +567,7 @@
     private void evacuate(int n) {
         if (stress) {
             boolean on = n % 2 == 0;
-            insist(on ? Chain.EVACUATE : Chain.RESTORE, "z", () -> {
+            insist(on ? ReplicatedState.EVACUATE : ReplicatedState.RESTORE, "z", () -> {
                 history.evacuations.put("z", on ? "on" : "off");
                 at(200 + luck.nextInt(1200), () -> evacuate(n + 1));
             });
@@ -580,7 +580,7 @@
             long target = n / 2 + 2;
             boolean start = n % 2 == 0;
             String order = start ? "{\"order\":\"start\",\"target\":" + target + "}" : "{\"order\":\"abort\"}";
-            insist(Chain.ROLLOUT, "s", order.getBytes(UTF_8), () -> {
+            insist(ReplicatedState.ROLLOUT, "s", order.getBytes(UTF_8), () -> {
                 history.rollTarget = target;
                 history.rollAborted = !start;
                 at(400 + luck.nextInt(1500), () -> rollOut(n + 1));
@@ -628,7 +628,7 @@
                 at(100 + luck.nextInt(300), () -> rules(history.rules));
             }
         });
-        carry(via, via.machine.call(new Call(id, Chain.RULES, base, "", body.getBytes(UTF_8)), nowMs));
+        carry(via, via.machine.call(new Call(id, ReplicatedState.RULES, base, "", body.getBytes(UTF_8)), nowMs));
         at(1500, () -> {
             if (!done[0]) {
                 done[0] = true;
@@ -639,7 +639,7 @@
 
     private void leave(int n) {
         if (stress) {
-            insist(n % 3 == 2 ? Chain.GONE : Chain.DRAIN, "i-" + n, () -> {
+            insist(n % 3 == 2 ? ReplicatedState.GONE : ReplicatedState.DRAIN, "i-" + n, () -> {
                 history.leaving.add("i-" + n);
                 at(300 + luck.nextInt(900), () -> leave(n + 1));
             });
@@ -683,7 +683,7 @@
             done[0] = true;
             if (outcome == Outcome.TAKEN) {
                 String text = new String(FleetConfig.unpack(body), UTF_8);
-                long revision = ((Checked.Good<FleetConfig>) FleetConfig.read(text.getBytes(UTF_8)))
+                long revision = ((Validated.Valid<FleetConfig>) FleetConfig.read(text.getBytes(UTF_8)))
                         .value()
                         .revision();
                 if (revision < newestAcked) {
@@ -696,7 +696,7 @@
                 at(150, () -> read(then, n + 1));
             }
         });
-        carry(via, via.machine.call(new Call(id, Chain.READ, 0, "", new byte[0]), nowMs));
+        carry(via, via.machine.call(new Call(id, ReplicatedState.READ, 0, "", new byte[0]), nowMs));
     }
 
     private void readBack() {
--- a/src/test/java/ringspindle/chain/ChainSimTest.java
+++ b/src/test/java/ringspindle/replication/ChainSimulationTest.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,14 +12,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Histories of the simulated core, checked after the fact. Seeds are fixed; a failure names its seed. */
-class ChainSimTest {
+class ChainSimulationTest {
     @ParameterizedTest
     @ValueSource(ints = {3, 5})
     void troublesLoseNothingThatWasAcknowledged(int size) {
         int acked = 0;
         for (long seed = 1; seed <= 60; seed++) {
-            ChainSim sim = new ChainSim(seed, size);
-            ChainSim.History h = sim.run(8, 40_000);
+            ChainSimulation sim = new ChainSimulation(seed, size);
+            ChainSimulation.History h = sim.run(8, 40_000);
             assertEquals(List.of(), h.problems(), () -> "seed and size " + sim.name() + sim.standing());
             assertTrue(h.readBack >= 0, "nothing could be read back, seed " + seed);
             acked += h.acked.size();
@@ -33,8 +33,8 @@
     void joinersVoteAndTwoLostDisksLoseNothing(int size) {
         int acked = 0;
         for (long seed = 1; seed <= 40; seed++) {
-            ChainSim sim = new ChainSim(seed, size, 3, 2);
-            ChainSim.History h = sim.run(7, 45_000);
+            ChainSimulation sim = new ChainSimulation(seed, size, 3, 2);
+            ChainSimulation.History h = sim.run(7, 45_000);
             assertEquals(List.of(), h.problems(), () -> "seed and size " + sim.name() + sim.standing());
             assertTrue(h.readBack >= 0, "nothing could be read back, seed " + seed);
             assertEquals(
@@ -51,7 +51,7 @@
     @CsvSource({"3,1,true", "3,1,false", "6,2,true", "6,2,false"})
     void lossRightAfterAReplacementLeavesAMajority(int size, int lost, boolean planned) {
         for (long seed = 1; seed <= 2L * size; seed++) {
-            ChainSim sim = new ChainSim(seed, size, 3, lost);
+            ChainSimulation sim = new ChainSimulation(seed, size, 3, lost);
             int first = (int) (seed / 2 % size);
             int second = (int) (seed % size);
             // the replacement has had the time to catch up, four seconds from its start, and no more
@@ -59,7 +59,7 @@
             sim.script(
                     planned ? 14_000 : 14_100,
                     () -> sim.loseDisksAndPower(lost == 1 ? Set.of(second) : Set.of(second, (second + 1) % size)));
-            ChainSim.History h = sim.run(0, 22_000);
+            ChainSimulation.History h = sim.run(0, 22_000);
             assertEquals(List.of(), h.problems(), () -> sim.name() + sim.standing());
             assertTrue(
                     sim.acknowledgedAfter(17_500) > 0,
@@ -68,7 +68,7 @@
         }
     }
 
-    private static void replace(ChainSim sim, boolean planned, int index) {
+    private static void replace(ChainSimulation sim, boolean planned, int index) {
         if (planned) {
             sim.replacePlanned(index);
         } else {
@@ -81,14 +81,14 @@
     @CsvSource({"3,1", "6,2"})
     void everyNodeReplacedInTurn(int size, int lost) {
         for (long seed = 1; seed <= 4; seed++) {
-            ChainSim sim = new ChainSim(seed, size, 3, lost);
+            ChainSimulation sim = new ChainSimulation(seed, size, 3, lost);
             for (int i = 0; i < size; i++) {
                 boolean planned = (seed + i) % 2 == 0;
                 sim.script(9_000 + i * 7_500L, () -> replace(sim, planned, 0));
             }
             long lastMs = 9_000 + size * 7_500L;
             sim.script(lastMs, () -> sim.loseDisk(0, 2500));
-            ChainSim.History h = sim.run(0, lastMs + 8_000);
+            ChainSimulation.History h = sim.run(0, lastMs + 8_000);
             assertEquals(List.of(), h.problems(), () -> sim.name() + sim.standing());
             assertTrue(sim.acknowledgedAfter(lastMs + 4_000) > 0, () -> sim.name() + sim.standing());
             assertEquals(sim.running(), sim.votersOfNewest().stream().sorted().toList(), sim::name);
@@ -100,11 +100,11 @@
     @CsvSource({"3,1", "6,2"})
     void nodeThatWakesAfterItsSeatWasGivenAwayJoinsAgain(int size, int lost) {
         for (long seed = 1; seed <= size; seed++) {
-            ChainSim sim = new ChainSim(seed, size, 3, lost);
+            ChainSimulation sim = new ChainSimulation(seed, size, 3, lost);
             int frozen = (int) (seed % size);
             sim.script(9_000, () -> sim.freezeAndJoin(frozen, 8_000));
             sim.script(15_000, () -> sim.checkVoters(size));
-            ChainSim.History h = sim.run(0, 24_000);
+            ChainSimulation.History h = sim.run(0, 24_000);
             assertEquals(List.of(), h.problems(), () -> sim.name() + sim.standing());
             assertTrue(sim.acknowledgedAfter(15_000) > 0, sim::name);
             assertEquals(sim.running(), sim.votersOfNewest().stream().sorted().toList(), sim::name);
@@ -115,7 +115,7 @@
     @Test
     void leavingHeadHandsOver() {
         for (int size : new int[] {3, 6}) {
-            ChainSim sim = new ChainSim(11, size, 3, size == 3 ? 1 : 2);
+            ChainSimulation sim = new ChainSimulation(11, size, 3, size == 3 ? 1 : 2);
             sim.run(0, 4000);
             long before = sim.epoch();
             sim.leaveHead();
@@ -128,8 +128,8 @@
     /** Beyond nine the others learn and pass calls on. */
     @Test
     void learnersPassCallsOn() {
-        ChainSim sim = new ChainSim(3, 12, 3, 2);
-        ChainSim.History h = sim.run(0, 25_000);
+        ChainSimulation sim = new ChainSimulation(3, 12, 3, 2);
+        ChainSimulation.History h = sim.run(0, 25_000);
         assertEquals(List.of(), h.problems(), () -> sim.name() + sim.standing());
         assertEquals(Membership.VOTERS_MAX, sim.voters());
         assertTrue(h.acked.size() > 10, "acknowledged " + h.acked.size());
@@ -138,28 +138,28 @@
     /** With all seats taken a node that only learns takes the one of a voter that is gone. */
     @Test
     void learnerTakesTheSeatOfALostVoter() {
-        ChainSim sim = new ChainSim(5, Membership.VOTERS_MAX + 1, 3, 2);
+        ChainSimulation sim = new ChainSimulation(5, Membership.VOTERS_MAX + 1, 3, 2);
         sim.script(20_000, () -> {
             sim.checkVoters(Membership.VOTERS_MAX);
             sim.loseForGood(sim.votersOfNewest().get(1));
         });
-        ChainSim.History h = sim.run(0, 26_000);
+        ChainSimulation.History h = sim.run(0, 26_000);
         assertEquals(List.of(), h.problems(), () -> sim.name() + sim.standing());
         assertEquals(sim.running(), sim.votersOfNewest().stream().sorted().toList(), sim::standing);
     }
 
     @Test
     void quietCoreTakesEveryOrder() {
-        ChainSim.History h = new ChainSim(7, 3).run(0, 20_000);
+        ChainSimulation.History h = new ChainSimulation(7, 3).run(0, 20_000);
         assertEquals(List.of(), h.problems());
         assertTrue(h.acked.size() > 20, "acknowledged " + h.acked.size());
     }
 
     @Test
     void checkerSeesBrokenHistories() {
-        ChainSim.History h = new ChainSim.History();
-        h.acked.add(new ChainSim.History.Acked(5, 7, 0));
-        h.acked.add(new ChainSim.History.Acked(5, 9, 1));
+        ChainSimulation.History h = new ChainSimulation.History();
+        h.acked.add(new ChainSimulation.History.Acked(5, 7, 0));
+        h.acked.add(new ChainSimulation.History.Acked(5, 9, 1));
         h.readBack = 7;
         h.readBody = "a";
         h.sent.put(7L, "b");
--- a/src/test/java/ringspindle/chain/ModelExplorer.java
+++ b/src/test/java/ringspindle/replication/ModelExplorer.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -13,9 +13,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import ringspindle.api.Outcome;
-import ringspindle.conf.Checked;
-import ringspindle.conf.FleetConfig;
-import ringspindle.wire.Msg.Call;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.Validated;
+import ringspindle.protocol.Message.Call;
 
 /**
  * Exhaustive search on small cases: three nodes, two configuration orders on one base, an evacuation and its withdrawal.
@@ -253,7 +253,7 @@
         }
 
         @Override
-        public void answered(ModelNode node, Chain.Out.Answer answer) {
+        public void answered(ModelNode node, ReplicatedState.Out.Answer answer) {
             Reply reply = replies.remove(answer.call());
             if (reply != null) {
                 reply.take(answer.outcome(), answer.body());
@@ -535,7 +535,7 @@
         }
 
         private void put(ModelHistory.Write write, int via, int attempt) {
-            call(via, Chain.PUT, write.base, "", write.body.getBytes(UTF_8), (outcome, body) -> {
+            call(via, ReplicatedState.PUT, write.base, "", write.body.getBytes(UTF_8), (outcome, body) -> {
                 if (outcome == Outcome.TAKEN) {
                     acknowledged++;
                     history.acknowledge(write);
@@ -552,7 +552,7 @@
 
         private void mark(boolean on, int via) {
             world.monitor.evacuationInvoked("z");
-            call(via, on ? Chain.EVACUATE : Chain.RESTORE, 0, "z", new byte[0], (outcome, body) -> {
+            call(via, on ? ReplicatedState.EVACUATE : ReplicatedState.RESTORE, 0, "z", new byte[0], (outcome, body) -> {
                 if (outcome != Outcome.TAKEN) {
                     mark(on, via + 1);
                     return;
@@ -567,11 +567,11 @@
 
         private void read(int via) {
             long invoked = history.tick();
-            call(via, Chain.READ, 0, "", new byte[0], (outcome, body) -> {
+            call(via, ReplicatedState.READ, 0, "", new byte[0], (outcome, body) -> {
                 if (outcome == Outcome.TAKEN) {
-                    Checked<FleetConfig> found = FleetConfig.read(FleetConfig.unpack(body));
+                    Validated<FleetConfig> found = FleetConfig.read(FleetConfig.unpack(body));
                     history.answerRead(
-                            ((Checked.Good<FleetConfig>) found).value().revision(), invoked);
+                            ((Validated.Valid<FleetConfig>) found).value().revision(), invoked);
                 } else if (outcome == Outcome.NO_SUCH) {
                     history.answerRead(0, invoked);
                 } else {
@@ -588,7 +588,7 @@
         private void insist(int via) {
             if (!world.monitor.acknowledged(LAST_ZONE)) {
                 inTicks(2, "insist", () -> insist(via + 1));
-                call(via, Chain.EVACUATE, 0, LAST_ZONE, new byte[0], (outcome, body) -> {
+                call(via, ReplicatedState.EVACUATE, 0, LAST_ZONE, new byte[0], (outcome, body) -> {
                     if (outcome == Outcome.TAKEN) {
                         world.monitor.evacuationAcknowledged(LAST_ZONE, true);
                         read(via);
--- a/src/test/java/ringspindle/chain/ModelFault.java
+++ b/src/test/java/ringspindle/replication/ModelFault.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 /**
  * One planned fault.
--- a/src/test/java/ringspindle/chain/ModelFindingsTest.java
+++ b/src/test/java/ringspindle/replication/ModelFindingsTest.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.EnumSet;
 import java.util.Set;
--- a/src/test/java/ringspindle/chain/ModelFingerprint.java
+++ b/src/test/java/ringspindle/replication/ModelFingerprint.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.lang.reflect.Field;
 import java.lang.reflect.Modifier;
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.NodeId;
 
 /**
  * A 64-bit hash over all that a machine holds, found by reflection, so that no field that is added later is forgotten.
@@ -44,7 +44,7 @@
             mix(value instanceof Enum<?> constant ? constant.ordinal() : value.hashCode());
         } else if (value instanceof byte[] bytes) {
             addBytes(bytes);
-        } else if (value instanceof Msg message) {
+        } else if (value instanceof Message message) {
             addBytes(Codec.encode(message));
         } else if (value instanceof Map<?, ?> map) {
             mix(map.size());
@@ -61,7 +61,7 @@
     private void addFields(Object value) {
         boolean skipped = value instanceof Runnable
                 || value instanceof Random
-                || value instanceof Chain.Reach
+                || value instanceof ReplicatedState.Reach
                 || value instanceof Content;
         boolean ours = value.getClass().getName().startsWith("ringspindle.")
                 && !value.getClass().isHidden();
--- a/src/test/java/ringspindle/chain/ModelMonitor.java
+++ b/src/test/java/ringspindle/replication/ModelMonitor.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Mark;
-import ringspindle.wire.Msg.State;
-import ringspindle.wire.Msg.View;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Mark;
+import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.View;
 
 /** Checks that hold after every step, over all machines at once. */
 final class ModelMonitor {
@@ -99,13 +99,13 @@
     }
 
     private static boolean isOn(State state, String zone) {
-        Mark mark = Content.mark(state, Chain.MARK_EVACUATED, zone);
+        Mark mark = Content.mark(state, ReplicatedState.MARK_EVACUATED, zone);
         return mark != null && mark.value().equals(ON);
     }
 
     /** True if a later order on the same zone is on top of that version. */
     private static boolean isNewer(State state, String zone, long version) {
-        Mark mark = Content.mark(state, Chain.MARK_EVACUATED, zone);
+        Mark mark = Content.mark(state, ReplicatedState.MARK_EVACUATED, zone);
         return mark != null && mark.version() > version;
     }
 
@@ -168,7 +168,7 @@
         }
     }
 
-    private boolean holds(ModelNode node, List<Msg> disk, Holds holds) {
+    private boolean holds(ModelNode node, List<Message> disk, Holds holds) {
         return !disk.isEmpty() && holds.test(world.stateOnDisk(node, disk));
     }
 
--- a/src/test/java/ringspindle/chain/ModelNode.java
+++ b/src/test/java/ringspindle/replication/ModelNode.java
@@ -1,10 +1,10 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import ringspindle.wire.Msg;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.NodeId;
 
 /** A simulated node: one process, one disk. */
 final class ModelNode {
@@ -13,15 +13,15 @@
 
     final NodeId id;
     /** Null while the process is down. */
-    Chain chain;
+    ReplicatedState chain;
     /** What is synced; survives everything but a wipe. */
-    List<Msg> disk = new ArrayList<>();
+    List<Message> disk = new ArrayList<>();
     /** What the disk held before it was lost last, and when that was. */
-    List<Msg> lostDisk = List.of();
+    List<Message> lostDisk = List.of();
 
     long diskLostMs;
     /** Handed to the disk, not yet synced, in order. */
-    final ArrayDeque<Chain.Out.Store> writes = new ArrayDeque<>();
+    final ArrayDeque<ReplicatedState.Out.Store> writes = new ArrayDeque<>();
     /** Counts process starts. */
     int life;
     /** Rises with everything that changes the process or its disk. */
@@ -52,8 +52,8 @@
     }
 
     /** Makes the first write durable and returns it. */
-    Chain.Out.Store syncFirst() {
-        Chain.Out.Store store = writes.poll();
+    ReplicatedState.Out.Store syncFirst() {
+        ReplicatedState.Out.Store store = writes.poll();
         if (store.image()) {
             disk = new ArrayList<>(store.records());
         } else {
@@ -67,7 +67,7 @@
         for (int i = 0; i < whole && !writes.isEmpty(); i++) {
             syncFirst();
         }
-        Chain.Out.Store torn = writes.poll();
+        ReplicatedState.Out.Store torn = writes.poll();
         if (torn != null && !torn.image()) {
             disk.addAll(
                     torn.records().subList(0, Math.min(records, torn.records().size())));
--- a/src/test/java/ringspindle/chain/ModelOperators.java
+++ b/src/test/java/ringspindle/replication/ModelOperators.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import ringspindle.api.Outcome;
-import ringspindle.conf.FleetConfig;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.State;
+import ringspindle.config.FleetConfig;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.State;
 
 /**
  * Operators that send orders and reads to any node, send them again through another when the answer is unclear, late or
@@ -57,7 +57,7 @@
         walk.in(1800, reader::read);
     }
 
-    void answered(Chain.Out.Answer answer) {
+    void answered(ReplicatedState.Out.Answer answer) {
         Reply reply = replies.remove(answer.call());
         if (reply != null) {
             // not within the machine's own step; the answer leaves the node now
@@ -90,7 +90,7 @@
 
     private void read(ModelRandom random, ReadReply reply) {
         long invoked = history.tick();
-        call(random, Chain.READ, 0, "", EMPTY, (outcome, body) -> {
+        call(random, ReplicatedState.READ, 0, "", EMPTY, (outcome, body) -> {
             if (outcome == Outcome.TAKEN) {
                 String text = new String(FleetConfig.unpack(body), UTF_8);
                 noteRead(revisionOf(text), text, invoked);
@@ -151,7 +151,7 @@
                 return;
             }
             boolean answerLost = random.oneIn(8);
-            call(random, Chain.PUT, write.base, "", write.body.getBytes(UTF_8), (outcome, body) -> {
+            call(random, ReplicatedState.PUT, write.base, "", write.body.getBytes(UTF_8), (outcome, body) -> {
                 if (outcome == Outcome.TAKEN && !answerLost) {
                     acknowledged(write);
                 } else if (outcome == null || outcome == Outcome.UNCLEAR || answerLost) {
@@ -177,7 +177,7 @@
 
         /** An order that was acknowledged is sent once more: it must never be refused. */
         private void sendAgain(ModelHistory.Write write) {
-            call(random, Chain.PUT, write.base, "", write.body.getBytes(UTF_8), (outcome, body) -> {
+            call(random, ReplicatedState.PUT, write.base, "", write.body.getBytes(UTF_8), (outcome, body) -> {
                 if (outcome != null && outcome != Outcome.TAKEN && outcome != Outcome.UNCLEAR) {
                     world.monitor.report(
                             ModelViolation.Kind.REFUSED_AGAIN,
@@ -218,7 +218,7 @@
         private void send(int attempt) {
             world.monitor.evacuationInvoked(zone);
             boolean answerLost = random.oneIn(8);
-            call(random, on ? Chain.EVACUATE : Chain.RESTORE, 0, zone, EMPTY, (outcome, body) -> {
+            call(random, on ? ReplicatedState.EVACUATE : ReplicatedState.RESTORE, 0, zone, EMPTY, (outcome, body) -> {
                 if (outcome == Outcome.TAKEN && !answerLost) {
                     world.monitor.evacuationAcknowledged(zone, on);
                     walk.acknowledged();
@@ -269,7 +269,13 @@
         }
         // every operator may reach a node that is cut off, so several are asked side by side
         walk.in(150, () -> insist(zone, random, untilMs, acknowledged));
-        call(random, Chain.EVACUATE, 0, zone, EMPTY, (outcome, body) -> acknowledged[0] |= outcome == Outcome.TAKEN);
+        call(
+                random,
+                ReplicatedState.EVACUATE,
+                0,
+                zone,
+                EMPTY,
+                (outcome, body) -> acknowledged[0] |= outcome == Outcome.TAKEN);
     }
 
     /** Operators stop; the configuration is read back, and the newest committed marks are looked at. */
--- a/src/test/java/ringspindle/chain/ModelPlanted.java
+++ b/src/test/java/ringspindle/replication/ModelPlanted.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -10,35 +10,35 @@
 import java.util.Map;
 import java.util.Set;
 import ringspindle.api.Outcome;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.Confirm;
-import ringspindle.wire.Msg.Confirmed;
-import ringspindle.wire.Msg.Decided;
-import ringspindle.wire.Msg.Entry;
-import ringspindle.wire.Msg.Install;
-import ringspindle.wire.Msg.Op;
-import ringspindle.wire.Msg.Prepare;
-import ringspindle.wire.Msg.State;
-import ringspindle.wire.Msg.Synced;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.Msg.Vote;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.Confirm;
+import ringspindle.protocol.Message.Confirmed;
+import ringspindle.protocol.Message.Decided;
+import ringspindle.protocol.Message.Entry;
+import ringspindle.protocol.Message.Install;
+import ringspindle.protocol.Message.Op;
+import ringspindle.protocol.Message.Prepare;
+import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.Synced;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.Message.Vote;
+import ringspindle.protocol.NodeId;
 
 /** Faults planted around the real machine, each with the properties of which one has to be seen broken. */
 enum ModelPlanted {
     /** A write counts as synced as soon as it is handed to the disk. */
     SKIPPED_SYNC(EnumSet.of(ModelViolation.Kind.FEW_COPIES, ModelViolation.Kind.LOST)) {
         @Override
-        Chain around(Chain real, NodeId me, Map<String, Long> bases) {
+        ReplicatedState around(ReplicatedState real, NodeId me, Map<String, Long> bases) {
             return new SkippedSync(real);
         }
     },
     /** A head answers before its followers have the order. */
     EARLY_ACKNOWLEDGEMENT(EnumSet.of(ModelViolation.Kind.FEW_COPIES)) {
         @Override
-        Chain around(Chain real, NodeId me, Map<String, Long> bases) {
+        ReplicatedState around(ReplicatedState real, NodeId me, Map<String, Long> bases) {
             return new EarlyAcknowledgement(real);
         }
     },
@@ -49,63 +49,63 @@
      */
     EPOCH_NOT_COMPARED(EnumSet.of(ModelViolation.Kind.OLD_READ, ModelViolation.Kind.NOT_LINEARIZABLE)) {
         @Override
-        Chain around(Chain real, NodeId me, Map<String, Long> bases) {
+        ReplicatedState around(ReplicatedState real, NodeId me, Map<String, Long> bases) {
             return new EpochNotCompared(real, me);
         }
     },
     /** Promises and acceptances are not on the disk after a restart. */
     LOST_PROMISE(EnumSet.of(ModelViolation.Kind.TWO_VIEWS, ModelViolation.Kind.LOST, ModelViolation.Kind.DIVERGED)) {
         @Override
-        Chain around(Chain real, NodeId me, Map<String, Long> bases) {
+        ReplicatedState around(ReplicatedState real, NodeId me, Map<String, Long> bases) {
             return new LostPromise(real);
         }
     },
     /** A member that misses a voter decides alone to go on without it. */
     VOTER_REMOVED_ALONE(EnumSet.of(ModelViolation.Kind.TWO_VIEWS)) {
         @Override
-        Chain around(Chain real, NodeId me, Map<String, Long> bases) {
+        ReplicatedState around(ReplicatedState real, NodeId me, Map<String, Long> bases) {
             return new VoterRemovedAlone(real, me);
         }
     },
     /** Any node answers reads from what it holds. */
     READ_NOT_CONFIRMED(EnumSet.of(ModelViolation.Kind.OLD_READ, ModelViolation.Kind.NOT_LINEARIZABLE)) {
         @Override
-        Chain around(Chain real, NodeId me, Map<String, Long> bases) {
+        ReplicatedState around(ReplicatedState real, NodeId me, Map<String, Long> bases) {
             return new ReadNotConfirmed(real);
         }
     },
     /** An order is taken whatever it rests on. */
     BASE_NOT_COMPARED(EnumSet.of(ModelViolation.Kind.TWO_WINNERS)) {
         @Override
-        Chain around(Chain real, NodeId me, Map<String, Long> bases) {
+        ReplicatedState around(ReplicatedState real, NodeId me, Map<String, Long> bases) {
             return new BaseNotCompared(real, bases);
         }
     },
     /** Images leave out which orders were taken. */
     FORGOTTEN_PAST(EnumSet.of(ModelViolation.Kind.REFUSED_AGAIN, ModelViolation.Kind.DIVERGED)) {
         @Override
-        Chain around(Chain real, NodeId me, Map<String, Long> bases) {
+        ReplicatedState around(ReplicatedState real, NodeId me, Map<String, Long> bases) {
             return new ForgottenPast(real);
         }
     },
     /** An evacuation that was passed on arrives a second time two seconds later, and does not say what it replaces. */
     DELAYED_ORDER(EnumSet.of(ModelViolation.Kind.CAME_BACK)) {
         @Override
-        Chain around(Chain real, NodeId me, Map<String, Long> bases) {
+        ReplicatedState around(ReplicatedState real, NodeId me, Map<String, Long> bases) {
             return new DelayedOrder(real);
         }
     },
     /** One member applies another order than the others. */
     OTHER_ORDER(EnumSet.of(ModelViolation.Kind.DIVERGED)) {
         @Override
-        Chain around(Chain real, NodeId me, Map<String, Long> bases) {
+        ReplicatedState around(ReplicatedState real, NodeId me, Map<String, Long> bases) {
             return new OtherOrder(real, me);
         }
     },
     /** Nobody promises anything, so that no new view comes about. */
     NO_PROMISES(EnumSet.of(ModelViolation.Kind.NO_PROGRESS)) {
         @Override
-        Chain around(Chain real, NodeId me, Map<String, Long> bases) {
+        ReplicatedState around(ReplicatedState real, NodeId me, Map<String, Long> bases) {
             return new NoPromises(real);
         }
     };
@@ -127,7 +127,7 @@
     }
 
     /** {@code bases} is shared by the machines of one run. */
-    abstract Chain around(Chain real, NodeId me, Map<String, Long> bases);
+    abstract ReplicatedState around(ReplicatedState real, NodeId me, Map<String, Long> bases);
 
     /** Creates real machines with the fault around them, for one run. */
     ModelFactory factory() {
@@ -137,7 +137,7 @@
     }
 
     private static final class SkippedSync extends ModelTamper {
-        SkippedSync(Chain real) {
+        SkippedSync(ReplicatedState real) {
             super(real);
         }
 
@@ -152,7 +152,7 @@
         }
 
         @Override
-        public List<Out> on(NodeId from, Msg m, long nowMs) {
+        public List<Out> on(NodeId from, Message m, long nowMs) {
             return synced(super.on(from, m, nowMs), nowMs);
         }
 
@@ -173,7 +173,7 @@
     }
 
     private static final class EarlyAcknowledgement extends ModelTamper {
-        EarlyAcknowledgement(Chain real) {
+        EarlyAcknowledgement(ReplicatedState real) {
             super(real);
         }
 
@@ -190,13 +190,13 @@
     private static final class EpochNotCompared extends ModelTamper {
         private final NodeId me;
 
-        EpochNotCompared(Chain real, NodeId me) {
+        EpochNotCompared(ReplicatedState real, NodeId me) {
             super(real);
             this.me = me;
         }
 
         @Override
-        public List<Out> on(NodeId from, Msg m, long nowMs) {
+        public List<Out> on(NodeId from, Message m, long nowMs) {
             if (m instanceof Confirm confirm) {
                 return List.of(new Out.Send(from, new Confirmed(confirm.epoch(), confirm.id(), true)));
             }
@@ -206,7 +206,7 @@
             return super.on(from, view() == null ? m : ofThisView(m, view().epoch()), nowMs);
         }
 
-        private static Msg ofThisView(Msg m, long epoch) {
+        private static Message ofThisView(Message m, long epoch) {
             if (m instanceof Entry entry) {
                 return new Entry(epoch, entry.seq(), entry.op());
             }
@@ -218,11 +218,11 @@
     }
 
     private static final class LostPromise extends ModelTamper {
-        LostPromise(Chain real) {
+        LostPromise(ReplicatedState real) {
             super(real);
         }
 
-        private static Msg forget(Msg record) {
+        private static Message forget(Message record) {
             return record instanceof Vote vote
                     ? new Vote(vote.view() == null ? 0 : vote.view().epoch(), 0, 0, null, vote.view())
                     : record;
@@ -230,7 +230,7 @@
 
         private static Out forget(Out out) {
             if (out instanceof Out.Store store) {
-                List<Msg> records =
+                List<Message> records =
                         store.records().stream().map(LostPromise::forget).toList();
                 return new Out.Store(store.token(), records, store.image());
             }
@@ -242,7 +242,7 @@
         }
 
         @Override
-        public List<Out> on(NodeId from, Msg m, long nowMs) {
+        public List<Out> on(NodeId from, Message m, long nowMs) {
             return forget(super.on(from, m, nowMs));
         }
 
@@ -260,7 +260,7 @@
     private static final class VoterRemovedAlone extends ModelTamper {
         private final NodeId me;
 
-        VoterRemovedAlone(Chain real, NodeId me) {
+        VoterRemovedAlone(ReplicatedState real, NodeId me) {
             super(real);
             this.me = me;
         }
@@ -281,7 +281,7 @@
     }
 
     private static final class ReadNotConfirmed extends ModelTamper {
-        ReadNotConfirmed(Chain real) {
+        ReadNotConfirmed(ReplicatedState real) {
             super(real);
         }
 
@@ -298,7 +298,7 @@
     private static final class BaseNotCompared extends ModelTamper {
         private final Map<String, Long> bases;
 
-        BaseNotCompared(Chain real, Map<String, Long> bases) {
+        BaseNotCompared(ReplicatedState real, Map<String, Long> bases) {
             super(real);
             this.bases = bases;
         }
@@ -316,12 +316,12 @@
     }
 
     private static final class ForgottenPast extends ModelTamper {
-        ForgottenPast(Chain real) {
+        ForgottenPast(ReplicatedState real) {
             super(real);
         }
 
         @Override
-        public List<Out> on(NodeId from, Msg m, long nowMs) {
+        public List<Out> on(NodeId from, Message m, long nowMs) {
             if (m instanceof Install install) {
                 State s = (State) Codec.decode(install.image());
                 State less = new State(s.lineage(), s.seq(), s.revision(), List.of(), s.marks(), s.config());
@@ -338,12 +338,12 @@
 
         private final ArrayDeque<Late> late = new ArrayDeque<>();
 
-        DelayedOrder(Chain real) {
+        DelayedOrder(ReplicatedState real) {
             super(real);
         }
 
         @Override
-        public List<Out> on(NodeId from, Msg m, long nowMs) {
+        public List<Out> on(NodeId from, Message m, long nowMs) {
             if (m instanceof Call call && call.kind() == EVACUATE) {
                 late.add(new Late(from, call.since(Long.MAX_VALUE), nowMs + DELAY_MS));
             }
@@ -366,13 +366,13 @@
         private final Map<Long, Entry> changed = new HashMap<>();
         private final boolean tampers;
 
-        OtherOrder(Chain real, NodeId me) {
+        OtherOrder(ReplicatedState real, NodeId me) {
             super(real);
             tampers = me.equals(ModelWorld.address(1));
         }
 
         @Override
-        public List<Out> on(NodeId from, Msg m, long nowMs) {
+        public List<Out> on(NodeId from, Message m, long nowMs) {
             if (tampers
                     && m instanceof Entry entry
                     && Codec.decode(entry.op()) instanceof Op op
@@ -387,12 +387,12 @@
     }
 
     private static final class NoPromises extends ModelTamper {
-        NoPromises(Chain real) {
+        NoPromises(ReplicatedState real) {
             super(real);
         }
 
         @Override
-        public List<Out> on(NodeId from, Msg m, long nowMs) {
+        public List<Out> on(NodeId from, Message m, long nowMs) {
             return m instanceof Prepare ? List.of() : super.on(from, m, nowMs);
         }
     }
--- a/src/test/java/ringspindle/chain/ModelRandom.java
+++ b/src/test/java/ringspindle/replication/ModelRandom.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 /** Chance that depends on names and counters only, so that a shorter schedule keeps the draws of the longer one. */
 final class ModelRandom {
--- a/src/test/java/ringspindle/chain/ModelShrinker.java
+++ b/src/test/java/ringspindle/replication/ModelShrinker.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/ringspindle/chain/ModelSoak.java
+++ b/src/test/java/ringspindle/replication/ModelSoak.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/ringspindle/chain/ModelTamper.java
+++ b/src/test/java/ringspindle/replication/ModelTamper.java
@@ -1,30 +1,30 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.List;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.State;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
 
 /** Passes everything on to a real machine; subclasses tamper with what goes in or comes out. */
-class ModelTamper implements Chain {
-    protected final Chain inner;
+class ModelTamper implements ReplicatedState {
+    protected final ReplicatedState inner;
 
-    ModelTamper(Chain inner) {
+    ModelTamper(ReplicatedState inner) {
         this.inner = inner;
     }
 
     /** Where the real machine stands. */
-    static String standing(Chain chain) {
+    static String standing(ReplicatedState chain) {
         if (chain instanceof ModelTamper tamper) {
             return standing(tamper.inner);
         }
-        return chain instanceof ChainMachine machine ? machine.standing() : "down";
+        return chain instanceof ChainReplicatedState machine ? machine.standing() : "down";
     }
 
     @Override
-    public List<Out> on(NodeId from, Msg m, long nowMs) {
+    public List<Out> on(NodeId from, Message m, long nowMs) {
         return inner.on(from, m, nowMs);
     }
 
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public List<Msg> durable() {
+    public List<Message> durable() {
         return inner.durable();
     }
 }
--- a/src/test/java/ringspindle/chain/ModelViews.java
+++ b/src/test/java/ringspindle/replication/ModelViews.java
@@ -1,8 +1,8 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.List;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
 
 /** The one place of the model checker where views are made. */
 final class ModelViews {
--- a/src/test/java/ringspindle/chain/ModelWalk.java
+++ b/src/test/java/ringspindle/replication/ModelWalk.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message;
 
 /** One run over a {@link ModelPlan}: every delay is drawn from the plan's seed, so that the run is the same each time. */
 final class ModelWalk implements ModelWorld.Driver {
@@ -149,7 +149,7 @@
 
     @Override
     public void sent(ModelWorld.Envelope envelope) {
-        if (voteCrash != null && Codec.decode(envelope.bytes()) instanceof Msg.Accepted) {
+        if (voteCrash != null && Codec.decode(envelope.bytes()) instanceof Message.Accepted) {
             ModelFault fault = voteCrash;
             voteCrash = null;
             // not within the machine's own step
@@ -219,7 +219,7 @@
     }
 
     @Override
-    public void answered(ModelNode node, Chain.Out.Answer answer) {
+    public void answered(ModelNode node, ReplicatedState.Out.Answer answer) {
         operators.answered(answer);
     }
 
--- a/src/test/java/ringspindle/chain/ModelWorld.java
+++ b/src/test/java/ringspindle/replication/ModelWorld.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.View;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
 
 /**
  * Nodes, disks and links around real machines. It makes no choice: a {@link Driver} decides when a message is delivered, a
@@ -39,7 +39,7 @@
         void writing(ModelNode node);
 
         /** A call was answered at the node it came in at. */
-        void answered(ModelNode node, Chain.Out.Answer answer);
+        void answered(ModelNode node, ReplicatedState.Out.Answer answer);
     }
 
     private final ModelFactory factory;
@@ -97,7 +97,7 @@
         node.committedSeq = -1;
     }
 
-    private Chain create(ModelNode node, List<Msg> disk, boolean bootstrap, long life) {
+    private ReplicatedState create(ModelNode node, List<Message> disk, boolean bootstrap, long life) {
         long luck = ModelRandom.mix(seed, node.slot, life);
         return factory.create(node.id, seeds, bootstrap, List.copyOf(disk), luck, 2 * lost + 1);
     }
@@ -217,45 +217,45 @@
     }
 
     private interface Input {
-        List<Chain.Out> apply();
+        List<ReplicatedState.Out> apply();
     }
 
     private void step(ModelNode node, Input input) {
         steps++;
         node.version++;
-        List<Chain.Out> outs;
+        List<ReplicatedState.Out> outs;
         try {
             outs = input.apply();
         } catch (RuntimeException e) {
             monitor.report(ModelViolation.Kind.EXCEPTION, node + " " + e);
             return;
         }
-        for (Chain.Out out : outs) {
+        for (ReplicatedState.Out out : outs) {
             carryOut(node, out);
         }
         monitor.checkView(node);
     }
 
-    private void carryOut(ModelNode node, Chain.Out out) {
-        if (out instanceof Chain.Out.Send send) {
+    private void carryOut(ModelNode node, ReplicatedState.Out out) {
+        if (out instanceof ReplicatedState.Out.Send send) {
             ModelNode to = byId.get(send.to());
             if (to != null) {
                 driver.sent(new Envelope(envelopes++, node, to, to.life, Codec.encode(send.m())));
             }
-        } else if (out instanceof Chain.Out.Store store) {
+        } else if (out instanceof ReplicatedState.Out.Store store) {
             node.writes.add(store);
             driver.writing(node);
-        } else if (out instanceof Chain.Out.Answer answer) {
+        } else if (out instanceof ReplicatedState.Out.Answer answer) {
             driver.answered(node, answer);
-        } else if (out instanceof Chain.Out.Committed committed) {
+        } else if (out instanceof ReplicatedState.Out.Committed committed) {
             monitor.checkCommitted(node, committed.state());
         }
     }
 
     /** What a machine would know that started from this disk now. */
-    Msg.State stateOnDisk(ModelNode node, List<Msg> disk) {
-        for (Msg record : create(node, disk, false, 0).durable()) {
-            if (record instanceof Msg.State state) {
+    Message.State stateOnDisk(ModelNode node, List<Message> disk) {
+        for (Message record : create(node, disk, false, 0).durable()) {
+            if (record instanceof Message.State state) {
                 return state;
             }
         }
@@ -294,7 +294,7 @@
     }
 
     /** What a node knows of the others. */
-    private final class ModelReach implements Chain.Reach {
+    private final class ModelReach implements ReplicatedState.Reach {
         private final ModelNode self;
 
         ModelReach(ModelNode self) {
@@ -330,7 +330,7 @@
 
         @Override
         public boolean blank(NodeId node) {
-            Chain chain = byId.get(node).chain;
+            ReplicatedState chain = byId.get(node).chain;
             return chain != null && chain.blank();
         }
     }
--- a/src/test/java/ringspindle/chain/RollSim.java
+++ b/src/test/java/ringspindle/replication/RolloutSimulation.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -12,35 +12,35 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
-import ringspindle.act.Action;
-import ringspindle.act.Action.Cause;
-import ringspindle.act.Action.End;
-import ringspindle.act.Action.Policy;
-import ringspindle.act.Action.Verdict;
-import ringspindle.act.Attempt;
 import ringspindle.api.Outcome;
-import ringspindle.conf.Checked;
-import ringspindle.conf.FleetConfig;
-import ringspindle.conf.NodeConfig;
-import ringspindle.meet.RollPlan;
-import ringspindle.pick.Picker;
-import ringspindle.pick.Picker.Ask;
-import ringspindle.pick.Picker.Choice;
-import ringspindle.pick.Picker.Chosen;
-import ringspindle.pick.Picker.Probe;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.Lease;
-import ringspindle.wire.Msg.Mark;
-import ringspindle.wire.Msg.State;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.NodeConfig;
+import ringspindle.config.Validated;
+import ringspindle.loadbalancing.LoadBalancer;
+import ringspindle.loadbalancing.LoadBalancer.Ask;
+import ringspindle.loadbalancing.LoadBalancer.Choice;
+import ringspindle.loadbalancing.LoadBalancer.Chosen;
+import ringspindle.loadbalancing.LoadBalancer.Probe;
+import ringspindle.membership.RolloutPlanner;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.Lease;
+import ringspindle.protocol.Message.Mark;
+import ringspindle.protocol.Message.State;
+import ringspindle.retry.Action;
+import ringspindle.retry.Action.Cause;
+import ringspindle.retry.Action.End;
+import ringspindle.retry.Action.Policy;
+import ringspindle.retry.Action.Verdict;
+import ringspindle.retry.Attempt;
 
 /**
  * A simulated fleet during a roll-out, over the real orders, plan, picker and actions: engines swap when it is their
  * turn and they are idle, crash and come back; the duty changes hands and the old holder goes on; news is late.
  */
-final class RollSim {
+final class RolloutSimulation {
     /** One request as its consumer saw it. */
-    static final class Asked {
+    static final class RequestAttributes {
         final boolean resumable;
         final Set<String> homes;
         final List<Long> pieces = new ArrayList<>();
@@ -52,7 +52,7 @@
         boolean refused;
         boolean engineCrashed;
 
-        Asked(boolean resumable, Set<String> homes) {
+        RequestAttributes(boolean resumable, Set<String> homes) {
             this.resumable = resumable;
             this.homes = homes;
         }
@@ -75,21 +75,21 @@
     }
 
     static final class Run {
-        Asked asked;
+        RequestAttributes asked;
         Action action;
         Attempt attempt;
         Ask ask;
-        Picker picker;
+        LoadBalancer picker;
         Stand stand;
         long endMs;
         int pieces;
     }
 
-    final List<Asked> history = new ArrayList<>();
+    final List<RequestAttributes> history = new ArrayList<>();
     final List<String> wrong = new ArrayList<>();
     final List<String> orders = new ArrayList<>();
     final Map<String, Stand> engines = new LinkedHashMap<>();
-    private final List<Picker> pickers = new ArrayList<>();
+    private final List<LoadBalancer> pickers = new ArrayList<>();
     private final Content content = new Content();
     private final Random luck;
     private final Map<Long, List<Runnable>> later = new TreeMap<>();
@@ -99,14 +99,14 @@
     private final double floor;
     private final boolean stubborn;
 
-    RollSim(long seed, double floor, boolean stubborn) {
+    RolloutSimulation(long seed, double floor, boolean stubborn) {
         luck = new Random(seed);
         this.floor = floor;
         this.stubborn = stubborn;
         String json =
                 "{\"revision\":1,\"routes\":[],\"services\":[{\"name\":\"s\",\"maxConnections\":400,\"warmupS\":1,\"warmupPerS\":60}]}";
         state = new State(1, 1, 1, List.of(), List.of(), FleetConfig.pack(json.getBytes(UTF_8)));
-        FleetConfig c = ((Checked.Good<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
+        FleetConfig c = ((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
         for (int i = 0; i < 4; i++) {
             Properties p = new Properties();
             p.putAll(Map.of(
@@ -135,7 +135,7 @@
                     "1.5",
                     "bound.warmupSlack",
                     "5"));
-            Picker x = Picker.create(((Checked.Good<NodeConfig>) NodeConfig.check(p)).value());
+            LoadBalancer x = LoadBalancer.create(((Validated.Valid<NodeConfig>) NodeConfig.check(p)).value());
             x.config(c);
             x.lease(new Lease(1, 4, 10_000_000), 0);
             pickers.add(x);
@@ -152,14 +152,14 @@
     }
 
     Rollout rollout() {
-        Mark m = Content.mark(state, Chain.MARK_ROLLOUT, "s");
+        Mark m = Content.mark(state, ReplicatedState.MARK_ROLLOUT, "s");
         return m == null ? null : Rollout.read(m.value());
     }
 
     /** Sends an order; a stale epoch must be refused. */
     Outcome order(String json) {
         // whoever takes the order knows of all that came before it
-        Call call = new Call(1, Chain.ROLLOUT, 0, "s", json.getBytes(UTF_8)).since(state.seq());
+        Call call = new Call(1, ReplicatedState.ROLLOUT, 0, "s", json.getBytes(UTF_8)).since(state.seq());
         Content.Decision d = content.decide(state, call);
         if (d.op() == null) {
             return d.outcome();
@@ -167,7 +167,7 @@
         state = Content.apply(state, d.op());
         Rollout r = rollout();
         // the news takes its time to each node
-        for (Picker p : pickers) {
+        for (LoadBalancer p : pickers) {
             in(20 + luck.nextInt(400), () -> p.turn("s", new HashSet<>(rollout().turn()), nowMs));
         }
         checkFloor(r);
@@ -196,8 +196,8 @@
                 != Outcome.TAKEN) {
             wrong.add("the roll-out does not start");
         }
-        RollPlan holder = new RollPlan();
-        RollPlan stale = new RollPlan();
+        RolloutPlanner holder = new RolloutPlanner();
+        RolloutPlanner stale = new RolloutPlanner();
         long staleEpoch = -1;
         for (; nowMs < forMs; nowMs += 10) {
             List<Runnable> due = later.remove(nowMs);
@@ -209,7 +209,7 @@
             }
             if (nowMs % 100 == 0) {
                 for (int i = 0; i < pickers.size(); i++) {
-                    Picker p = pickers.get(i);
+                    LoadBalancer p = pickers.get(i);
                     String region = i % 2 == 0 ? "a" : "b";
                     for (Probe x : p.probes(nowMs)) {
                         Stand s = engines.get(x.id());
@@ -230,7 +230,7 @@
                 // the duty changes hands; the old holder does not know yet
                 staleEpoch = state.lineage();
                 stale = holder;
-                holder = new RollPlan();
+                holder = new RolloutPlanner();
                 state = new State(
                         state.lineage() + 1,
                         state.seq(),
@@ -245,9 +245,10 @@
             int burst = nowMs > forMs / 3 && nowMs < forMs / 2 ? 4 : 2;
             for (int i = 0; i < burst && nowMs < forMs - 4000; i++) {
                 if (luck.nextInt(3) == 0) {
-                    Asked a = new Asked(luck.nextBoolean(), luck.nextInt(3) == 0 ? Set.of("a") : Set.of());
+                    RequestAttributes a =
+                            new RequestAttributes(luck.nextBoolean(), luck.nextInt(3) == 0 ? Set.of("a") : Set.of());
                     history.add(a);
-                    Picker p = pickers.get(luck.nextInt(pickers.size()));
+                    LoadBalancer p = pickers.get(luck.nextInt(pickers.size()));
                     p.asked("s", nowMs);
                     place(a, Action.open("a", nowMs, 4000, t -> {}), p, new HashSet<>());
                 }
@@ -278,15 +279,15 @@
                 "v");
         long version = s.version;
         String id = s.id;
-        for (Picker p : pickers) {
+        for (LoadBalancer p : pickers) {
             in(10 + luck.nextInt(30) / 10 * 10, () -> p.engine(id, e, version, nowMs));
         }
     }
 
-    private Outcome drive(RollPlan plan, long epoch) {
-        List<RollPlan.Member> members = new ArrayList<>();
-        engines.values().forEach(s -> members.add(new RollPlan.Member(s.id, s.region, s.weights, false, s.down)));
-        RollPlan.Order o = plan.next(rollout(), members, nowMs);
+    private Outcome drive(RolloutPlanner plan, long epoch) {
+        List<RolloutPlanner.Member> members = new ArrayList<>();
+        engines.values().forEach(s -> members.add(new RolloutPlanner.Member(s.id, s.region, s.weights, false, s.down)));
+        RolloutPlanner.Order o = plan.next(rollout(), members, nowMs);
         if (o == null) {
             return Outcome.CLASH;
         }
@@ -317,7 +318,7 @@
         });
     }
 
-    private void place(Asked a, Action action, Picker p, Set<String> tried) {
+    private void place(RequestAttributes a, Action action, LoadBalancer p, Set<String> tried) {
         if (!action.live(nowMs)) {
             close(a, action, false);
             return;
@@ -428,7 +429,7 @@
         }
     }
 
-    private void close(Asked a, Action action, boolean whole) {
+    private void close(RequestAttributes a, Action action, boolean whole) {
         boolean won = whole ? action.complete(nowMs) : action.cancel(Cause.GIVEN_UP, nowMs);
         if (won) {
             a.answers++;
@@ -441,7 +442,7 @@
     List<String> problems() {
         List<String> out = new ArrayList<>(wrong);
         int n = 0;
-        for (Asked a : history) {
+        for (RequestAttributes a : history) {
             n++;
             if (a.answers > 1 || a.answers == 1 && a.refused) {
                 out.add("request " + n + " has two answers");
--- a/src/test/java/ringspindle/chain/RollTest.java
+++ b/src/test/java/ringspindle/replication/RolloutTest.java
@@ -1,4 +1,4 @@
-package ringspindle.chain;
+package ringspindle.replication;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -10,16 +10,16 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import ringspindle.api.Outcome;
-import ringspindle.meet.RollPlan;
-import ringspindle.wire.Msg.Call;
-import ringspindle.wire.Msg.State;
+import ringspindle.membership.RolloutPlanner;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.State;
 
 /** Roll-outs under load with crashes, a lost duty holder and a burst: once, whole, one checkpoint an answer. */
-class RollTest {
+class RolloutTest {
     @Test
     void everyAnswerComesOnceWholeAndOfOneCheckpoint() {
         for (long seed = 1; seed <= 12; seed++) {
-            RollSim sim = new RollSim(seed, 0.5, false);
+            RolloutSimulation sim = new RolloutSimulation(seed, 0.5, false);
             sim.run(60_000);
             assertEquals(List.of(), sim.problems(), "seed " + seed);
             assertEquals(
@@ -37,11 +37,11 @@
 
     @Test
     void swapThatDoesNotComePausesAndTheOperatorMayAbort() {
-        RollSim sim = new RollSim(3, 0.5, true);
+        RolloutSimulation sim = new RolloutSimulation(3, 0.5, true);
         sim.run(20_000);
         assertEquals(List.of(), sim.problems());
         assertEquals(Rollout.Standing.PAUSED, sim.rollout().state());
-        assertEquals(RollPlan.Cause.SWAP_OVERDUE.name(), sim.rollout().cause());
+        assertEquals(RolloutPlanner.Cause.SWAP_OVERDUE.name(), sim.rollout().cause());
         assertEquals(Outcome.TAKEN, sim.order("{\"order\":\"resume\"}"));
         assertEquals(Rollout.Standing.RUNNING, sim.rollout().state());
         assertEquals(Outcome.TAKEN, sim.order("{\"order\":\"back\"}"));
@@ -53,7 +53,7 @@
 
     @Test
     void badOrdersAreRefusedWithTheirProblem() {
-        RollSim sim = new RollSim(1, 0.5, false);
+        RolloutSimulation sim = new RolloutSimulation(1, 0.5, false);
         String start = "{\"order\":\"start\",\"target\":2,\"from\":1,\"atOnce\":2,\"floor\":0.5,\"patienceS\":8}";
         for (String bad : List.of(
                 "{",
@@ -78,37 +78,38 @@
         Content.Decision unknown = new Content()
                 .decide(
                         new State(1, 1, 0, List.of(), List.of(), new byte[0]),
-                        new Call(1, Chain.ROLLOUT, 0, "other", start.getBytes(UTF_8)));
+                        new Call(1, ReplicatedState.ROLLOUT, 0, "other", start.getBytes(UTF_8)));
         assertEquals(Outcome.INVALID, unknown.outcome());
     }
 
     @Test
     void floorThatCannotBeKeptIsSeen() {
-        List<RollPlan.Member> members = List.of(
-                new RollPlan.Member("i-1", "a", 1, false, false),
-                new RollPlan.Member("i-2", "a", 1, false, false),
-                new RollPlan.Member("i-3", "b", 1, false, false));
-        assertFalse(RollPlan.feasible(0.5, members), "the only engine of b can never go");
-        assertTrue(RollPlan.feasible(0, members));
+        List<RolloutPlanner.Member> members = List.of(
+                new RolloutPlanner.Member("i-1", "a", 1, false, false),
+                new RolloutPlanner.Member("i-2", "a", 1, false, false),
+                new RolloutPlanner.Member("i-3", "b", 1, false, false));
+        assertFalse(RolloutPlanner.feasible(0.5, members), "the only engine of b can never go");
+        assertTrue(RolloutPlanner.feasible(0, members));
     }
 
     @Test
     void wrongCheckpointPauses() {
         Rollout r = new Rollout("s", 2, 1, 1, 0, 60, Rollout.Standing.RUNNING, "", 1, List.of("i-1"), List.of());
-        RollPlan.Order o = new RollPlan().next(r, List.of(new RollPlan.Member("i-1", "a", 3, false, false)), 0);
+        RolloutPlanner.Order o =
+                new RolloutPlanner().next(r, List.of(new RolloutPlanner.Member("i-1", "a", 3, false, false)), 0);
         assertEquals("pause", o.order());
-        assertEquals(RollPlan.Cause.WRONG_CHECKPOINT, o.cause());
+        assertEquals(RolloutPlanner.Cause.WRONG_CHECKPOINT, o.cause());
     }
 
     @Test
     void checkerSeesBrokenHistories() {
-        RollSim sim = new RollSim(1, 0.5, false);
-        RollSim.Asked a = new RollSim.Asked(true, Set.of());
+        RolloutSimulation sim = new RolloutSimulation(1, 0.5, false);
+        RolloutSimulation.RequestAttributes a = new RolloutSimulation.RequestAttributes(true, Set.of());
         a.answers = 2;
         a.pieces.addAll(List.of(1L, 3L));
         a.weights.addAll(List.of(1L, 2L));
         sim.history.add(a);
-        RollSim.Asked b = new RollSim.Asked(false, Set.of());
+        RolloutSimulation.RequestAttributes b = new RolloutSimulation.RequestAttributes(false, Set.of());
         sim.history.add(b);
         assertEquals(4, sim.problems().size(), sim.problems().toString());
     }
--- a/src/test/java/ringspindle/act/RaceSteps.java
+++ b/src/test/java/ringspindle/retry/RaceSteps.java
@@ -1,4 +1,4 @@
-package ringspindle.act;
+package ringspindle.retry;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,12 +17,12 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.atomic.AtomicInteger;
-import ringspindle.act.Action.Cause;
-import ringspindle.act.Action.End;
-import ringspindle.act.Action.Policy;
-import ringspindle.act.Action.State;
-import ringspindle.act.Action.Terminal;
-import ringspindle.act.Action.Verdict;
+import ringspindle.retry.Action.Cause;
+import ringspindle.retry.Action.End;
+import ringspindle.retry.Action.Policy;
+import ringspindle.retry.Action.State;
+import ringspindle.retry.Action.Terminal;
+import ringspindle.retry.Action.Verdict;
 
 /** Steps of the scenarios in which completion, cancellation and deadlines race. */
 public class RaceSteps {
--- a/src/test/java/ringspindle/rule/LedgerTest.java
+++ b/src/test/java/ringspindle/routing/RequestLedgerTest.java
@@ -1,4 +1,4 @@
-package ringspindle.rule;
+package ringspindle.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,18 +7,18 @@
 import java.util.Random;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import ringspindle.act.Action.Cause;
-import ringspindle.act.Action.Terminal;
-import ringspindle.rule.Ledger.Broken;
-import ringspindle.wire.Msg.LedgerReport;
-import ringspindle.wire.Msg.LedgerRow;
+import ringspindle.protocol.Message.LedgerReport;
+import ringspindle.protocol.Message.LedgerRow;
+import ringspindle.retry.Action.Cause;
+import ringspindle.retry.Action.Terminal;
+import ringspindle.routing.RequestLedger.Broken;
 
 /** The laws hold on sound histories, and each broken one shows. */
-class LedgerTest {
+class RequestLedgerTest {
     private static Terminal end(String id, Cause cause) {
         return new Terminal(
                 id,
-                cause == null ? ringspindle.act.Action.State.COMPLETED : ringspindle.act.Action.State.CANCELED,
+                cause == null ? ringspindle.retry.Action.State.COMPLETED : ringspindle.retry.Action.State.CANCELED,
                 cause,
                 1,
                 false,
@@ -27,14 +27,14 @@
                 5);
     }
 
-    private static LedgerRow row(Ledger l) {
+    private static LedgerRow row(RequestLedger l) {
         return l.report(1, 1, 3, 9).rows().get(0);
     }
 
     @Test
     void soundHistoriesKeepTheLaws() {
         Random luck = new Random(1);
-        Ledger l = new Ledger();
+        RequestLedger l = new RequestLedger();
         List<String> open = new ArrayList<>();
         for (int i = 0; i < 3000; i++) {
             String id = "f-" + i;
@@ -50,7 +50,7 @@
                 int c = luck.nextInt(all.length + 1);
                 l.ended(end(open.remove(luck.nextInt(open.size())), c == all.length ? null : all[c]));
             }
-            assertEquals(Set.of(), Ledger.broken(l.report(1, i, 3, 9)));
+            assertEquals(Set.of(), RequestLedger.broken(l.report(1, i, 3, 9)));
         }
         long inProgress = l.report(1, 1, 3, 9).rows().stream()
                 .mapToLong(LedgerRow::inProgress)
@@ -60,39 +60,39 @@
 
     @Test
     void anActionThatMayRunOnceAndMayHaveRunTwiceShows() {
-        Ledger l = new Ledger();
+        RequestLedger l = new RequestLedger();
         l.admitted("a", 3, "c", false);
         l.sent("a", false);
         l.sent("a", false);
         l.ended(end("a", null));
-        assertEquals(Set.of(Broken.RUN_TWICE), Ledger.broken(l.report(1, 1, 3, 9)));
-        Ledger repeatable = new Ledger();
+        assertEquals(Set.of(Broken.RUN_TWICE), RequestLedger.broken(l.report(1, 1, 3, 9)));
+        RequestLedger repeatable = new RequestLedger();
         repeatable.admitted("a", 3, "c", true);
         repeatable.sent("a", false);
         repeatable.sent("a", true);
         repeatable.ended(end("a", null));
-        assertEquals(Set.of(), Ledger.broken(repeatable.report(1, 1, 3, 9)));
+        assertEquals(Set.of(), RequestLedger.broken(repeatable.report(1, 1, 3, 9)));
         assertEquals(1, row(repeatable).resumed());
         assertEquals(2, row(repeatable).mayHaveRun());
     }
 
     @Test
     void secondTerminalEventsShow() {
-        Ledger l = new Ledger();
+        RequestLedger l = new RequestLedger();
         l.admitted("a", 3, "c", false);
         l.ended(end("a", null));
         l.ended(end("a", Cause.GIVEN_UP));
-        assertEquals(Set.of(Broken.ENDED_TWICE), Ledger.broken(l.report(1, 1, 3, 9)));
-        Ledger never = new Ledger();
+        assertEquals(Set.of(Broken.ENDED_TWICE), RequestLedger.broken(l.report(1, 1, 3, 9)));
+        RequestLedger never = new RequestLedger();
         never.ended(end("b", null));
-        assertEquals(Set.of(Broken.ENDED_TWICE), Ledger.broken(never.report(1, 1, 3, 9)));
+        assertEquals(Set.of(Broken.ENDED_TWICE), RequestLedger.broken(never.report(1, 1, 3, 9)));
     }
 
     @Test
     void lostActionsShowInTheSum() {
         LedgerRow lost = new LedgerRow(3, 10, 1, 7, 1, 0, 0, 0, 9, 0, 9, 0, 0, "c");
-        assertEquals(Set.of(Broken.SUM), Ledger.broken(new LedgerReport(1, 1, 3, 9, 0, List.of(lost))));
+        assertEquals(Set.of(Broken.SUM), RequestLedger.broken(new LedgerReport(1, 1, 3, 9, 0, List.of(lost))));
         LedgerRow whole = new LedgerRow(3, 10, 1, 7, 1, 0, 0, 1, 9, 0, 9, 0, 0, "c");
-        assertEquals(Set.of(), Ledger.broken(new LedgerReport(1, 1, 3, 9, 0, List.of(whole))));
+        assertEquals(Set.of(), RequestLedger.broken(new LedgerReport(1, 1, 3, 9, 0, List.of(whole))));
     }
 }
--- a/src/test/java/ringspindle/rule/ServingRulesTest.java
+++ b/src/test/java/ringspindle/routing/ServingRulesTest.java
@@ -1,4 +1,4 @@
-package ringspindle.rule;
+package ringspindle.routing;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import ringspindle.conf.Checked;
-import ringspindle.conf.FleetConfig;
-import ringspindle.conf.Problem;
+import ringspindle.config.ConfigError;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.Validated;
 
 /** Serving rules as operators write them: the first that fits wins, and what is wrong is refused with its place. */
 class ServingRulesTest {
@@ -31,15 +31,15 @@
             """;
 
     private static ServingRules read(String json) {
-        Checked<ServingRules> c = ServingRules.read(json.getBytes(UTF_8));
+        Validated<ServingRules> c = ServingRules.read(json.getBytes(UTF_8));
         assertTrue(
-                c instanceof Checked.Good<ServingRules>,
-                () -> ((Checked.Refused<ServingRules>) c).problems().toString());
-        return ((Checked.Good<ServingRules>) c).value();
+                c instanceof Validated.Valid<ServingRules>,
+                () -> ((Validated.Invalid<ServingRules>) c).problems().toString());
+        return ((Validated.Valid<ServingRules>) c).value();
     }
 
-    private static List<Problem> problems(String json) {
-        return ServingRules.read(json.getBytes(UTF_8)) instanceof Checked.Refused<ServingRules> bad
+    private static List<ConfigError> problems(String json) {
+        return ServingRules.read(json.getBytes(UTF_8)) instanceof Validated.Invalid<ServingRules> bad
                 ? bad.problems()
                 : List.of();
     }
@@ -48,11 +48,11 @@
         String json =
                 "{\"revision\":1,\"routes\":[{\"name\":\"scrip\",\"host\":\"h\",\"pathPrefix\":\"/s/\",\"deadlineMs\":1,\"service\":\"s\","
                         + "\"homeRegions\":[\"ahd\"]}],\"services\":[{\"name\":\"s\",\"engine\":{\"models\":[{\"name\":\"m\"}]}}]}";
-        return ((Checked.Good<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
+        return ((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
     }
 
-    private static Asked asked(String route, int prompt, boolean home) {
-        return new Asked(route, "h", "/s/x", "m", prompt, home);
+    private static RequestAttributes asked(String route, int prompt, boolean home) {
+        return new RequestAttributes(route, "h", "/s/x", "m", prompt, home);
     }
 
     @Test
@@ -65,7 +65,9 @@
         assertEquals(0.5, r.kept(r.of(asked("", 17_000, true))), 1e-9, "what digests leave to questions");
         assertEquals(0.75, r.kept(r.of(asked("other", 3, false))), 1e-9);
         assertEquals(
-                List.of(new Step(Step.To.REGION, List.of(), 0), new Step(Step.To.REGIONS, List.of("srt"), 0)),
+                List.of(
+                        new FallbackTarget(FallbackTarget.To.REGION, List.of(), 0),
+                        new FallbackTarget(FallbackTarget.To.REGIONS, List.of("srt"), 0)),
                 r.all().get(0).gone());
         assertEquals(r.digest(), read(new String(r.bytes(), UTF_8)).digest(), "the same after a round trip");
     }
@@ -98,40 +100,40 @@
 
     @Test
     void whatIsWrongIsRefusedWithItsTypeAndPlace() {
-        Map<String, Problem> wrong = new LinkedHashMap<>();
-        wrong.put("{\"rules\":[]}", new Problem.Missing("revision"));
-        wrong.put("{\"revision\":1,\"rule\":[]}", new Problem.UnknownField("", "rule"));
+        Map<String, ConfigError> wrong = new LinkedHashMap<>();
+        wrong.put("{\"rules\":[]}", new ConfigError.Missing("revision"));
+        wrong.put("{\"revision\":1,\"rule\":[]}", new ConfigError.UnknownField("", "rule"));
         wrong.put(
                 "{\"revision\":1,\"rules\":[{\"name\":\"a\",\"match\":{\"user\":\"x\"}}]}",
-                new Problem.UnknownField("rules[0].match", "user"));
+                new ConfigError.UnknownField("rules[0].match", "user"));
         wrong.put(
                 "{\"revision\":1,\"rules\":[{\"name\":\"a\",\"match\":{\"route\":\"x\"}},{\"name\":\"a\"}]}",
-                new Problem.SameName("a"));
+                new ConfigError.SameName("a"));
         wrong.put(
                 "{\"revision\":1,\"rules\":[{\"name\":\"a\"},{\"name\":\"b\",\"match\":{\"route\":\"x\"}}]}",
-                new Problem.Unreachable("rules[1]", "a"));
+                new ConfigError.Unreachable("rules[1]", "a"));
         wrong.put(
                 "{\"revision\":1,\"rules\":[{\"name\":\"a\",\"match\":{\"path\":\"/x/\"}},{\"name\":\"b\",\"match\":{\"path\":\"/x/y/\"}}]}",
-                new Problem.Unreachable("rules[1]", "a"));
+                new ConfigError.Unreachable("rules[1]", "a"));
         wrong.put(
                 "{\"revision\":1,\"default\":{\"class\":{\"waitMs\":-1}}}",
-                new Problem.OutOfRange("default.class.waitMs", "-1", "a whole number from 0 to 30000"));
+                new ConfigError.OutOfRange("default.class.waitMs", "-1", "a whole number from 0 to 30000"));
         wrong.put(
                 "{\"revision\":1,\"default\":{\"class\":{\"waitMs\":86400000}}}",
-                new Problem.OutOfRange("default.class.waitMs", "86400000", "a whole number from 0 to 30000"));
+                new ConfigError.OutOfRange("default.class.waitMs", "86400000", "a whole number from 0 to 30000"));
         wrong.put(
                 "{\"revision\":1,\"rules\":[{\"name\":\"a\",\"match\":{\"route\":\"x\"},\"class\":{\"share\":0.7}}],\"default\":{\"class\":{\"share\":0.6}}}",
-                new Problem.OutOfRange("shares of all classes", "1.300", "at most 1 together"));
+                new ConfigError.OutOfRange("shares of all classes", "1.300", "at most 1 together"));
         wrong.put(
                 "{\"revision\":1,\"default\":{\"busy\":[{\"to\":\"moon\"}]}}",
-                new Problem.OutOfRange("default.busy[0].to", "moon", "next, zone, region, regions or any"));
+                new ConfigError.OutOfRange("default.busy[0].to", "moon", "next, zone, region, regions or any"));
         wrong.put(
                 "{\"revision\":1,\"default\":{\"class\":{\"waitMs\":50},\"busy\":[{\"to\":\"zone\",\"waitMs\":30},{\"to\":\"any\",\"waitMs\":30}]}}",
-                new Problem.OutOfRange(
+                new ConfigError.OutOfRange(
                         "default.busy[1].waitMs", "60 with those before", "at most the class's waitMs, 50"));
         wrong.put(
                 "{\"revision\":1,\"default\":{\"gone\":[{\"to\":\"regions\"}]}}",
-                new Problem.OutOfRange("default.gone[0].names", "[]", "names where to is regions, none elsewhere"));
+                new ConfigError.OutOfRange("default.gone[0].names", "[]", "names where to is regions, none elsewhere"));
         wrong.forEach((json, p) -> assertTrue(problems(json).contains(p), json + " gives " + problems(json)));
         for (String json : List.of(
                 "",
@@ -147,7 +149,7 @@
             assertFalse(problems(json).isEmpty(), json);
         }
         assertEquals(
-                List.of(new Problem.TooLong(ServingRules.BYTES_MAX + 1, ServingRules.BYTES_MAX)),
+                List.of(new ConfigError.TooLong(ServingRules.BYTES_MAX + 1, ServingRules.BYTES_MAX)),
                 problems(" ".repeat(ServingRules.BYTES_MAX + 1)));
     }
 
@@ -155,18 +157,18 @@
     void namesAreCheckedAgainstConfigurationAndZones() {
         assertEquals(List.of(), read(GOOD).problems(config(), Set.of("ahd", "srt")));
         assertEquals(
-                List.of(new Problem.UnknownName("rules[0].gone[1].names", "srt")),
+                List.of(new ConfigError.UnknownName("rules[0].gone[1].names", "srt")),
                 read(GOOD).problems(config(), Set.of("ahd")));
         String homes =
                 "{\"revision\":1,\"rules\":[{\"name\":\"a\",\"match\":{\"route\":\"scrip\"},\"gone\":[{\"to\":\"regions\",\"names\":[\"srt\"]}]}]}";
         assertEquals(
-                List.of(new Problem.OutsideHomes("rules[0].gone[0].names", "srt")),
+                List.of(new ConfigError.OutsideHomes("rules[0].gone[0].names", "srt")),
                 read(homes).problems(config(), Set.of("ahd", "srt")));
         String names = "{\"revision\":1,\"rules\":[{\"name\":\"a\",\"match\":{\"route\":\"none\",\"model\":\"q\"}}]}";
         assertEquals(
                 List.of(
-                        new Problem.UnknownName("rules[0].match.route", "none"),
-                        new Problem.UnknownName("rules[0].match.model", "q")),
+                        new ConfigError.UnknownName("rules[0].match.route", "none"),
+                        new ConfigError.UnknownName("rules[0].match.model", "q")),
                 read(names).problems(config(), Set.of()));
         assertEquals(List.of("a"), read(names).idle(config()));
     }
--- a/src/test/java/ringspindle/scale/ControlInterfacesTest.java
+++ b/src/test/java/ringspindle/scale/ControlInterfacesTest.java
@@ -26,11 +26,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ringspindle.conf.Checked;
-import ringspindle.conf.NodeConfig;
-import ringspindle.cp.HollowControl;
-import ringspindle.dp.HollowData;
-import ringspindle.wire.NodeId;
+import ringspindle.config.NodeConfig;
+import ringspindle.config.Validated;
+import ringspindle.controlplane.HollowControlNode;
+import ringspindle.dataplane.HollowDataNode;
+import ringspindle.protocol.NodeId;
 
 /** What every interface of a control node answers with a proven majority, cut off, frozen, and right after: docs/CONTROL-INTERFACES.md. */
 @Timeout(120)
@@ -46,10 +46,10 @@
     /** An answer as it came over the wire. */
     private record Answer(int status, String head, String body) {}
 
-    private final Net net = new Net();
-    private final List<HollowControl> controls = new ArrayList<>();
+    private final SimulatedNetwork net = new SimulatedNetwork();
+    private final List<HollowControlNode> controls = new ArrayList<>();
     private final List<NodeId> controlIds = new ArrayList<>();
-    private final List<HollowData> datas = new ArrayList<>();
+    private final List<HollowDataNode> datas = new ArrayList<>();
     private final List<NodeId> dataIds = new ArrayList<>();
     private final Server server = new Server();
     private final List<LocalConnector> doors = new ArrayList<>();
@@ -78,7 +78,7 @@
                 "node.bootstrap",
                 "true"));
         p.setProperty(control ? "listen.control" : "listen.frontend", ip + ":80");
-        return ((Checked.Good<NodeConfig>) NodeConfig.check(p)).value();
+        return ((Validated.Valid<NodeConfig>) NodeConfig.check(p)).value();
     }
 
     private void every(NodeId id, Runnable r, int everyMs) {
@@ -92,20 +92,20 @@
 
     private void data(int z) throws Exception {
         String ip = "10.1.0." + (2 + z);
-        HollowData d = new HollowData(settings("d" + z, ip, z, false), net.means(1));
+        HollowDataNode d = new HollowDataNode(settings("d" + z, ip, z, false), net.means(1));
         datas.add(d);
         dataIds.add(NodeId.of(ip + ":7001"));
-        every(dataIds.get(z), d::tick, HollowData.tickMs());
+        every(dataIds.get(z), d::tick, HollowDataNode.tickMs());
     }
 
     @BeforeEach
     void start() throws Exception {
         for (int z = 0; z < ZONES; z++) {
             String ip = "10.0." + z + ".1";
-            HollowControl c = new HollowControl(settings("c" + z, ip, z, true), net.means(1), net::at);
+            HollowControlNode c = new HollowControlNode(settings("c" + z, ip, z, true), net.means(1), net::at);
             controls.add(c);
             controlIds.add(NodeId.of(ip + ":7000"));
-            every(controlIds.get(z), c::tick, HollowControl.tickMs());
+            every(controlIds.get(z), c::tick, HollowControlNode.tickMs());
             LocalConnector door = new LocalConnector(server);
             doors.add(door);
             server.addConnector(door);
@@ -347,12 +347,12 @@
 
     @Test
     void aStartingDataNodeIsNotFilledByAStaleNode() throws Exception {
-        HollowData late = new HollowData(settings("d9", "10.1.0.9", 0, false), net.means(1));
+        HollowDataNode late = new HollowDataNode(settings("d9", "10.1.0.9", 0, false), net.means(1));
         NodeId lateId = NodeId.of("10.1.0.9:7001");
         net.cut(Set.of(controlIds.get(0), lateId), CUT_MS);
         net.runFor(NOTICED_MS);
         takeOn(1, 1);
-        every(lateId, late::tick, HollowData.tickMs());
+        every(lateId, late::tick, HollowDataNode.tickMs());
         net.runFor(CUT_MS - 3000);
         assertEquals(-1, late.revision(), "no majority stands behind what it was told");
         List<Long> seen = new ArrayList<>();
--- a/src/test/java/ringspindle/scale/HollowFleet.java
+++ b/src/test/java/ringspindle/scale/HollowFleet.java
@@ -10,15 +10,15 @@
 import java.util.Properties;
 import java.util.Random;
 import java.util.Set;
-import ringspindle.act.Action.End;
 import ringspindle.api.Outcome;
-import ringspindle.conf.Checked;
-import ringspindle.conf.NodeConfig;
-import ringspindle.cp.HollowControl;
-import ringspindle.dp.HollowData;
-import ringspindle.pick.Picker;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.NodeId;
+import ringspindle.config.NodeConfig;
+import ringspindle.config.Validated;
+import ringspindle.controlplane.HollowControlNode;
+import ringspindle.dataplane.HollowDataNode;
+import ringspindle.loadbalancing.LoadBalancer;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.NodeId;
+import ringspindle.retry.Action.End;
 
 /** A fleet of hollow nodes in one process and virtual time, from one seed. */
 final class HollowFleet {
@@ -47,11 +47,11 @@
     private static final int REQUESTS_PER_S = 10;
 
     private final Size size;
-    private final Net net = new Net();
+    private final SimulatedNetwork net = new SimulatedNetwork();
     private final Random luck;
-    private final List<HollowControl> controls = new ArrayList<>();
+    private final List<HollowControlNode> controls = new ArrayList<>();
     private final List<NodeId> controlIds = new ArrayList<>();
-    private List<HollowData> datas = new ArrayList<>();
+    private List<HollowDataNode> datas = new ArrayList<>();
     private final List<NodeId> dataIds = new ArrayList<>();
     private long revision;
     private long known;
@@ -101,7 +101,7 @@
                 "bound.warmupSlack",
                 "5"));
         p.setProperty(control ? "listen.control" : "listen.frontend", ip + ":80");
-        return ((Checked.Good<NodeConfig>) NodeConfig.check(p)).value();
+        return ((Validated.Valid<NodeConfig>) NodeConfig.check(p)).value();
     }
 
     private byte[] config(long rev) {
@@ -129,7 +129,7 @@
         long base = known;
         long next = base + 1;
         byte[] body = config(next);
-        HollowControl via = controls.get(luck.nextInt(controls.size()));
+        HollowControlNode via = controls.get(luck.nextInt(controls.size()));
         net.charge(
                 controlIds.get(controls.indexOf(via)),
                 () -> via.put(base, body, o -> {
@@ -159,33 +159,33 @@
         for (int z = 0; z < size.zones(); z++) {
             String ip = "10.0." + z + ".1";
             controlIds.add(NodeId.of(ip + ":7000"));
-            controls.add(new HollowControl(settings("c" + z, ip, z, true), net.means(1), net::at));
+            controls.add(new HollowControlNode(settings("c" + z, ip, z, true), net.means(1), net::at));
         }
         for (int i = 0; i < size.nodes(); i++) {
             int z = i % size.zones();
             String ip = "10." + (1 + i / 60_000) + "." + i / 250 % 250 + "." + (2 + i % 250);
             dataIds.add(NodeId.of(ip + ":7001"));
-            datas.add(new HollowData(settings("d" + i, ip, z, false), net.means(1)));
+            datas.add(new HollowDataNode(settings("d" + i, ip, z, false), net.means(1)));
         }
         for (int i = 0; i < controls.size(); i++) {
-            tick(controlIds.get(i), controls.get(i)::tick, HollowControl.tickMs());
+            tick(controlIds.get(i), controls.get(i)::tick, HollowControlNode.tickMs());
         }
         for (int i = 0; i < datas.size(); i++) {
-            tick(dataIds.get(i), datas.get(i)::tick, HollowData.tickMs());
+            tick(dataIds.get(i), datas.get(i)::tick, HollowDataNode.tickMs());
         }
         for (int i = 0; i < size.engines(); i++) {
             engine(i);
         }
         net.at(2500, this::change);
         net.runFor(WARM_MS);
-        for (HollowData d : datas) {
+        for (HollowDataNode d : datas) {
             net.at(luck.nextInt(1000 / REQUESTS_PER_S), () -> request(d));
         }
         net.runFor(2000);
         for (int i = 0; i < size.changesPer10S(); i++) {
             net.at(500 + 9000.0 * i / size.changesPer10S(), this::change);
         }
-        net.meters.values().forEach(Net.Meter::reset);
+        net.meters.values().forEach(SimulatedNetwork.Meter::reset);
         net.runFor(RUN_MS);
         Map<String, Double> f = new LinkedHashMap<>();
         means("data", dataIds, f);
@@ -229,11 +229,11 @@
         net.at(luck.nextInt(BEAT_MS), again[0]);
     }
 
-    private void request(HollowData d) {
-        Picker.Ask ask = new Picker.Ask("llm", Set.of(), 0, 92, 291, 40, Set.of(), -1, luck.nextLong());
+    private void request(HollowDataNode d) {
+        LoadBalancer.Ask ask = new LoadBalancer.Ask("llm", Set.of(), 0, 92, 291, 40, Set.of(), -1, luck.nextLong());
         NodeId id = dataIds.get(datas.indexOf(d));
         net.charge(id, () -> {
-            if (d.picker().choose(ask, net.nowMs()) instanceof Picker.Chosen c) {
+            if (d.picker().choose(ask, net.nowMs()) instanceof LoadBalancer.Chosen c) {
                 d.picker().sent(c.id(), net.nowMs());
                 net.at(250, () -> d.picker().ended(c.id(), ask, End.ANSWERED, 90, net.nowMs()));
             }
@@ -245,7 +245,7 @@
         double s = RUN_MS / 1000.0 * ids.size();
         double[] n = new double[8];
         for (NodeId id : ids) {
-            Net.Meter m = net.meters.get(id);
+            SimulatedNetwork.Meter m = net.meters.get(id);
             n[0] += m.inBytes;
             n[1] += m.outBytes[0];
             n[2] += m.outBytes[1];
--- a/src/test/java/ringspindle/scale/RestartTest.java
+++ b/src/test/java/ringspindle/scale/RestartTest.java
@@ -8,14 +8,14 @@
 import java.util.Properties;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import ringspindle.conf.Checked;
-import ringspindle.conf.NodeConfig;
-import ringspindle.cp.HollowControl;
-import ringspindle.dp.HollowData;
-import ringspindle.pick.Picker;
-import ringspindle.sum.Sum;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.NodeId;
+import ringspindle.config.NodeConfig;
+import ringspindle.config.Validated;
+import ringspindle.controlplane.HollowControlNode;
+import ringspindle.dataplane.HollowDataNode;
+import ringspindle.loadbalancing.LoadBalancer;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.NodeId;
+import ringspindle.telemetry.LoadSummary;
 
 /** A data node that restarts under a clock that went back is counted soon, though its life has a lower number. */
 class RestartTest {
@@ -23,9 +23,9 @@
     private static final String ENGINE = "i-1";
     private static final NodeId DATA = NodeId.of("10.1.0.2:7001");
 
-    private final Net net = new Net();
-    private HollowControl control;
-    private HollowData data;
+    private final SimulatedNetwork net = new SimulatedNetwork();
+    private HollowControlNode control;
+    private HollowDataNode data;
 
     private static NodeConfig settings(String name, String ip, boolean isControl) {
         Properties p = new Properties();
@@ -49,7 +49,7 @@
                 "node.bootstrap",
                 "true"));
         p.setProperty(isControl ? "listen.control" : "listen.frontend", ip + ":80");
-        return ((Checked.Good<NodeConfig>) NodeConfig.check(p)).value();
+        return ((Validated.Valid<NodeConfig>) NodeConfig.check(p)).value();
     }
 
     private void every(int everyMs, Runnable r) {
@@ -61,22 +61,22 @@
 
     /** One request runs on, from now. */
     private void request() {
-        Picker.Ask ask = new Picker.Ask("s", Set.of(), 0, 92, 291, 40, Set.of(), -1, 1);
-        Picker.Chosen chosen =
-                assertInstanceOf(Picker.Chosen.class, data.picker().choose(ask, net.nowMs()));
+        LoadBalancer.Ask ask = new LoadBalancer.Ask("s", Set.of(), 0, 92, 291, 40, Set.of(), -1, 1);
+        LoadBalancer.Chosen chosen =
+                assertInstanceOf(LoadBalancer.Chosen.class, data.picker().choose(ask, net.nowMs()));
         data.picker().sent(chosen.id(), net.nowMs());
     }
 
     private int running() {
-        return control.total().all(Sum.key(ENGINE)).running();
+        return control.total().all(LoadSummary.key(ENGINE)).running();
     }
 
     @Test
     void itsReportsCountAsSoonAsItsSessionStands() throws Exception {
-        control = new HollowControl(settings("c", "10.0.0.1", true), net.means(1), net::at);
-        data = new HollowData(settings("d", "10.1.0.2", false), net.means(9));
-        every(HollowControl.tickMs(), control::tick);
-        every(HollowData.tickMs(), () -> data.tick());
+        control = new HollowControlNode(settings("c", "10.0.0.1", true), net.means(1), net::at);
+        data = new HollowDataNode(settings("d", "10.1.0.2", false), net.means(9));
+        every(HollowControlNode.tickMs(), control::tick);
+        every(HollowDataNode.tickMs(), () -> data.tick());
         long[] seq = {0};
         every(
                 ENGINE_BEAT_MS,
@@ -93,7 +93,7 @@
         net.runFor(2000);
         assertEquals(2, running());
 
-        data = new HollowData(settings("d", "10.1.0.2", false), net.means(5));
+        data = new HollowDataNode(settings("d", "10.1.0.2", false), net.means(5));
         net.runFor(8000);
         request();
         net.runFor(2000);
--- a/src/test/java/ringspindle/scale/RulesFleetTest.java
+++ b/src/test/java/ringspindle/scale/RulesFleetTest.java
@@ -15,20 +15,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import ringspindle.api.Outcome;
-import ringspindle.conf.Checked;
-import ringspindle.conf.NodeConfig;
-import ringspindle.cp.HollowControl;
-import ringspindle.dp.HollowData;
-import ringspindle.wire.NodeId;
+import ringspindle.config.NodeConfig;
+import ringspindle.config.Validated;
+import ringspindle.controlplane.HollowControlNode;
+import ringspindle.dataplane.HollowDataNode;
+import ringspindle.protocol.NodeId;
 
 /** Serving rules over a simulated fleet of real owners: changed under cut regions and lost nodes, all follow one in the end. */
 class RulesFleetTest {
     private static final int ZONES = 6;
 
-    private final Net net = new Net();
-    private final List<HollowControl> controls = new ArrayList<>();
+    private final SimulatedNetwork net = new SimulatedNetwork();
+    private final List<HollowControlNode> controls = new ArrayList<>();
     private final List<NodeId> controlIds = new ArrayList<>();
-    private final List<HollowData> datas = new ArrayList<>();
+    private final List<HollowDataNode> datas = new ArrayList<>();
     private final List<NodeId> dataIds = new ArrayList<>();
     private final Map<NodeId, List<Long>> followed = new TreeMap<>();
     private final Map<Long, Long> winners = new TreeMap<>();
@@ -60,7 +60,7 @@
                 "node.bootstrap",
                 "true"));
         p.setProperty(control ? "listen.control" : "listen.frontend", ip + ":80");
-        return ((Checked.Good<NodeConfig>) NodeConfig.check(p)).value();
+        return ((Validated.Valid<NodeConfig>) NodeConfig.check(p)).value();
     }
 
     private void tick(NodeId id, Runnable r, int everyMs) {
@@ -79,16 +79,16 @@
         for (int z = 0; z < ZONES; z++) {
             String ip = "10.0." + z + ".1";
             controlIds.add(NodeId.of(ip + ":7000"));
-            controls.add(new HollowControl(settings("c" + z, ip, z, true), net.means(1), net::at));
-            tick(controlIds.get(z), controls.get(z)::tick, HollowControl.tickMs());
+            controls.add(new HollowControlNode(settings("c" + z, ip, z, true), net.means(1), net::at));
+            tick(controlIds.get(z), controls.get(z)::tick, HollowControlNode.tickMs());
         }
         for (int i = 0; i < 18; i++) {
             String ip = "10.1.0." + (2 + i);
-            HollowData d = new HollowData(settings("d" + i, ip, i % ZONES, false), net.means(1));
+            HollowDataNode d = new HollowDataNode(settings("d" + i, ip, i % ZONES, false), net.means(1));
             NodeId id = NodeId.of(ip + ":7001");
             dataIds.add(id);
             datas.add(d);
-            tick(id, d::tick, HollowData.tickMs());
+            tick(id, d::tick, HollowDataNode.tickMs());
             Runnable[] watch = new Runnable[1];
             watch[0] = () -> {
                 List<Long> l = followed.computeIfAbsent(id, k -> new ArrayList<>());
@@ -142,7 +142,8 @@
 
     /** What an operator that reads back would find, or a little less. */
     private long known() {
-        return Math.max(acked, datas.stream().mapToLong(HollowData::rules).max().orElse(0));
+        return Math.max(
+                acked, datas.stream().mapToLong(HollowDataNode::rules).max().orElse(0));
     }
 
     private void trouble() {
--- a/src/test/java/ringspindle/scale/Net.java
+++ b/src/test/java/ringspindle/scale/SimulatedNetwork.java
@@ -14,15 +14,15 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.concurrent.Executor;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Means;
-import ringspindle.wire.Mesh;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Hello;
-import ringspindle.wire.NodeId;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.NodeId;
+import ringspindle.transport.Mesh;
+import ringspindle.transport.NodeEnvironment;
 
 /** Virtual time, and counted links between hollow nodes: every message goes through the real codec. */
-public final class Net {
+public final class SimulatedNetwork {
     /** Where a link runs. */
     enum Reach {
         ZONE,
@@ -125,9 +125,9 @@
     }
 
     /** What an owner needs; its threads are this net's events. */
-    public Means means(long life) {
+    public NodeEnvironment means(long life) {
         Executor later = r -> at(0, r);
-        return new Means(this::nowMs, life, chance::nextLong, later, hello -> {
+        return new NodeEnvironment(this::nowMs, life, chance::nextLong, later, hello -> {
             HollowMesh m = new HollowMesh(hello);
             meshes.put(hello.node(), m);
             meters.put(hello.node(), new Meter());
@@ -146,14 +146,14 @@
     private final class HollowMesh implements Mesh {
         private final Hello self;
         private final Set<NodeId> links = new HashSet<>();
-        private Ear ear;
+        private Listener ear;
 
         HollowMesh(Hello self) {
             this.self = self;
         }
 
         @Override
-        public void open(Ear e) {
+        public void open(Listener e) {
             ear = e;
         }
 
@@ -175,7 +175,7 @@
             });
         }
 
-        private void count(HollowMesh from, HollowMesh to, Msg m) {
+        private void count(HollowMesh from, HollowMesh to, Message m) {
             int bytes = Codec.encode(m).length + FRAME_BYTES;
             Meter out = meters.get(from.self.node());
             out.outBytes[reach(from.self, to.self).ordinal()] += bytes;
@@ -186,7 +186,7 @@
         }
 
         @Override
-        public void send(NodeId peer, Msg m) {
+        public void send(NodeId peer, Message m) {
             if (!links.contains(peer)) {
                 return;
             }
--- a/src/test/java/ringspindle/disk/SimulatedFolder.java
+++ b/src/test/java/ringspindle/storage/SimulatedFolder.java
@@ -1,4 +1,4 @@
-package ringspindle.disk;
+package ringspindle.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/src/test/java/ringspindle/disk/SlotDiskCrashTest.java
+++ b/src/test/java/ringspindle/storage/SlotDiskCrashTest.java
@@ -1,4 +1,4 @@
-package ringspindle.disk;
+package ringspindle.storage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -17,8 +17,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.opentest4j.AssertionFailedError;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Relearn;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Relearn;
 
 /**
  * Ends a script of calls before each operation on the folder, restarts from what the rules of {@link SimulatedFolder}
@@ -26,9 +26,9 @@
  */
 class SlotDiskCrashTest {
     /** A call of the script. All records are of one length, so that a leftover would stand right behind a newer record. */
-    private record Step(boolean image, List<Msg> records) {}
+    private record FallbackTarget(boolean image, List<Message> records) {}
 
-    private static final List<List<Step>> LIVES = List.of(
+    private static final List<List<FallbackTarget>> LIVES = List.of(
             List.of(
                     append(1),
                     append(2, 3),
@@ -49,16 +49,16 @@
     private final Set<String> tried = new HashSet<>();
     private int restarts;
 
-    private static Step append(long... ids) {
-        return new Step(false, records(ids));
+    private static FallbackTarget append(long... ids) {
+        return new FallbackTarget(false, records(ids));
     }
 
-    private static Step image(long... ids) {
-        return new Step(true, records(ids));
+    private static FallbackTarget image(long... ids) {
+        return new FallbackTarget(true, records(ids));
     }
 
-    private static List<Msg> records(long... ids) {
-        return Arrays.stream(ids).mapToObj(id -> (Msg) new Relearn(id)).toList();
+    private static List<Message> records(long... ids) {
+        return Arrays.stream(ids).mapToObj(id -> (Message) new Relearn(id)).toList();
     }
 
     /** One process: the disk it writes, and what a restart may find by the calls that returned or did not. */
@@ -66,19 +66,19 @@
         final SimulatedFolder folder;
         final SlotDisk disk;
         /** What counts if no later call has an effect: more than one after an image that failed. */
-        Set<List<Msg>> settled;
+        Set<List<Message>> settled;
 
-        Set<List<Msg>> allowed;
+        Set<List<Message>> allowed;
         boolean lastReturned;
 
-        Life(SimulatedFolder folder, Set<List<Msg>> allowed) {
+        Life(SimulatedFolder folder, Set<List<Message>> allowed) {
             this.folder = folder;
             this.allowed = allowed;
             disk = new SlotDisk(folder, record -> true);
         }
 
         /** Runs until done, refused at the load, or cut. */
-        Life run(List<Step> steps) {
+        Life run(List<FallbackTarget> steps) {
             try {
                 load();
                 steps.forEach(this::apply);
@@ -89,7 +89,7 @@
         }
 
         void load() throws IOException {
-            List<Msg> found = disk.load();
+            List<Message> found = disk.load();
             assertTrue(allowed.contains(found), () -> "found " + found + ", allowed " + allowed);
             assertEquals(
                     1,
@@ -101,8 +101,8 @@
             allowed = settled;
         }
 
-        void apply(Step step) {
-            Set<List<Msg>> before = settled;
+        void apply(FallbackTarget step) {
+            Set<List<Message>> before = settled;
             allowed = new LinkedHashSet<>(allowed);
             before.forEach(records -> allowed.addAll(partly(records, step)));
             try {
@@ -124,15 +124,15 @@
             }
         }
 
-        private static List<Msg> wholly(List<Msg> before, Step step) {
-            List<Msg> out = new ArrayList<>(step.image() ? List.of() : before);
+        private static List<Message> wholly(List<Message> before, FallbackTarget step) {
+            List<Message> out = new ArrayList<>(step.image() ? List.of() : before);
             out.addAll(step.records());
             return out;
         }
 
-        private static List<List<Msg>> partly(List<Msg> before, Step step) {
-            List<Msg> whole = wholly(before, step);
-            List<List<Msg>> out = new ArrayList<>(List.of(before, whole));
+        private static List<List<Message>> partly(List<Message> before, FallbackTarget step) {
+            List<Message> whole = wholly(before, step);
+            List<List<Message>> out = new ArrayList<>(List.of(before, whole));
             for (int size = before.size(); !step.image() && size < whole.size(); size++) {
                 out.add(whole.subList(0, size));
             }
@@ -141,7 +141,7 @@
     }
 
     /** Ends this life before each of its operations, and goes on from there; {@code level} lives came before. */
-    private void explore(SimulatedFolder start, Set<List<Msg>> allowed, int level) {
+    private void explore(SimulatedFolder start, Set<List<Message>> allowed, int level) {
         boolean cut = true;
         for (int operation = 1; cut; operation++) {
             SimulatedFolder folder = start.copy();
@@ -161,7 +161,7 @@
         next(life.folder.copy(), life.allowed, level + 1);
     }
 
-    private void next(SimulatedFolder left, Set<List<Msg>> allowed, int level) {
+    private void next(SimulatedFolder left, Set<List<Message>> allowed, int level) {
         restarts++;
         if (level < LIVES.size()) {
             explore(left, allowed, level);
@@ -180,7 +180,7 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 5})
     void refusedOperationsLoseNothingAndTheDiskGoesOn(int refused) {
-        List<Step> steps = LIVES.get(0);
+        List<FallbackTarget> steps = LIVES.get(0);
         int operations = new Life(new SimulatedFolder(), Set.of(List.of()))
                 .run(steps)
                 .folder
--- a/src/test/java/ringspindle/disk/SlotDiskRecoveryTest.java
+++ b/src/test/java/ringspindle/storage/SlotDiskRecoveryTest.java
@@ -1,4 +1,4 @@
-package ringspindle.disk;
+package ringspindle.storage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ringspindle.disk.UnreadableStorageException.Reason;
-import ringspindle.wire.Codec;
-import ringspindle.wire.Msg;
-import ringspindle.wire.Msg.Relearn;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Relearn;
+import ringspindle.storage.UnreadableStorageException.Reason;
 
 /** Single faults by name: refused calls, leftovers of earlier generations, records that this version does not know. */
 class SlotDiskRecoveryTest {
@@ -24,7 +24,7 @@
 
     private final SimulatedFolder folder = new SimulatedFolder();
 
-    private static Msg n(long id) {
+    private static Message n(long id) {
         return new Relearn(id);
     }
 
@@ -38,7 +38,7 @@
         folder.refuse(folder.operations() + 1 + skip, folder.operations() + 1 + skip);
     }
 
-    private List<Msg> reloaded() throws IOException {
+    private List<Message> reloaded() throws IOException {
         return new SlotDisk(folder.copy(), record -> true).load();
     }
 
@@ -55,7 +55,7 @@
             refuseNext(skip);
             assertThrows(IOException.class, () -> disk.image(List.of(n(2))));
             disk.append(List.of(n(3)));
-            List<Msg> found = reloaded();
+            List<Message> found = reloaded();
             assertEquals(n(3), found.get(found.size() - 1), "refused operation " + skip + ": " + found);
         }
     }
--- a/src/test/java/ringspindle/disk/SlotDiskTest.java
+++ b/src/test/java/ringspindle/storage/SlotDiskTest.java
@@ -1,4 +1,4 @@
-package ringspindle.disk;
+package ringspindle.storage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -9,15 +9,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import ringspindle.wire.Msg;
+import ringspindle.protocol.Message;
 
 /** What was synced comes back, whatever stands behind it. */
 class SlotDiskTest {
     @TempDir
     Path folder;
 
-    private static Msg n(long n) {
-        return new Msg.Relearn(n);
+    private static Message n(long n) {
+        return new Message.Relearn(n);
     }
 
     private Path log() throws IOException {
--- a/src/test/java/ringspindle/sum/PresenceTest.java
+++ b/src/test/java/ringspindle/telemetry/EnginePresenceTest.java
@@ -1,4 +1,4 @@
-package ringspindle.sum;
+package ringspindle.telemetry;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,12 +7,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import ringspindle.wire.Msg.Engine;
-import ringspindle.wire.Msg.HeartbeatRow;
-import ringspindle.wire.Msg.Report;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.HeartbeatRow;
+import ringspindle.protocol.Message.Report;
 
 /** Only what changes is news, and silence is judged on steady time by the engine's own region. */
-class PresenceTest {
+class EnginePresenceTest {
     private static Engine engine(int coldMs, boolean draining) {
         return engine(1, coldMs, draining);
     }
@@ -23,7 +23,7 @@
 
     @Test
     void heartbeatsThatSayNothingNewAreNoNews() {
-        Presence p = new Presence(1200);
+        EnginePresence p = new EnginePresence(1200);
         int news = 0;
         for (int i = 0; i < 50; i++) {
             news += p.heard("i-1", engine(0, false), i, i * 1200L) ? 1 : 0;
@@ -35,7 +35,7 @@
 
     @Test
     void coldEngineIsNewsAtItsStartAndOnceItIsWarm() {
-        Presence p = new Presence(1200);
+        EnginePresence p = new EnginePresence(1200);
         List<Integer> news = new ArrayList<>();
         int[] left = {3000, 1800, 600, 0, 0, 0};
         for (int i = 0; i < left.length; i++) {
@@ -49,7 +49,7 @@
 
     @Test
     void silentOnesBecomeFactsAndComeBack() {
-        Presence p = new Presence(1000);
+        EnginePresence p = new EnginePresence(1000);
         p.heard("i-1", engine(0, false), 1, 0);
         p.heard("i-2", engine(2, 0, false), 1, 0);
         assertEquals(List.of(), p.judge(e -> true, 5500), "a start of this node gives engines time");
@@ -57,18 +57,21 @@
             p.heard("i-1", engine(0, false), at, at);
         }
         assertEquals(List.of(), p.judge(e -> false, 9100), "another region's are not ours to judge");
-        assertEquals(List.of(new Presence.Change("i-2", true, 1)), p.judge(e -> true, 9100));
+        assertEquals(List.of(new EnginePresence.Change("i-2", true, 1)), p.judge(e -> true, 9100));
         assertEquals(List.of(), p.judge(e -> true, 9200));
         // the region's other control node hears it
-        p.peers(Sum.of(new Report(1, 1, List.of(), List.of(new HeartbeatRow(Sum.key("i-2"), 300)), List.of())), 9500);
-        assertEquals(List.of(new Presence.Change("i-2", false, 1)), p.judge(e -> true, 9600));
+        p.peers(
+                LoadSummary.of(
+                        new Report(1, 1, List.of(), List.of(new HeartbeatRow(LoadSummary.key("i-2"), 300)), List.of())),
+                9500);
+        assertEquals(List.of(new EnginePresence.Change("i-2", false, 1)), p.judge(e -> true, 9600));
         assertEquals(
                 List.of("i-1", "i-2"), p.forget(1000, 20_000).stream().sorted().toList());
     }
 
     @Test
     void whoeverHearsItContradictsAndWhoeverDoesNotGivesIn() {
-        Presence p = new Presence(1000);
+        EnginePresence p = new EnginePresence(1000);
         p.heard("i-1", engine(0, false), 7, 1000);
         assertTrue(p.contradicts("i-1", 6, 1500), "heard since");
         assertFalse(p.contradicts("i-1", 7, 1500), "nothing newer is known");
@@ -79,10 +82,10 @@
     /** Found on a day that lost a region: engines came back as others at their addresses, the earlier lives were still asked. */
     @Test
     void earlierLifeAtAnAddressIsSilentAsSoonAsAnotherCallsFromThere() {
-        Presence p = new Presence(1000);
+        EnginePresence p = new EnginePresence(1000);
         p.told("i-1", engine(0, false), 9, 0);
         p.heard("i-2", engine(0, false), 1, 400);
-        assertEquals(List.of(new Presence.Change("i-1", true, 9)), p.judge(e -> true, 500));
+        assertEquals(List.of(new EnginePresence.Change("i-1", true, 9)), p.judge(e -> true, 500));
         p.heard("i-2", engine(0, false), 2, 1400);
         assertEquals(List.of(), p.judge(e -> true, 1500));
     }
--- a/src/test/java/ringspindle/wire/JettyMeshTest.java
+++ b/src/test/java/ringspindle/transport/JettyMeshTest.java
@@ -1,4 +1,4 @@
-package ringspindle.wire;
+package ringspindle.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -22,15 +22,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import ringspindle.wire.FrameException.Reason;
-import ringspindle.wire.Msg.Heartbeat;
-import ringspindle.wire.Msg.Hello;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.FrameException.Reason;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.NodeId;
 
 /** Bytes that are no message end their connection, are counted, and change nothing. */
 @Timeout(60)
 class JettyMeshTest {
     private static final NodeId PEER = NodeId.of("10.9.9.9:7000");
-    private static final Msg BEAT = new Heartbeat(1, 0, 0, 0, 0, 0, List.of());
+    private static final Message BEAT = new Heartbeat(1, 0, 0, 0, 0, 0, List.of());
 
     private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
     private Threads threads;
@@ -50,14 +53,14 @@
         }
         self = NodeId.of("127.0.0.1:" + port);
         mesh = new JettyMesh(hello(self, 1), threads.pool(), threads.timers());
-        mesh.open(new Mesh.Ear() {
+        mesh.open(new Mesh.Listener() {
             @Override
             public void opened(Hello peer) {
                 heard.add("opened " + peer.node() + " life " + peer.life());
             }
 
             @Override
-            public void heard(NodeId from, Msg m) {
+            public void heard(NodeId from, Message m) {
                 heard.add("heard " + m);
             }
 
@@ -88,7 +91,7 @@
                 .array();
     }
 
-    private static byte[] frame(Msg m) {
+    private static byte[] frame(Message m) {
         return frame(Codec.encode(m));
     }
 
