--- a/src/main/java/ringspindle/loadbalancing/AttemptWindow.java
+++ b/src/main/java/ringspindle/loadbalancing/AttemptWindow.java
@@ -1,7 +1,7 @@
 package ringspindle.loadbalancing;
 
 import java.util.Arrays;
-import ringspindle.retry.Action;
+import ringspindle.retry.AttemptOutcome;
 import ringspindle.telemetry.AttemptCounts;
 import ringspindle.telemetry.RequestKind;
 
@@ -44,18 +44,18 @@
         tokens[k.ordinal()] += weight;
     }
 
-    void ended(RequestKind k, long weight, Action.End end, long firstMs, long nowMs) {
+    void ended(RequestKind k, long weight, AttemptOutcome end, long firstMs, long nowMs) {
         move(nowMs);
         int i = k.ordinal();
         running[i] = Math.max(0, running[i] - 1);
         tokens[i] = running[i] == 0 ? 0 : Math.max(0, tokens[i] - weight);
         int at = at(bucket, k);
-        if (end == Action.End.ANSWERED) {
+        if (end == AttemptOutcome.ANSWERED) {
             counts[at + ANSWERED]++;
             if (firstMs >= 0) {
                 counts[at + FIRSTS + AttemptCounts.bucket(firstMs)]++;
             }
-        } else if (end == Action.End.NOT_RUN) {
+        } else if (end == AttemptOutcome.NOT_RUN) {
             counts[at + NOT_RUN]++;
         } else if (end.againstEngine()) {
             counts[at + FAILED]++;
--- a/src/main/java/ringspindle/loadbalancing/EngineTableLoadBalancer.java
+++ b/src/main/java/ringspindle/loadbalancing/EngineTableLoadBalancer.java
@@ -21,7 +21,7 @@
 import ringspindle.protocol.Message.Load;
 import ringspindle.protocol.Message.RegionLoad;
 import ringspindle.protocol.NodeId;
-import ringspindle.retry.Action;
+import ringspindle.retry.AttemptOutcome;
 import ringspindle.routing.FallbackTarget;
 import ringspindle.telemetry.AttemptCounts;
 import ringspindle.telemetry.LoadSummary;
@@ -669,7 +669,7 @@
     }
 
     @Override
-    public synchronized void ended(String id, Ask ask, Action.End end, long firstMs, long nowMs) {
+    public synchronized void ended(String id, Ask ask, AttemptOutcome end, long firstMs, long nowMs) {
         Row r = rows.get(id);
         if (r == null) {
             return;
@@ -677,7 +677,7 @@
         r.running = Math.max(0, r.running - 1);
         r.tokens = r.running == 0 ? 0 : Math.max(0, r.tokens - weight(ask));
         boolean stale = firstMs == STALE_MS;
-        r.window.ended(kind(ask), (long) weight(ask), stale ? Action.End.PARENT_ENDED : end, firstMs, nowMs);
+        r.window.ended(kind(ask), (long) weight(ask), stale ? AttemptOutcome.PARENT_ENDED : end, firstMs, nowMs);
         if (end.againstEngine() && !stale) {
             AttemptCounts own = r.window.all(nowMs);
             weigh(r, own.answered(), own.failed(), 1, 0, nowMs);
@@ -689,16 +689,16 @@
             remove(r);
             return;
         }
-        if (end == Action.End.MISDIRECTED) {
+        if (end == AttemptOutcome.MISDIRECTED) {
             // another engine has the address, so that one is gone
             r.leaving = true;
-        } else if (end == Action.End.NOT_SENT || end == Action.End.ATTEMPT_TIMEOUT) {
+        } else if (end == AttemptOutcome.NOT_SENT || end == AttemptOutcome.ATTEMPT_TIMEOUT) {
             suspect(r, nowMs);
         } else if (end.againstEngine() && !stale) {
             if (++r.failures >= 3) {
                 suspect(r, nowMs);
             }
-        } else if (end == Action.End.ANSWERED) {
+        } else if (end == AttemptOutcome.ANSWERED) {
             r.failures = 0;
             if (firstMs >= 0 && ask.tokens() > 4000) {
                 double seen = Math.max(0.002, Math.min(0.2, (firstMs - way(r)) / ask.tokens()));
--- a/src/main/java/ringspindle/loadbalancing/LoadBalancer.java
+++ b/src/main/java/ringspindle/loadbalancing/LoadBalancer.java
@@ -9,7 +9,7 @@
 import ringspindle.protocol.Message.Lease;
 import ringspindle.protocol.Message.Load;
 import ringspindle.protocol.NodeId;
-import ringspindle.retry.Action;
+import ringspindle.retry.AttemptOutcome;
 import ringspindle.routing.FallbackTarget;
 import ringspindle.telemetry.LoadSummary;
 
@@ -109,7 +109,7 @@
      * The attempt is over; firstMs is the time to the first byte, below 0 if none came, and {@link #STALE_MS} if nothing
      * came because an idle connection had been forgotten, which says nothing of the engine.
      */
-    void ended(String id, Ask ask, Action.End end, long firstMs, long nowMs);
+    void ended(String id, Ask ask, AttemptOutcome end, long firstMs, long nowMs);
 
     /** A consumer's request for a service, of which further tries are earned. */
     void asked(String service, long nowMs);
--- a/src/main/java/ringspindle/proxy/ProxiedRequest.java
+++ b/src/main/java/ringspindle/proxy/ProxiedRequest.java
@@ -28,6 +28,10 @@
 import ringspindle.loadbalancing.LoadBalancer;
 import ringspindle.retry.Action;
 import ringspindle.retry.Attempt;
+import ringspindle.retry.AttemptOutcome;
+import ringspindle.retry.CancelCause;
+import ringspindle.retry.RetryDecision;
+import ringspindle.retry.RetryPolicy;
 import ringspindle.routing.Affinity;
 import ringspindle.routing.RequestAttributes;
 import ringspindle.routing.ServingRule;
@@ -53,7 +57,7 @@
         EngineConnectionPool.Wire wire;
         org.eclipse.jetty.client.Request request;
         org.eclipse.jetty.client.Response head;
-        Action.End headEnd;
+        AttemptOutcome headEnd;
         boolean over;
         boolean good;
         long sentMs = -1;
@@ -127,7 +131,7 @@
     private final String attemptId;
     private final byte[] body;
     private final Action action;
-    private final Action.Policy policy;
+    private final RetryPolicy policy;
     private final long sinceMs;
     private final int promptTokens;
     private final int outTokens;
@@ -171,7 +175,7 @@
         this.sinceMs = sinceMs;
         long nowMs = front.nowMs();
         action = Action.open(front.nextId(), nowMs, Math.max(0, sinceMs + deadlineMs - BACK_MS - nowMs), front);
-        policy = new Action.Policy(mapping.repeatable(), mapping.resumable(), mapping.maxAttempts());
+        policy = new RetryPolicy(mapping.repeatable(), mapping.resumable(), mapping.maxAttempts());
         String[] tokens = header("Token-Count", "0,0").split(",");
         promptTokens = number(tokens[0]);
         outTokens = tokens.length > 1 ? number(tokens[1]) : 0;
@@ -259,7 +263,7 @@
     /** Looks for an engine; the parent is asked anew, as time went by. */
     private void place() {
         long nowMs = front.nowMs();
-        if (!action.live(nowMs)) {
+        if (!action.isLive(nowMs)) {
             if (action.state() == Action.State.ACTIVE) {
                 overdue(nowMs);
             }
@@ -285,9 +289,9 @@
         waitUntilMs = -1;
         waitSinceMs = -1;
         LoadBalancer.Chosen chosen = (LoadBalancer.Chosen) c;
-        Attempt a = action.attempt(nowMs, timeoutMs(ask));
+        Attempt a = action.startAttempt(nowMs, timeoutMs(ask));
         if (a == null) {
-            front.picker().ended(chosen.id(), ask, Action.End.PARENT_ENDED, -1, nowMs);
+            front.picker().ended(chosen.id(), ask, AttemptOutcome.PARENT_ENDED, -1, nowMs);
             return;
         }
         Try t = new Try(a, ask, chosen, resuming);
@@ -316,7 +320,7 @@
     /** Waits for room, but not longer than helps. */
     private void await(long nowMs) {
         if (waitUntilMs < 0) {
-            long patienceMs = action.mayHaveRun() || action.responseCommitted()
+            long patienceMs = action.mayHaveRun() || action.isResponseCommitted()
                     ? 1500
                     : rule != null && rule.waitMs() >= 0
                             ? rule.waitMs()
@@ -339,7 +343,7 @@
     }
 
     private long timeoutMs(LoadBalancer.Ask ask) {
-        if (!mapping.repeatable() || action.attempts() + 1 >= policy.maxAttempts()) {
+        if (!mapping.repeatable() || action.attemptCount() + 1 >= policy.maxAttempts()) {
             return 0;
         }
         if (mapping.kind() == FleetConfig.Kind.STREAMING) {
@@ -354,7 +358,7 @@
         if (t.over) {
             return;
         }
-        end(t, full ? Action.End.NOT_RUN : Action.End.NOT_SENT);
+        end(t, full ? AttemptOutcome.NOT_RUN : AttemptOutcome.NOT_SENT);
     }
 
     private void wireUp(Try t, EngineConnectionPool.Wire w) {
@@ -362,17 +366,17 @@
         synchronized (this) {
             long nowMs = front.nowMs();
             // the last look before anything goes out
-            if (t.over || !action.live(nowMs)) {
+            if (t.over || !action.isLive(nowMs)) {
                 front.wires().giveUnused(w);
                 if (!t.over) {
-                    end(t, Action.End.NOT_SENT);
+                    end(t, AttemptOutcome.NOT_SENT);
                 }
                 return;
             }
             t.wire = w;
             r = compose(t, nowMs);
             t.request = r;
-            t.attempt.sent();
+            t.attempt.markSent();
             front.ledger().sent(action.id(), t.resume);
             sends++;
             t.sentMs = nowMs;
@@ -413,7 +417,7 @@
                     "Deadline-Ms",
                     Long.toString(Math.max(
                             1,
-                            t.attempt.timesOutAlone() ? action.deadlineMs() - nowMs : t.attempt.deadlineMs() - nowMs)));
+                            t.attempt.hasOwnTimeout() ? action.deadlineMs() - nowMs : t.attempt.deadlineMs() - nowMs)));
             h.put("Target-Instance", t.chosen.id());
             if (mapping.kind() == FleetConfig.Kind.STREAMING) {
                 h.put("Request-Urgency", Integer.toString(Math.max(0, Math.min(9, rank()))));
@@ -460,16 +464,16 @@
         boolean success = status / 100 == 2;
         // every answer of an engine carries the id back; nobody asked for a switch of protocols
         if (!attemptId.equals(h.get("Attempt-Id")) || status == HttpStatus.SWITCHING_PROTOCOLS_101) {
-            t.headEnd = Action.End.BROKEN;
-            end(t, Action.End.BROKEN);
+            t.headEnd = AttemptOutcome.BROKEN;
+            end(t, AttemptOutcome.BROKEN);
             return;
         }
         front.picker().heard(t.chosen.id(), nowMs);
         if (status == 421) {
             String who = h.get("Instance-Id");
-            t.headEnd = who != null && !who.equals(t.chosen.id()) ? Action.End.MISDIRECTED : Action.End.NOT_RUN;
+            t.headEnd = who != null && !who.equals(t.chosen.id()) ? AttemptOutcome.MISDIRECTED : AttemptOutcome.NOT_RUN;
         } else if (h.contains("Not-Executed")) {
-            t.headEnd = Action.End.NOT_RUN;
+            t.headEnd = AttemptOutcome.NOT_RUN;
         } else if (success && h.contains("Server-Seal") && !h.contains(HttpHeader.CONTENT_ENCODING)) {
             t.good = true;
             if (h.get("Weight-Versions") != null && !t.resume) {
@@ -477,9 +481,9 @@
             }
         } else if (success || status == 429 || status == 503 || status == 408) {
             // without the seal, or a promise that the engine did not give
-            t.headEnd = Action.End.BROKEN;
+            t.headEnd = AttemptOutcome.BROKEN;
         } else {
-            t.headEnd = Action.End.FAILED;
+            t.headEnd = AttemptOutcome.FAILED;
         }
         if (!streams(t)) {
             t.whole = new ByteArrayOutputStream(1024);
@@ -508,7 +512,7 @@
                 b.get(bytes);
                 t.whole.writeBytes(bytes);
                 if (t.whole.size() > 16 * WHOLE_MAX) {
-                    end(t, Action.End.BROKEN);
+                    end(t, AttemptOutcome.BROKEN);
                     return false;
                 }
             } else {
@@ -516,8 +520,8 @@
                 if (t.over) {
                     return false;
                 }
-                if (out != null && !action.responseCommitted()) {
-                    if (!action.live(nowMs)) {
+                if (out != null && !action.isResponseCommitted()) {
+                    if (!action.isLive(nowMs)) {
                         return false;
                     }
                     headOut(t.head, -1);
@@ -539,7 +543,7 @@
             t.writing = false;
             if (t.outOfOrder) {
                 if (!t.over) {
-                    end(t, Action.End.BROKEN);
+                    end(t, AttemptOutcome.BROKEN);
                 }
                 return;
             }
@@ -566,7 +570,7 @@
         try {
             events = t.events.feed(b);
         } catch (IllegalStateException x) {
-            end(t, Action.End.BROKEN);
+            end(t, AttemptOutcome.BROKEN);
             return null;
         }
         if (events.isEmpty()) {
@@ -588,7 +592,7 @@
             out.writeBytes(e.bytes());
         }
         if (out.size() == 0) {
-            end(t, Action.End.BROKEN);
+            end(t, AttemptOutcome.BROKEN);
             return null;
         }
         return out.toByteArray();
@@ -633,13 +637,13 @@
                     t.firstMs = LoadBalancer.STALE_MS;
                     front.wires().forgotten(t.wire);
                 }
-                end(t, Action.End.BROKEN);
+                end(t, AttemptOutcome.BROKEN);
                 return;
             }
-            if (t.headEnd == Action.End.FAILED) {
+            if (t.headEnd == AttemptOutcome.FAILED) {
                 giveBack(t);
-                Action.Verdict v = finish(t, Action.End.FAILED, nowMs);
-                if (v == Action.Verdict.FAIL && action.complete(nowMs)) {
+                RetryDecision v = finish(t, AttemptOutcome.FAILED, nowMs);
+                if (v == RetryDecision.FAIL && action.complete(nowMs)) {
                     // the engine's own failure is its answer
                     answered = true;
                     headOut(t.head, t.whole.size());
@@ -649,14 +653,14 @@
                     return;
                 }
             } else if (t.headEnd != null) {
-                if (t.headEnd != Action.End.BROKEN) {
+                if (t.headEnd != AttemptOutcome.BROKEN) {
                     giveBack(t);
                 }
                 end(t, t.headEnd);
                 return;
             } else if (t.whole != null) {
                 giveBack(t);
-                finish(t, Action.End.ANSWERED, nowMs);
+                finish(t, AttemptOutcome.ANSWERED, nowMs);
                 if (!action.complete(nowMs)) {
                     return;
                 }
@@ -664,12 +668,12 @@
                 headOut(t.head, t.whole.size());
                 whole = t.whole.toByteArray();
             } else {
-                if (t.events.partial() || !action.responseCommitted()) {
-                    end(t, Action.End.BROKEN);
+                if (t.events.partial() || !action.isResponseCommitted()) {
+                    end(t, AttemptOutcome.BROKEN);
                     return;
                 }
                 giveBack(t);
-                finish(t, Action.End.ANSWERED, nowMs);
+                finish(t, AttemptOutcome.ANSWERED, nowMs);
                 if (!action.complete(nowMs)) {
                     return;
                 }
@@ -706,13 +710,13 @@
     // ---- ends
 
     /** Notes the end of an attempt, frees what it held, and returns what follows. */
-    private Action.Verdict finish(Try t, Action.End end, long nowMs) {
+    private RetryDecision finish(Try t, AttemptOutcome end, long nowMs) {
         t.over = true;
         if (now == t) {
             now = null;
         }
-        Action.Verdict v = action.ended(t.attempt, end, policy, nowMs);
-        Action.End real = t.attempt.end();
+        RetryDecision v = action.endAttempt(t.attempt, end, policy, nowMs);
+        AttemptOutcome real = t.attempt.outcome();
         if (t.sentMs >= 0 && real != null && real.notRun()) {
             front.ledger().notRun(action.id());
         }
@@ -722,17 +726,17 @@
             t.wire = null;
             front.wires().drop(w);
         }
-        if (t.request != null && real != Action.End.ANSWERED) {
+        if (t.request != null && real != AttemptOutcome.ANSWERED) {
             t.request.abort(new IOException("attempt over: " + real));
         }
         return v;
     }
 
-    private void end(Try t, Action.End end) {
+    private void end(Try t, AttemptOutcome end) {
         long nowMs = front.nowMs();
         tried.add(t.chosen.id());
-        Action.Verdict v = finish(t, end, nowMs);
-        if (v == Action.Verdict.FALLBACK && end == Action.End.NOT_RUN && t.sentMs < 0) {
+        RetryDecision v = finish(t, end, nowMs);
+        if (v == RetryDecision.FALLBACK && end == AttemptOutcome.NOT_RUN && t.sentMs < 0) {
             // no wire was free: nothing reached the engine, which may be asked again
             tried.remove(t.chosen.id());
             await(nowMs);
@@ -741,7 +745,7 @@
         follow(v, nowMs);
     }
 
-    private void follow(Action.Verdict v, long nowMs) {
+    private void follow(RetryDecision v, long nowMs) {
         switch (v) {
             case FALLBACK:
                 if (sends > 0 && !front.picker().takeRetry(service, nowMs)) {
@@ -778,31 +782,30 @@
     private int sends;
 
     private void giveUp(long nowMs, Outcome notRun) {
-        if (action.responseCommitted()) {
+        if (action.isResponseCommitted()) {
             breakOff(nowMs);
             return;
         }
         boolean ran = action.mayHaveRun();
-        if (action.cancel(Action.Cause.GIVEN_UP, nowMs)) {
+        if (action.cancel(CancelCause.GIVEN_UP, nowMs)) {
             say(ran ? Outcome.BROKEN : notRun);
         }
     }
 
     private void overdue(long nowMs) {
-        if (action.responseCommitted()) {
+        if (action.isResponseCommitted()) {
             breakOff(nowMs);
             return;
         }
         boolean ran = action.mayHaveRun();
-        if (action.cancel(Action.Cause.OVERALL_DEADLINE, nowMs)) {
+        if (action.cancel(CancelCause.OVERALL_DEADLINE, nowMs)) {
             dropTry(nowMs);
             say(ran ? Outcome.OVERDUE : Outcome.NO_TIME);
         }
     }
 
     private void breakOff(long nowMs) {
-        if (action.cancel(
-                nowMs >= action.deadlineMs() ? Action.Cause.OVERALL_DEADLINE : Action.Cause.GIVEN_UP, nowMs)) {
+        if (action.cancel(nowMs >= action.deadlineMs() ? CancelCause.OVERALL_DEADLINE : CancelCause.GIVEN_UP, nowMs)) {
             dropTry(nowMs);
             answered = true;
             disarm();
@@ -812,14 +815,14 @@
 
     private void dropTry(long nowMs) {
         if (now != null) {
-            finish(now, Action.End.PARENT_ENDED, nowMs);
+            finish(now, AttemptOutcome.PARENT_ENDED, nowMs);
         }
     }
 
     private void consumerGone() {
         synchronized (this) {
             long nowMs = front.nowMs();
-            if (!action.cancel(Action.Cause.CONSUMER_GONE, nowMs)) {
+            if (!action.cancel(CancelCause.CLIENT_GONE, nowMs)) {
                 return;
             }
             dropTry(nowMs);
@@ -842,7 +845,7 @@
         long nowMs = front.nowMs();
         long nextMs = action.deadlineMs();
         Try t = now;
-        if (t != null && t.attempt.timesOutAlone() && !t.heldUpByClient) {
+        if (t != null && t.attempt.hasOwnTimeout() && !t.heldUpByClient) {
             nextMs = Math.min(nextMs, due(t));
         }
         beat = front.schedule(this::onBeat, Math.max(1, nextMs - nowMs));
@@ -874,9 +877,9 @@
             return;
         }
         Try t = now;
-        if (t != null && t.attempt.timesOutAlone() && nowMs >= due(t)) {
+        if (t != null && t.attempt.hasOwnTimeout() && nowMs >= due(t)) {
             if (!t.writing) {
-                end(t, Action.End.ATTEMPT_TIMEOUT);
+                end(t, AttemptOutcome.ATTEMPT_TIMEOUT);
                 return;
             }
             t.heldUpByClient = true;
--- a/src/main/java/ringspindle/proxy/ProxyHandler.java
+++ b/src/main/java/ringspindle/proxy/ProxyHandler.java
@@ -34,6 +34,8 @@
 import ringspindle.protocol.Message.LedgerReport;
 import ringspindle.protocol.NodeId;
 import ringspindle.retry.Action;
+import ringspindle.retry.CancelCause;
+import ringspindle.retry.TerminalEvent;
 import ringspindle.routing.RequestLedger;
 import ringspindle.routing.ServingRules;
 import ringspindle.time.MonotonicClock;
@@ -255,15 +257,15 @@
     }
 
     @Override
-    public void ended(Action.Terminal t) {
+    public void onActionEnded(TerminalEvent t) {
         active.decrement();
         ledger.ended(t);
         String how = t.state() + (t.cause() == null ? "" : " " + t.cause());
         ends.computeIfAbsent(how, k -> new LongAdder()).increment();
-        if (t.state() != Action.State.COMPLETED && t.cause() != Action.Cause.CONSUMER_GONE) {
+        if (t.state() != Action.State.COMPLETED && t.cause() != CancelCause.CLIENT_GONE) {
             LOG.atFine().log(
                     "action %s %s attempts=%s last=%s committed=%s elapsedMs=%s leftMs=%s",
-                    t.actionId(), how, t.attempts(), t.lastEnd(), t.responseCommitted(), t.elapsedMs(), t.leftMs());
+                    t.actionId(), how, t.attempts(), t.lastOutcome(), t.responseCommitted(), t.elapsedMs(), t.leftMs());
         }
     }
 
--- a/src/main/java/ringspindle/retry/AtomicAction.java
+++ b/src/main/java/ringspindle/retry/AtomicAction.java
@@ -5,24 +5,27 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** The parent scope: one atomic reference decides how it ends. */
+/**
+ * The parent scope. Invariant: state and cause move together, once, from {@link #ACTIVE} to an end, in one compare-and-set;
+ * cleanups run and the listener is told in the thread that made that move, and only there.
+ */
 final class AtomicAction implements Action {
-    /** State and cause in one, so that they move together. */
-    private record Standing(State state, Cause cause) {}
+    private record Standing(State state, CancelCause cause) {}
 
     private static final Standing ACTIVE = new Standing(State.ACTIVE, null);
 
-    private static final class Child implements Attempt {
-        final int number;
-        final long deadlineMs;
-        final boolean alone;
-        volatile boolean sent;
-        final AtomicReference<End> end = new AtomicReference<>();
+    /** A child scope; its outcome is set once. */
+    private static final class ChildAttempt implements Attempt {
+        private final int number;
+        private final long deadlineMs;
+        private final boolean ownTimeout;
+        private final AtomicReference<AttemptOutcome> outcome = new AtomicReference<>();
+        private volatile boolean sent;
 
-        Child(int number, long deadlineMs, boolean alone) {
+        ChildAttempt(int number, long deadlineMs, boolean ownTimeout) {
             this.number = number;
             this.deadlineMs = deadlineMs;
-            this.alone = alone;
+            this.ownTimeout = ownTimeout;
         }
 
         @Override
@@ -36,42 +39,49 @@
         }
 
         @Override
-        public boolean timesOutAlone() {
-            return alone;
+        public boolean hasOwnTimeout() {
+            return ownTimeout;
         }
 
         @Override
-        public End end() {
-            return end.get();
+        public AttemptOutcome outcome() {
+            return outcome.get();
         }
 
         @Override
-        public void sent() {
+        public void markSent() {
             sent = true;
         }
 
         @Override
-        public boolean wasSent() {
+        public boolean isSent() {
             return sent;
         }
+
+        boolean mayHaveRun() {
+            AttemptOutcome ended = outcome.get();
+            return sent && (ended == null || !ended.notRun());
+        }
     }
 
     private final String id;
-    private final long sinceMs;
+    private final long openedMs;
     private final long deadlineMs;
-    private final Listener ear;
+    private final Listener listener;
     private final AtomicReference<Standing> standing = new AtomicReference<>(ACTIVE);
-    private final List<Child> children = Collections.synchronizedList(new ArrayList<>(2));
+    private final List<ChildAttempt> attempts = Collections.synchronizedList(new ArrayList<>(2));
+    /** Guards itself and {@link #cleanedUp}. */
     private final List<Runnable> cleanups = new ArrayList<>(2);
+
+    private boolean cleanedUp;
     private volatile boolean committed;
-    private volatile End lastEnd;
-    private boolean cleaned;
+    private volatile AttemptOutcome lastOutcome;
 
-    AtomicAction(String id, long nowMs, long deadlineMs, Listener ear) {
+    AtomicAction(String id, long nowMs, long deadlineMs, Listener listener) {
         this.id = id;
-        sinceMs = nowMs;
+        this.openedMs = nowMs;
         this.deadlineMs = deadlineMs;
-        this.ear = ear;
+        this.listener = listener;
     }
 
     @Override
@@ -90,19 +100,24 @@
     }
 
     @Override
-    public boolean live(long nowMs) {
-        return standing.get() == ACTIVE && nowMs < deadlineMs;
+    public boolean isLive(long nowMs) {
+        return isActive() && nowMs < deadlineMs;
+    }
+
+    private boolean isActive() {
+        return standing.get() == ACTIVE;
     }
 
     @Override
-    public Attempt attempt(long nowMs, long timeoutMs) {
-        if (!live(nowMs)) {
+    public Attempt startAttempt(long nowMs, long timeoutMs) {
+        if (!isLive(nowMs)) {
             return null;
         }
-        boolean alone = timeoutMs > 0 && nowMs + timeoutMs < deadlineMs;
-        Child c = new Child(children.size() + 1, alone ? nowMs + timeoutMs : deadlineMs, alone);
-        children.add(c);
-        return c;
+        boolean ownTimeout = timeoutMs > 0 && nowMs + timeoutMs < deadlineMs;
+        long attemptDeadlineMs = ownTimeout ? nowMs + timeoutMs : deadlineMs;
+        ChildAttempt attempt = new ChildAttempt(attempts.size() + 1, attemptDeadlineMs, ownTimeout);
+        attempts.add(attempt);
+        return attempt;
     }
 
     @Override
@@ -111,42 +126,51 @@
     }
 
     @Override
-    public boolean responseCommitted() {
+    public boolean isResponseCommitted() {
         return committed;
     }
 
     @Override
     public boolean complete(long nowMs) {
-        return move(new Standing(State.COMPLETED, null), nowMs);
+        return end(new Standing(State.COMPLETED, null), nowMs);
     }
 
     @Override
-    public boolean cancel(Cause cause, long nowMs) {
-        return move(new Standing(State.CANCELED, cause), nowMs);
+    public boolean cancel(CancelCause cause, long nowMs) {
+        return end(new Standing(State.CANCELED, cause), nowMs);
     }
 
-    private boolean move(Standing to, long nowMs) {
-        if (!standing.compareAndSet(ACTIVE, to)) {
+    private boolean end(Standing ended, long nowMs) {
+        if (!standing.compareAndSet(ACTIVE, ended)) {
             return false;
         }
-        List<Runnable> run;
+        takeCleanups().forEach(Runnable::run);
+        listener.onActionEnded(new TerminalEvent(
+                id,
+                ended.state(),
+                ended.cause(),
+                attempts.size(),
+                committed,
+                lastOutcome,
+                nowMs - openedMs,
+                deadlineMs - nowMs));
+        return true;
+    }
+
+    private List<Runnable> takeCleanups() {
         synchronized (cleanups) {
-            cleaned = true;
-            run = new ArrayList<>(cleanups);
+            cleanedUp = true;
+            List<Runnable> registered = new ArrayList<>(cleanups);
             cleanups.clear();
+            return registered;
         }
-        run.forEach(Runnable::run);
-        ear.ended(new Terminal(
-                id, to.state(), to.cause(), children.size(), committed, lastEnd, nowMs - sinceMs, deadlineMs - nowMs));
-        return true;
     }
 
     @Override
     public boolean mayHaveRun() {
-        synchronized (children) {
-            for (Child c : children) {
-                End e = c.end.get();
-                if (c.sent && (e == null || !e.notRun())) {
+        synchronized (attempts) {
+            for (ChildAttempt attempt : attempts) {
+                if (attempt.mayHaveRun()) {
                     return true;
                 }
             }
@@ -155,49 +179,48 @@
     }
 
     @Override
-    public int attempts() {
-        return children.size();
+    public int attemptCount() {
+        return attempts.size();
     }
 
     @Override
-    public Verdict ended(Attempt a, End end, Policy p, long nowMs) {
-        Child c = (Child) a;
-        boolean over = standing.get() != ACTIVE;
-        // an attempt that breaks because the parent ended is no failure of the engine
-        End real = over && end != End.ANSWERED ? End.PARENT_ENDED : end == End.BROKEN && !c.sent ? End.NOT_SENT : end;
-        if (!c.end.compareAndSet(null, real)) {
-            return Verdict.NOTHING;
+    public RetryDecision endAttempt(Attempt attempt, AttemptOutcome outcome, RetryPolicy policy, long nowMs) {
+        ChildAttempt child = (ChildAttempt) attempt;
+        boolean over = !isActive();
+        AttemptOutcome actual = actualOutcome(child, outcome, over);
+        if (!child.outcome.compareAndSet(null, actual)) {
+            return RetryDecision.NOTHING;
         }
-        lastEnd = real;
-        if (over || real == End.ANSWERED) {
-            return Verdict.NOTHING;
+        lastOutcome = actual;
+        if (over || actual == AttemptOutcome.ANSWERED) {
+            return RetryDecision.NOTHING;
         }
-        boolean time = nowMs < deadlineMs;
-        if (committed) {
-            return p.resumable() && time && sentCount() < p.maxAttempts() ? Verdict.RESUME : Verdict.BREAK_OFF;
-        }
-        boolean ran = mayHaveRun();
-        if (time && (!ran || p.repeatable()) && sentCount() < p.maxAttempts()) {
-            return Verdict.FALLBACK;
+        return RetryRule.decide(policy, committed, mayHaveRun(), sentCount(), nowMs < deadlineMs);
+    }
+
+    /** What ended the parent is no failure of the engine, and what was never sent cannot have run. */
+    private static AttemptOutcome actualOutcome(ChildAttempt attempt, AttemptOutcome outcome, boolean over) {
+        if (over && outcome != AttemptOutcome.ANSWERED) {
+            return AttemptOutcome.PARENT_ENDED;
         }
-        return ran ? Verdict.FAIL : Verdict.REFUSE;
+        return outcome == AttemptOutcome.BROKEN && !attempt.isSent() ? AttemptOutcome.NOT_SENT : outcome;
     }
 
-    /** Attempts that reached an engine; what was not sent does not count toward the mapping's limit. */
+    /** Attempts that reached an engine; what was not sent does not count toward the route's limit. */
     private int sentCount() {
-        int n = 0;
-        synchronized (children) {
-            for (Child c : children) {
-                n += c.sent ? 1 : 0;
+        int sent = 0;
+        synchronized (attempts) {
+            for (ChildAttempt attempt : attempts) {
+                sent += attempt.isSent() ? 1 : 0;
             }
         }
-        return n;
+        return sent;
     }
 
     @Override
     public void onEnd(Runnable cleanup) {
         synchronized (cleanups) {
-            if (!cleaned) {
+            if (!cleanedUp) {
                 cleanups.add(cleanup);
                 return;
             }
--- a/src/main/java/ringspindle/retry/Attempt.java
+++ b/src/main/java/ringspindle/retry/Attempt.java
@@ -1,22 +1,22 @@
 package ringspindle.retry;
 
-/** One try at one engine: a child scope of its action. */
+/** One try at one engine: a child scope of its action, which it cannot outlive. */
 public interface Attempt {
-    /** 1 for the first. */
+    /** 1 for the first of its action. */
     int number();
 
-    /** Never later than the action's. */
+    /** When it is over at the latest, in ms of the steady clock; never later than the action's deadline. */
     long deadlineMs();
 
-    /** True if its own time ends before the action's; {@code attempt.timesOutAlone()}. */
-    boolean timesOutAlone();
+    /** True if its own time ends before the action's. */
+    boolean hasOwnTimeout();
 
     /** How it ended, null while it runs. */
-    Action.End end();
+    AttemptOutcome outcome();
 
-    /** Notes that the request went out, so that from here on it may run. */
-    void sent();
+    /** Notes that the request goes out to the engine, so that from here on it may run. */
+    void markSent();
 
     /** True once the request went out to the engine. */
-    boolean wasSent();
+    boolean isSent();
 }
--- a/src/main/java/ringspindle/routing/RequestLedger.java
+++ b/src/main/java/ringspindle/routing/RequestLedger.java
@@ -9,7 +9,8 @@
 import java.util.TreeSet;
 import ringspindle.protocol.Message.LedgerReport;
 import ringspindle.protocol.Message.LedgerRow;
-import ringspindle.retry.Action;
+import ringspindle.retry.CancelCause;
+import ringspindle.retry.TerminalEvent;
 
 /**
  * A data node's own record of its actions, by revision of the rules and class: what was admitted, what is in progress, how
@@ -43,7 +44,7 @@
         final String cls;
         long admitted;
         long inProgress;
-        final long[] ended = new long[1 + Action.Cause.values().length];
+        final long[] ended = new long[1 + CancelCause.values().length];
         long sent;
         long notRun;
         long mayHaveRun;
@@ -91,7 +92,7 @@
     }
 
     /** The action's one terminal event. */
-    public synchronized void ended(Action.Terminal t) {
+    public synchronized void ended(TerminalEvent t) {
         Open o = open.remove(t.actionId());
         if (o == null) {
             endedTwice++;
--- a/src/test/java/ringspindle/loadbalancing/LoadBalancerTest.java
+++ b/src/test/java/ringspindle/loadbalancing/LoadBalancerTest.java
@@ -30,7 +30,7 @@
 import ringspindle.protocol.Message.Lease;
 import ringspindle.protocol.Message.Load;
 import ringspindle.protocol.Message.RegionLoad;
-import ringspindle.retry.Action.End;
+import ringspindle.retry.AttemptOutcome;
 import ringspindle.routing.FallbackTarget;
 import ringspindle.telemetry.AttemptCounts;
 import ringspindle.telemetry.LoadSummary;
@@ -125,7 +125,7 @@
         for (int i = 0; i < 50; i++) {
             assertEquals("i-a", id(p.choose(any(), 100 + i)));
             p.sent("i-a", 100 + i);
-            p.ended("i-a", any(), End.PARENT_ENDED, -1, 101 + i);
+            p.ended("i-a", any(), AttemptOutcome.PARENT_ENDED, -1, 101 + i);
         }
         assertEquals(List.of(), p.probes(500));
     }
@@ -242,7 +242,7 @@
             for (LoadBalancer p : all) {
                 if (p.choose(any(), nowMs) instanceof Chosen) {
                     sent.add(nowMs);
-                    p.ended("i-a", any(), End.ANSWERED, 10, nowMs);
+                    p.ended("i-a", any(), AttemptOutcome.ANSWERED, 10, nowMs);
                 }
             }
         }
@@ -284,7 +284,7 @@
             Ask a = new Ask("s", Set.of(), 0, 0, 100, 50, Set.of(), -1, luck.nextLong());
             String id = id(p.choose(a, nowMs));
             out.merge(id, 1, Integer::sum);
-            p.ended(id, a, End.PARENT_ENDED, -1, nowMs);
+            p.ended(id, a, AttemptOutcome.PARENT_ENDED, -1, nowMs);
         }
         return out;
     }
@@ -377,13 +377,13 @@
         p.engine("i-a", engine("a1", 1, 0, false), 1, 0);
         for (int i = 0; i < 6; i++) {
             p.choose(any(), 100 + i);
-            p.ended("i-a", any(), End.BROKEN, LoadBalancer.STALE_MS, 101 + i);
+            p.ended("i-a", any(), AttemptOutcome.BROKEN, LoadBalancer.STALE_MS, 101 + i);
         }
         assertEquals(List.of(), p.probes(200));
         assertEquals(0, p.report(200).all(LoadSummary.key("i-a")).failed());
         for (int i = 0; i < 6; i++) {
             p.choose(any(), 300 + i);
-            p.ended("i-a", any(), End.BROKEN, -1, 301 + i);
+            p.ended("i-a", any(), AttemptOutcome.BROKEN, -1, 301 + i);
         }
         assertEquals(6, p.report(400).all(LoadSummary.key("i-a")).failed());
         assertEquals(1, p.probes(400).size());
@@ -396,12 +396,12 @@
         Ask digest = new Ask("s", Set.of(), 4712, 13_000, 3000, 100, Set.of(), -1, 1);
         p.choose(digest, 100);
         p.choose(any(), 100);
-        p.ended("i-a", any(), End.ANSWERED, 120, 200);
+        p.ended("i-a", any(), AttemptOutcome.ANSWERED, 120, 200);
         LoadSummary s = p.report(300);
         assertEquals(1, s.of(LoadSummary.key("i-a"), RequestKind.LONG).running());
         assertEquals(1, s.of(LoadSummary.key("i-a"), RequestKind.SHORT).answered());
         assertEquals(1, s.of(LoadSummary.key("i-a"), RequestKind.SHORT).firsts()[1]);
-        p.ended("i-a", digest, End.PARENT_ENDED, -1, 400);
+        p.ended("i-a", digest, AttemptOutcome.PARENT_ENDED, -1, 400);
         AttemptCounts later = p.report(2500).all(LoadSummary.key("i-a"));
         assertTrue(later.empty(), "clients' cancels stay out, what is old goes: " + later);
     }
@@ -422,7 +422,7 @@
                 for (LoadBalancer p : all) {
                     if (p.choose(any(), nowMs) instanceof Chosen) {
                         sent.add(nowMs);
-                        p.ended("i-a", any(), End.ANSWERED, 10, nowMs);
+                        p.ended("i-a", any(), AttemptOutcome.ANSWERED, 10, nowMs);
                     }
                 }
             }
@@ -498,7 +498,7 @@
                 case "cold" -> p.engine(holder, engine(here ? "a1" : "b1", 9, 9000, false), 2, 5);
                 default -> {
                     p.choose(steered(new Steer(0, 1.5, List.of(), List.of(), 0), 4711), 5);
-                    p.ended(holder, any(), End.NOT_SENT, -1, 6);
+                    p.ended(holder, any(), AttemptOutcome.NOT_SENT, -1, 6);
                 }
             }
             Steer steer = new Steer(
--- a/src/test/java/ringspindle/proxy/ProxyHandlerTest.java
+++ b/src/test/java/ringspindle/proxy/ProxyHandlerTest.java
@@ -92,7 +92,7 @@
         s.close();
         assertEquals("closed", e.closed.poll(10, TimeUnit.SECONDS), "the engine's wire stays open");
         assertTrue(all(send("/card/x", "t2", "Connection: close\r\n", "")).startsWith("HTTP/1.1 200"));
-        assertEquals(1L, front.ends().get("CANCELED CONSUMER_GONE"));
+        assertEquals(1L, front.ends().get("CANCELED CLIENT_GONE"));
     }
 
     @Test
--- a/src/test/java/ringspindle/replication/RolloutSimulation.java
+++ b/src/test/java/ringspindle/replication/RolloutSimulation.java
@@ -28,11 +28,11 @@
 import ringspindle.protocol.Message.Mark;
 import ringspindle.protocol.Message.State;
 import ringspindle.retry.Action;
-import ringspindle.retry.Action.Cause;
-import ringspindle.retry.Action.End;
-import ringspindle.retry.Action.Policy;
-import ringspindle.retry.Action.Verdict;
 import ringspindle.retry.Attempt;
+import ringspindle.retry.AttemptOutcome;
+import ringspindle.retry.CancelCause;
+import ringspindle.retry.RetryDecision;
+import ringspindle.retry.RetryPolicy;
 
 /**
  * A simulated fleet during a roll-out, over the real orders, plan, picker and actions: engines swap when it is their
@@ -308,7 +308,7 @@
         s.running.clear();
         runs.forEach(r -> {
             r.asked.engineCrashed = true;
-            ended(r, End.BROKEN);
+            ended(r, AttemptOutcome.BROKEN);
         });
         in(1500, () -> {
             engines.remove(s.id);
@@ -319,7 +319,7 @@
     }
 
     private void place(RequestAttributes a, Action action, LoadBalancer p, Set<String> tried) {
-        if (!action.live(nowMs)) {
+        if (!action.isLive(nowMs)) {
             close(a, action, false);
             return;
         }
@@ -329,7 +329,7 @@
         if (!(c instanceof Chosen chosen)) {
             if (a.pieces.isEmpty() && !action.mayHaveRun()) {
                 a.refused = true;
-                action.cancel(Cause.GIVEN_UP, nowMs);
+                action.cancel(CancelCause.GIVEN_UP, nowMs);
             } else {
                 close(a, action, false);
             }
@@ -340,23 +340,23 @@
         r.action = action;
         r.ask = ask;
         r.picker = p;
-        r.attempt = action.attempt(nowMs, 0);
+        r.attempt = action.startAttempt(nowMs, 0);
         r.stand = engines.get(chosen.id());
         tried.add(chosen.id());
         if (r.stand != null && cut(r.stand.region.equals(pickers.indexOf(p) % 2 == 0 ? "a" : "b"))) {
             // no wire comes up over the cut: nothing was sent
-            in(10, () -> ended(r, End.NOT_SENT));
+            in(10, () -> ended(r, AttemptOutcome.NOT_SENT));
             return;
         }
-        r.attempt.sent();
+        r.attempt.markSent();
         if (r.stand == null || r.stand.down) {
             Stand gone = r.stand;
-            in(10, () -> ended(r, gone == null ? End.MISDIRECTED : End.BROKEN));
+            in(10, () -> ended(r, gone == null ? AttemptOutcome.MISDIRECTED : AttemptOutcome.BROKEN));
             return;
         }
         if (weights >= 0 && r.stand.weights != weights) {
             // Expected-Revision: the engine answers 421 and does not run it
-            in(10, () -> ended(r, End.NOT_RUN));
+            in(10, () -> ended(r, AttemptOutcome.NOT_RUN));
             return;
         }
         if (!a.homes.isEmpty() && !a.homes.contains(r.stand.region)) {
@@ -383,11 +383,11 @@
                 if (r.asked.pieces.isEmpty() || r.pieces == 0) {
                     piece(r, s);
                 }
-                r.picker.ended(s.id, r.ask, End.ANSWERED, 10, nowMs);
-                r.action.ended(
+                r.picker.ended(s.id, r.ask, AttemptOutcome.ANSWERED, 10, nowMs);
+                r.action.endAttempt(
                         r.attempt,
-                        End.ANSWERED,
-                        new Policy(r.asked.resumable, r.asked.resumable, r.asked.resumable ? 2 : 1),
+                        AttemptOutcome.ANSWERED,
+                        new RetryPolicy(r.asked.resumable, r.asked.resumable, r.asked.resumable ? 2 : 1),
                         nowMs);
                 close(r.asked, r.action, true);
             }
@@ -411,26 +411,29 @@
         r.action.commitResponse();
     }
 
-    private void ended(Run r, End end) {
+    private void ended(Run r, AttemptOutcome end) {
         r.picker.ended(r.ask == null ? "" : r.stand == null ? "" : r.stand.id, r.ask, end, -1, nowMs);
-        Verdict v = r.action.ended(
-                r.attempt, end, new Policy(r.asked.resumable, r.asked.resumable, r.asked.resumable ? 2 : 1), nowMs);
+        RetryDecision v = r.action.endAttempt(
+                r.attempt,
+                end,
+                new RetryPolicy(r.asked.resumable, r.asked.resumable, r.asked.resumable ? 2 : 1),
+                nowMs);
         Set<String> tried = new HashSet<>(r.ask.tried());
         if (r.stand != null) {
             tried.add(r.stand.id);
         }
-        if ((v == Verdict.FALLBACK || v == Verdict.RESUME) && r.picker.takeRetry("s", nowMs)) {
+        if ((v == RetryDecision.FALLBACK || v == RetryDecision.RESUME) && r.picker.takeRetry("s", nowMs)) {
             place(r.asked, r.action, r.picker, tried);
-        } else if (v == Verdict.REFUSE || v == Verdict.FALLBACK && !r.action.mayHaveRun()) {
+        } else if (v == RetryDecision.REFUSE || v == RetryDecision.FALLBACK && !r.action.mayHaveRun()) {
             r.asked.refused = true;
-            r.action.cancel(Cause.GIVEN_UP, nowMs);
-        } else if (v != Verdict.NOTHING) {
+            r.action.cancel(CancelCause.GIVEN_UP, nowMs);
+        } else if (v != RetryDecision.NOTHING) {
             close(r.asked, r.action, false);
         }
     }
 
     private void close(RequestAttributes a, Action action, boolean whole) {
-        boolean won = whole ? action.complete(nowMs) : action.cancel(Cause.GIVEN_UP, nowMs);
+        boolean won = whole ? action.complete(nowMs) : action.cancel(CancelCause.GIVEN_UP, nowMs);
         if (won) {
             a.answers++;
             a.whole = whole;
--- a/src/test/java/ringspindle/retry/RaceSteps.java
+++ b/src/test/java/ringspindle/retry/RaceSteps.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,69 +18,64 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.atomic.AtomicInteger;
-import ringspindle.retry.Action.Cause;
-import ringspindle.retry.Action.End;
-import ringspindle.retry.Action.Policy;
 import ringspindle.retry.Action.State;
-import ringspindle.retry.Action.Terminal;
-import ringspindle.retry.Action.Verdict;
 
 /** Steps of the scenarios in which completion, cancellation and deadlines race. */
 public class RaceSteps {
-    private final List<Terminal> terminals = new ArrayList<>();
+    private final List<TerminalEvent> terminals = new ArrayList<>();
     private final AtomicInteger cleanups = new AtomicInteger();
     private final List<Attempt> attempts = new ArrayList<>();
-    private final List<End> against = new ArrayList<>();
+    private final List<AttemptOutcome> against = new ArrayList<>();
     private Action action;
-    private Policy policy;
-    private Verdict verdict;
+    private RetryPolicy policy;
+    private RetryDecision verdict;
     private long nowMs;
     private int races;
 
     @Given("a {word} action with {int} engine(s) at most and {int} ms")
     public void open(String kind, int most, int ms) {
-        policy = new Policy(!kind.equals("once-only"), kind.equals("resumable"), most);
+        policy = new RetryPolicy(!kind.equals("once-only"), kind.equals("resumable"), most);
         action = Action.open("a-1", 0, ms, terminals::add);
         action.onEnd(cleanups::incrementAndGet);
     }
 
     @When("it has come to {string}")
     public void come(String when) {
-        comeAfter(when, End.BROKEN);
+        comeAfter(when, AttemptOutcome.BROKEN);
     }
 
     @When("it has come to {string} after {word}")
     public void comeAfter(String when, String end) {
-        comeAfter(when, End.valueOf(end));
+        comeAfter(when, AttemptOutcome.valueOf(end));
     }
 
-    private void comeAfter(String when, End firstEnd) {
+    private void comeAfter(String when, AttemptOutcome firstEnd) {
         switch (when) {
             case "admission":
             case "queued":
-                assertTrue(action.live(nowMs));
+                assertTrue(action.isLive(nowMs));
                 break;
             case "connecting":
                 start();
                 break;
             case "waiting for a byte":
-                start().sent();
+                start().markSent();
                 break;
             case "mid-stream":
-                start().sent();
+                start().markSent();
                 action.commitResponse();
                 break;
             case "fallback reserved":
-                start().sent();
+                start().markSent();
                 end(firstEnd);
-                assertEquals(Verdict.FALLBACK, verdict);
+                assertEquals(RetryDecision.FALLBACK, verdict);
                 against.clear();
                 break;
             case "during fallback":
-                start().sent();
+                start().markSent();
                 end(firstEnd);
                 against.clear();
-                start().sent();
+                start().markSent();
                 break;
             default:
                 fail("no such boundary: " + when);
@@ -87,42 +83,43 @@
     }
 
     private Attempt start() {
-        Attempt a = action.attempt(nowMs, 3000);
+        Attempt a = action.startAttempt(nowMs, 3000);
         assertNotNull(a);
         attempts.add(a);
         return a;
     }
 
-    private void end(End e) {
+    private void end(AttemptOutcome e) {
         Attempt a = attempts.get(attempts.size() - 1);
-        verdict = action.ended(a, e, policy, nowMs);
-        if (a.end() != null && a.end().againstEngine()) {
-            against.add(a.end());
+        verdict = action.endAttempt(a, e, policy, nowMs);
+        if (a.outcome() != null && a.outcome().againstEngine()) {
+            assertNotEquals(State.CANCELED, action.state(), "what ended the action counts against an engine");
+            against.add(a.outcome());
         }
     }
 
     @When("the consumer goes")
     public void gone() {
-        action.cancel(Cause.CONSUMER_GONE, nowMs);
+        action.cancel(CancelCause.CLIENT_GONE, nowMs);
         // the wire to the engine breaks because of that, and twice at that
-        if (!attempts.isEmpty() && attempts.get(attempts.size() - 1).end() == null) {
-            end(End.BROKEN);
-            assertEquals(Verdict.NOTHING, verdict);
-            end(End.BROKEN);
-            assertEquals(Verdict.NOTHING, verdict);
+        if (!attempts.isEmpty() && attempts.get(attempts.size() - 1).outcome() == null) {
+            end(AttemptOutcome.BROKEN);
+            assertEquals(RetryDecision.NOTHING, verdict);
+            end(AttemptOutcome.BROKEN);
+            assertEquals(RetryDecision.NOTHING, verdict);
         }
-        assertFalse(action.cancel(Cause.CONSUMER_GONE, nowMs));
+        assertFalse(action.cancel(CancelCause.CLIENT_GONE, nowMs));
     }
 
     @When("the answer is whole")
     public void whole() {
-        end(End.ANSWERED);
+        end(AttemptOutcome.ANSWERED);
         assertTrue(action.complete(nowMs));
     }
 
     @When("the attempt ends with {word}")
     public void ends(String e) {
-        end(End.valueOf(e));
+        end(AttemptOutcome.valueOf(e));
     }
 
     @When("{int} ms pass")
@@ -132,14 +129,13 @@
 
     @Then("the verdict is {word}")
     public void verdict(String v) {
-        assertEquals(Verdict.valueOf(v), verdict);
+        assertEquals(RetryDecision.valueOf(v), verdict);
     }
 
     @Then("it is {word} by {word}")
     public void is(String state, String cause) {
         assertEquals(State.valueOf(state), action.state());
-        assertEquals(Cause.valueOf(cause), terminals.get(0).cause());
-        assertFalse(terminals.get(0).cause().againstEngine());
+        assertEquals(CancelCause.valueOf(cause), terminals.get(0).cause());
     }
 
     @Then("it is COMPLETED")
@@ -149,18 +145,18 @@
 
     @Then("{int} attempts were started")
     public void started(int n) {
-        assertEquals(n, action.attempts());
+        assertEquals(n, action.attemptCount());
     }
 
     @Then("no further attempt can start")
     public void none() {
-        assertFalse(action.live(nowMs));
-        assertNull(action.attempt(nowMs, 100));
+        assertFalse(action.isLive(nowMs));
+        assertNull(action.startAttempt(nowMs, 100));
     }
 
     @Then("the response is {}")
     public void committed(String how) {
-        assertEquals(how.equals("committed"), action.responseCommitted());
+        assertEquals(how.equals("committed"), action.isResponseCommitted());
     }
 
     @Then("nothing counts against an engine")
@@ -180,21 +176,21 @@
 
     @Then("the first attempt ended with {word}")
     public void first(String e) {
-        assertEquals(End.valueOf(e), attempts.get(0).end());
+        assertEquals(AttemptOutcome.valueOf(e), attempts.get(0).outcome());
     }
 
     @Then("an attempt of {int} ms ends at {int} ms with its parent")
     public void withParent(int ms, int at) {
-        Attempt a = action.attempt(0, ms);
+        Attempt a = action.startAttempt(0, ms);
         assertEquals(at, a.deadlineMs());
-        assertFalse(a.timesOutAlone());
+        assertFalse(a.hasOwnTimeout());
     }
 
     @Then("an attempt of {int} ms ends at {int} ms alone")
     public void alone(int ms, int at) {
-        Attempt a = action.attempt(0, ms);
+        Attempt a = action.startAttempt(0, ms);
         assertEquals(at, a.deadlineMs());
-        assertTrue(a.timesOutAlone());
+        assertTrue(a.hasOwnTimeout());
     }
 
     @When("completion and cancellation race {int} times")
@@ -212,7 +208,7 @@
             });
             Future<Boolean> gone = two.submit(() -> {
                 both.await();
-                return a.cancel(Cause.CONSUMER_GONE, 1);
+                return a.cancel(CancelCause.CLIENT_GONE, 1);
             });
             assertTrue(done.get() ^ gone.get());
             assertEquals(1, events.get());
--- a/src/test/java/ringspindle/routing/RequestLedgerTest.java
+++ b/src/test/java/ringspindle/routing/RequestLedgerTest.java
@@ -9,22 +9,16 @@
 import org.junit.jupiter.api.Test;
 import ringspindle.protocol.Message.LedgerReport;
 import ringspindle.protocol.Message.LedgerRow;
-import ringspindle.retry.Action.Cause;
-import ringspindle.retry.Action.Terminal;
+import ringspindle.retry.Action;
+import ringspindle.retry.CancelCause;
+import ringspindle.retry.TerminalEvent;
 import ringspindle.routing.RequestLedger.Broken;
 
 /** The laws hold on sound histories, and each broken one shows. */
 class RequestLedgerTest {
-    private static Terminal end(String id, Cause cause) {
-        return new Terminal(
-                id,
-                cause == null ? ringspindle.retry.Action.State.COMPLETED : ringspindle.retry.Action.State.CANCELED,
-                cause,
-                1,
-                false,
-                null,
-                5,
-                5);
+    private static TerminalEvent end(String id, CancelCause cause) {
+        return new TerminalEvent(
+                id, cause == null ? Action.State.COMPLETED : Action.State.CANCELED, cause, 1, false, null, 5, 5);
     }
 
     private static LedgerRow row(RequestLedger l) {
@@ -46,7 +40,7 @@
             }
             open.add(id);
             if (luck.nextInt(3) > 0) {
-                Cause[] all = Cause.values();
+                CancelCause[] all = CancelCause.values();
                 int c = luck.nextInt(all.length + 1);
                 l.ended(end(open.remove(luck.nextInt(open.size())), c == all.length ? null : all[c]));
             }
@@ -81,7 +75,7 @@
         RequestLedger l = new RequestLedger();
         l.admitted("a", 3, "c", false);
         l.ended(end("a", null));
-        l.ended(end("a", Cause.GIVEN_UP));
+        l.ended(end("a", CancelCause.GIVEN_UP));
         assertEquals(Set.of(Broken.ENDED_TWICE), RequestLedger.broken(l.report(1, 1, 3, 9)));
         RequestLedger never = new RequestLedger();
         never.ended(end("b", null));
--- a/src/test/java/ringspindle/scale/HollowFleet.java
+++ b/src/test/java/ringspindle/scale/HollowFleet.java
@@ -18,7 +18,7 @@
 import ringspindle.loadbalancing.LoadBalancer;
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.NodeId;
-import ringspindle.retry.Action.End;
+import ringspindle.retry.AttemptOutcome;
 
 /** A fleet of hollow nodes in one process and virtual time, from one seed. */
 final class HollowFleet {
@@ -235,7 +235,7 @@
         net.charge(id, () -> {
             if (d.picker().choose(ask, net.nowMs()) instanceof LoadBalancer.Chosen c) {
                 d.picker().sent(c.id(), net.nowMs());
-                net.at(250, () -> d.picker().ended(c.id(), ask, End.ANSWERED, 90, net.nowMs()));
+                net.at(250, () -> d.picker().ended(c.id(), ask, AttemptOutcome.ANSWERED, 90, net.nowMs()));
             }
         });
         net.at(1000.0 / REQUESTS_PER_S, () -> request(d));
--- a/src/test/resources/features/races.feature
+++ b/src/test/resources/features/races.feature
@@ -6,7 +6,7 @@
     Given a <kind> action with 2 engines at most and 8000 ms
     When it has come to "<when>"
     And the consumer goes
-    Then it is CANCELED by CONSUMER_GONE
+    Then it is CANCELED by CLIENT_GONE
     And <attempts> attempts were started
     And no further attempt can start
     And the response is <committed>
@@ -75,5 +75,5 @@
     Given a repeatable action with 2 engines at most and 8000 ms
     When it has come to "during fallback" after ATTEMPT_TIMEOUT
     And the consumer goes
-    Then it is CANCELED by CONSUMER_GONE
+    Then it is CANCELED by CLIENT_GONE
     And the first attempt ended with ATTEMPT_TIMEOUT
