--- a/src/main/java/ringspindle/config/Settings.java
+++ b/src/main/java/ringspindle/config/Settings.java
@@ -34,7 +34,7 @@
         return now;
     }
 
-    /** Who wants to hear of changes; {@code settings.listen(picker::settings)}. */
+    /** Who wants to hear of changes; {@code settings.listen(loadBalancer::updateSettings)}. */
     public void listen(Listener l) {
         listeners.add(l);
     }
--- a/src/main/java/ringspindle/dataplane/DataNode.java
+++ b/src/main/java/ringspindle/dataplane/DataNode.java
@@ -150,7 +150,7 @@
                     front.confirm();
                 }
             } else if (m instanceof Load l) {
-                picker.load(l, nowMs);
+                picker.updateRegionLoad(l, nowMs);
             } else if (m instanceof Digest d) {
                 List<Fact> items = book.differing(d.ranges());
                 if (!items.isEmpty()) {
@@ -172,28 +172,28 @@
         // what forbids comes before what allows
         for (Fact i : fresh) {
             if (i.kind() == FactStore.LEAVING) {
-                picker.leaving(i.key(), new String(i.value(), UTF_8).equals("gone"), nowMs);
+                picker.markDraining(i.key(), new String(i.value(), UTF_8).equals("gone"), nowMs);
             } else if (i.kind() == FactStore.EVACUATED) {
-                picker.evacuated(i.key(), new String(i.value(), UTF_8).equals("on"), nowMs);
+                picker.setZoneEvacuated(i.key(), new String(i.value(), UTF_8).equals("on"), nowMs);
             } else if (i.kind() == FactStore.ROLLOUT) {
                 Rollout r = Rollout.read(new String(i.value(), UTF_8));
-                picker.turn(r.service(), new HashSet<>(r.turn()), nowMs);
+                picker.setRolloutTurn(r.service(), new HashSet<>(r.turn()), nowMs);
             } else if (i.kind() == FactStore.LEASE) {
-                picker.lease((Lease) Codec.decode(i.value()), nowMs);
+                picker.updateLease((Lease) Codec.decode(i.value()), nowMs);
             }
         }
         for (Fact i : fresh) {
             if (i.kind() == FactStore.CONFIG) {
                 Validated<FleetConfig> c = FleetConfig.read(FleetConfig.unpack(i.value()));
                 if (c instanceof Validated.Valid<FleetConfig> good) {
-                    picker.config(good.value());
+                    picker.updateConfiguration(good.value());
                     front.config(good.value());
                     LOG.atInfo().log("configuration %s in force", good.value().revision());
                 } else {
                     LOG.atSevere().log("configuration %s cannot be read here", i.version());
                 }
             } else if (i.kind() == FactStore.ENGINE) {
-                picker.engine(i.key(), (Engine) Codec.decode(i.value()), i.version(), nowMs);
+                picker.updateEngine(i.key(), (Engine) Codec.decode(i.value()), i.version(), nowMs);
             } else if (i.kind() == FactStore.RULES) {
                 if (ServingRules.read(i.value()) instanceof Validated.Valid<ServingRules> good) {
                     front.rules(good.value());
@@ -202,7 +202,7 @@
                     LOG.atSevere().log("serving rules of seq %s cannot be read here", i.version());
                 }
             } else if (i.kind() == FactStore.SILENT) {
-                picker.silent(i.key(), i.value()[0] == 1, nowMs);
+                picker.setHeartbeatMissing(i.key(), i.value()[0] == 1, nowMs);
             }
         }
     }
@@ -269,7 +269,7 @@
                 }
                 mesh.send(best, l);
             }
-            LoadSummary seen = picker.report(nowMs);
+            LoadSummary seen = picker.summarizeLoad(nowMs);
             if (best != null && (!seen.equals(LoadSummary.NONE) || nowMs - reportedMs > 1400)) {
                 reportedMs = nowMs;
                 mesh.send(best, seen.report(life, ++reportSeq));
--- a/src/main/java/ringspindle/dataplane/DataPlane.java
+++ b/src/main/java/ringspindle/dataplane/DataPlane.java
@@ -27,7 +27,7 @@
         LoadBalancer picker = LoadBalancer.create(config);
         ProxyHandler front = new ProxyHandler(config, picker, pool, beats, means.clock());
         DataNode data = new DataNode(config, front, picker, means);
-        settings.listen(picker::settings);
+        settings.listen(picker::updateSettings);
         settings.listen(data::settings);
         data.start();
         PeriodicTask.start(data::tick, beats, DataNode.TICK_MS);
--- a/src/main/java/ringspindle/loadbalancing/EngineTableLoadBalancer.java
+++ b/src/main/java/ringspindle/loadbalancing/EngineTableLoadBalancer.java
@@ -163,17 +163,17 @@
     }
 
     @Override
-    public synchronized void config(FleetConfig c) {
+    public synchronized void updateConfiguration(FleetConfig c) {
         config = c;
     }
 
     @Override
-    public synchronized void settings(NodeConfig c) {
+    public synchronized void updateSettings(NodeConfig c) {
         node = c;
     }
 
     @Override
-    public synchronized void engine(String id, Engine e, long version, long nowMs) {
+    public synchronized void updateEngine(String id, Engine e, long version, long nowMs) {
         if (gone.contains(id)) {
             return;
         }
@@ -215,7 +215,7 @@
     }
 
     @Override
-    public synchronized void leaving(String id, boolean isGone, long nowMs) {
+    public synchronized void markDraining(String id, boolean isGone, long nowMs) {
         leavingIds.add(id);
         Row r = rows.get(id);
         if (r != null) {
@@ -235,7 +235,7 @@
     }
 
     @Override
-    public synchronized void evacuated(String zone, boolean on, long nowMs) {
+    public synchronized void setZoneEvacuated(String zone, boolean on, long nowMs) {
         if (on) {
             evacuated.add(zone);
         } else if (evacuated.remove(zone)) {
@@ -256,7 +256,7 @@
     }
 
     @Override
-    public synchronized void silent(String id, boolean on, long nowMs) {
+    public synchronized void setHeartbeatMissing(String id, boolean on, long nowMs) {
         if (on) {
             silentIds.add(id);
         } else {
@@ -270,14 +270,14 @@
     }
 
     @Override
-    public synchronized void lease(Lease l, long nowMs) {
+    public synchronized void updateLease(Lease l, long nowMs) {
         lease = l;
         leaseUntilMs = nowMs + l.ttlMs();
         mostNodes = Math.max(mostNodes, l.nodes());
     }
 
     @Override
-    public synchronized LoadSummary report(long nowMs) {
+    public synchronized LoadSummary summarizeLoad(long nowMs) {
         List<LoadSummary> seen = new ArrayList<>();
         for (Row r : rows.values()) {
             r.reportedRunning = r.running;
@@ -293,7 +293,7 @@
     }
 
     @Override
-    public synchronized void load(Load l, long nowMs) {
+    public synchronized void updateRegionLoad(Load l, long nowMs) {
         Map<String, int[]> all = new HashMap<>();
         for (EngineLoad e : l.engines()) {
             Row r = byKey.get(e.engine());
@@ -352,7 +352,7 @@
     }
 
     @Override
-    public synchronized void turn(String service, Set<String> ids, long nowMs) {
+    public synchronized void setRolloutTurn(String service, Set<String> ids, long nowMs) {
         Set<String> before = turns.getOrDefault(service, Set.of());
         FleetConfig.Service s = config == null ? null : config.service(service);
         for (String id : before) {
@@ -376,7 +376,7 @@
     }
 
     @Override
-    public synchronized Choice choose(Ask ask, long nowMs) {
+    public synchronized Selection select(SelectionRequest ask, long nowMs) {
         FleetConfig.Service service = config == null ? null : config.service(ask.service());
         Row best = null;
         double bestCost = Double.MAX_VALUE;
@@ -384,15 +384,15 @@
         boolean coldOnly = false;
         boolean anyFresh = false;
         List<Row> fit = new ArrayList<>(rows.size());
-        List<Row> permitted = ask.steer() == null ? null : new ArrayList<>();
+        List<Row> permitted = ask.preference() == null ? null : new ArrayList<>();
         Set<String> inTurn = turns.getOrDefault(ask.service(), Set.of());
         for (Row r : rows.values()) {
             if (!r.said.service().equals(ask.service())
-                    || !ask.homes().isEmpty() && !ask.homes().contains(r.region)
-                    || ask.tried().contains(r.id)) {
+                    || !ask.allowedRegions().isEmpty() && !ask.allowedRegions().contains(r.region)
+                    || ask.excludedEngineIds().contains(r.id)) {
                 continue;
             }
-            if (ask.weights() >= 0 && r.said.weights() >= 0 && r.said.weights() != ask.weights()) {
+            if (ask.weightsVersion() >= 0 && r.said.weights() >= 0 && r.said.weights() != ask.weightsVersion()) {
                 continue;
             }
             if (permitted != null) {
@@ -408,15 +408,15 @@
                 anyFresh |= !absent(r);
             }
         }
-        sparePoor(fit, ask.luck(), nowMs);
+        sparePoor(fit, ask.random(), nowMs);
         if (permitted != null) {
             Row steered = steered(ask, service, fit, permitted, anyFresh, nowMs);
             return steered == null
-                    ? new NoneNow(any ? Outcome.NO_ROOM : Outcome.NO_ENGINE, any ? 600 : 900)
+                    ? new NoCapacity(any ? Outcome.NO_ROOM : Outcome.NO_ENGINE, any ? 600 : 900)
                     : chosen(steered, ask, service, nowMs);
         }
         Row home = null;
-        if (ask.affinity() != 0) {
+        if (ask.affinityKey() != 0) {
             // the prompt's head lives where the rendezvous hash says, unless that engine has far more than its share
             double mean = 0;
             for (Row r : fit) {
@@ -424,9 +424,10 @@
             }
             mean = fit.isEmpty() ? 0 : mean / fit.size();
             List<Row> ranked = new ArrayList<>(fit);
-            ranked.sort(Comparator.comparingLong((Row r) -> RendezvousHash.rank(r.hash, ask.affinity())));
+            ranked.sort(Comparator.comparingLong((Row r) -> RendezvousHash.rank(r.hash, ask.affinityKey())));
             for (Row r : ranked) {
-                if (r.tokensNow(nowMs) + ask.tokens() <= 1.5 * mean + UNEVEN_TOKENS && !(absent(r) && anyFresh)) {
+                if (r.tokensNow(nowMs) + ask.uncachedTokens() <= 1.5 * mean + UNEVEN_TOKENS
+                        && !(absent(r) && anyFresh)) {
                     home = r;
                     break;
                 }
@@ -447,24 +448,24 @@
             }
         }
         if (best == null) {
-            return new NoneNow(any ? Outcome.NO_ROOM : Outcome.NO_ENGINE, coldOnly ? 250 : any ? 600 : 900);
+            return new NoCapacity(any ? Outcome.NO_ROOM : Outcome.NO_ENGINE, coldOnly ? 250 : any ? 600 : 900);
         }
         return chosen(best, ask, service, nowMs);
     }
 
-    private double cost(Row r, Row home, Ask ask, long nowMs) {
-        double read = ask.tokens() + (r == home || home == null ? 0 : ask.sharedTokens());
+    private double cost(Row r, Row home, SelectionRequest ask, long nowMs) {
+        double read = ask.uncachedTokens() + (r == home || home == null ? 0 : ask.sharedPrefixTokens());
         int others = r.runningNow(nowMs) - r.running;
         double cost = way(r)
                 + read * tokenMs
                 + (r.running + OTHERS * others) * SLOT_MS
                 + (r.tokens + OTHERS * (r.tokensNow(nowMs) - r.tokens)) * tokenMs * 0.3
-                + (mix(ask.luck() ^ r.hash) >>> 54) * 0.002;
+                + (mix(ask.random() ^ r.hash) >>> 54) * 0.002;
         return r.coldUntilMs > nowMs ? cost + 30 : cost;
     }
 
     /** Counts the request as running there. */
-    private Chosen chosen(Row best, Ask ask, FleetConfig.Service service, long nowMs) {
+    private SelectedEngine chosen(Row best, SelectionRequest ask, FleetConfig.Service service, long nowMs) {
         if (best.coldUntilMs > nowMs) {
             best.coldTokens -= 1;
             long turn = service == null || service.warmupPerS() <= 0
@@ -478,7 +479,7 @@
         int wires = service == null
                 ? 16
                 : Math.max(1, (int) (service.maxConnections() * 0.9 / Math.max(MIN_NODES, mostNodes)));
-        return new Chosen(best.id, best.address, best.said.zone(), wires);
+        return new SelectedEngine(best.id, best.address, best.said.zone(), wires);
     }
 
     /**
@@ -486,23 +487,29 @@
      * engines that may be asked anyway are looked at.
      */
     private Row steered(
-            Ask ask, FleetConfig.Service service, List<Row> fit, List<Row> permitted, boolean anyFresh, long nowMs) {
-        Steer steer = ask.steer();
+            SelectionRequest ask,
+            FleetConfig.Service service,
+            List<Row> fit,
+            List<Row> permitted,
+            boolean anyFresh,
+            long nowMs) {
+        RoutingPreference steer = ask.preference();
         double mean = 0;
         for (Row r : fit) {
             mean += r.tokensNow(nowMs) / fit.size();
         }
         Row holder = null;
         List<Row> ranked = new ArrayList<>(permitted);
-        if (ask.affinity() != 0) {
-            ranked.sort(Comparator.comparingLong((Row r) -> RendezvousHash.rank(r.hash, ask.affinity())));
+        if (ask.affinityKey() != 0) {
+            ranked.sort(Comparator.comparingLong((Row r) -> RendezvousHash.rank(r.hash, ask.affinityKey())));
             holder = ranked.isEmpty() ? null : ranked.get(0);
         }
         List<Row> open = new ArrayList<>(fit.size());
         for (Row r : fit) {
             boolean cold = r.coldUntilMs > nowMs;
-            int places =
-                    steer.kept() <= 0 ? Integer.MAX_VALUE : Math.max(1, (int) (r.said.capacity() * (1 - steer.kept())));
+            int places = steer.reservedShare() <= 0
+                    ? Integer.MAX_VALUE
+                    : Math.max(1, (int) (r.said.capacity() * (1 - steer.reservedShare())));
             if (!(anyFresh && absent(r)) && !(cold && !coldRoom(r, service, nowMs)) && r.runningNow(nowMs) < places) {
                 open.add(r);
             }
@@ -511,10 +518,10 @@
                 holder != null && fit.contains(holder) && !(anyFresh && absent(holder)) && holder.coldUntilMs <= nowMs;
         if (there
                 && open.contains(holder)
-                && holder.tokensNow(nowMs) + ask.tokens() <= steer.uneven() * mean + UNEVEN_TOKENS) {
+                && holder.tokensNow(nowMs) + ask.uncachedTokens() <= steer.maxImbalance() * mean + UNEVEN_TOKENS) {
             return holder;
         }
-        List<FallbackTarget> steps = there ? steer.busy() : steer.gone();
+        List<FallbackTarget> steps = there ? steer.whenBusy() : steer.whenUnavailable();
         if (holder == null || steps.isEmpty()) {
             return cheapest(open, holder, ask, nowMs);
         }
@@ -558,7 +565,7 @@
         return out;
     }
 
-    private Row cheapest(List<Row> of, Row holder, Ask ask, long nowMs) {
+    private Row cheapest(List<Row> of, Row holder, SelectionRequest ask, long nowMs) {
         Row best = null;
         double bestCost = Double.MAX_VALUE;
         for (Row r : of) {
@@ -582,12 +589,12 @@
         }
     }
 
-    private static double weight(Ask ask) {
-        return ask.tokens() + ask.outTokens();
+    private static double weight(SelectionRequest ask) {
+        return ask.uncachedTokens() + ask.outputTokens();
     }
 
-    private static RequestKind kind(Ask ask) {
-        return RequestKind.of(ask.tokens() + ask.sharedTokens(), ask.sharedTokens());
+    private static RequestKind kind(SelectionRequest ask) {
+        return RequestKind.of(ask.uncachedTokens() + ask.sharedPrefixTokens(), ask.sharedPrefixTokens());
     }
 
     private static boolean absent(Row r) {
@@ -651,7 +658,7 @@
     }
 
     @Override
-    public synchronized void sent(String id, long nowMs) {
+    public synchronized void onRequestSent(String id, long nowMs) {
         Row r = rows.get(id);
         if (r != null && r.waitingSinceMs < 0) {
             r.waitingSinceMs = nowMs;
@@ -659,7 +666,7 @@
     }
 
     @Override
-    public synchronized void heard(String id, long nowMs) {
+    public synchronized void onResponseBytes(String id, long nowMs) {
         Row r = rows.get(id);
         if (r != null) {
             r.waitingSinceMs = nowMs;
@@ -669,7 +676,8 @@
     }
 
     @Override
-    public synchronized void ended(String id, Ask ask, AttemptOutcome end, long firstMs, long nowMs) {
+    public synchronized void onAttemptEnded(
+            String id, SelectionRequest ask, AttemptOutcome end, long firstMs, long nowMs) {
         Row r = rows.get(id);
         if (r == null) {
             return;
@@ -700,22 +708,22 @@
             }
         } else if (end == AttemptOutcome.ANSWERED) {
             r.failures = 0;
-            if (firstMs >= 0 && ask.tokens() > 4000) {
-                double seen = Math.max(0.002, Math.min(0.2, (firstMs - way(r)) / ask.tokens()));
+            if (firstMs >= 0 && ask.uncachedTokens() > 4000) {
+                double seen = Math.max(0.002, Math.min(0.2, (firstMs - way(r)) / ask.uncachedTokens()));
                 tokenMs += (seen - tokenMs) * 0.05;
             }
         }
     }
 
     @Override
-    public synchronized void asked(String service, long nowMs) {
+    public synchronized void onRequestReceived(String service, long nowMs) {
         Budget b = budgets.computeIfAbsent(service, k -> new Budget());
         b.move(nowMs);
         b.asked[(int) (b.second % Budget.SECONDS)]++;
     }
 
     @Override
-    public synchronized boolean takeRetry(String service, long nowMs) {
+    public synchronized boolean tryAcquireRetry(String service, long nowMs) {
         Budget b = budgets.computeIfAbsent(service, k -> new Budget());
         b.move(nowMs);
         int windowS = (int) Math.ceil(node.retryWindowS());
@@ -730,8 +738,8 @@
     }
 
     @Override
-    public synchronized List<Probe> probes(long nowMs) {
-        List<Probe> out = null;
+    public synchronized List<HealthProbe> dueHealthProbes(long nowMs) {
+        List<HealthProbe> out = null;
         for (Row r : rows.values()) {
             judge(r, nowMs);
             if (r.suspect && nowMs >= r.probeAtMs && !r.leaving) {
@@ -742,7 +750,7 @@
                 }
                 FleetConfig.Service s = config == null ? null : config.service(r.said.service());
                 out = out == null ? new ArrayList<>() : out;
-                out.add(new Probe(r.id, r.address, s == null ? "/health" : s.healthPath()));
+                out.add(new HealthProbe(r.id, r.address, s == null ? "/health" : s.healthPath()));
             }
         }
         rows.values().removeIf(r -> {
@@ -756,7 +764,7 @@
     }
 
     @Override
-    public synchronized void probed(String id, boolean well, int coldMs, long nowMs) {
+    public synchronized void onHealthProbeResult(String id, boolean well, int coldMs, long nowMs) {
         Row r = rows.get(id);
         if (r == null) {
             return;
@@ -772,7 +780,7 @@
     }
 
     @Override
-    public synchronized Set<String> known() {
+    public synchronized Set<String> knownEngineIds() {
         return new HashSet<>(rows.keySet());
     }
 }
--- a/src/main/java/ringspindle/proxy/ProxiedRequest.java
+++ b/src/main/java/ringspindle/proxy/ProxiedRequest.java
@@ -51,8 +51,8 @@
     /** One attempt's things. */
     private final class Try implements org.eclipse.jetty.client.Response.Listener, Runnable {
         final Attempt attempt;
-        final LoadBalancer.Ask ask;
-        final LoadBalancer.Chosen chosen;
+        final LoadBalancer.SelectionRequest ask;
+        final LoadBalancer.SelectedEngine chosen;
         final boolean resume;
         EngineConnectionPool.Wire wire;
         org.eclipse.jetty.client.Request request;
@@ -74,7 +74,7 @@
 
         Result deferred;
 
-        Try(Attempt attempt, LoadBalancer.Ask ask, LoadBalancer.Chosen chosen, boolean resume) {
+        Try(Attempt attempt, LoadBalancer.SelectionRequest ask, LoadBalancer.SelectedEngine chosen, boolean resume) {
             this.attempt = attempt;
             this.ask = ask;
             this.chosen = chosen;
@@ -223,7 +223,7 @@
     }
 
     /** What the rule says of the choice; null where it says nothing, so that all is as without rules. */
-    private LoadBalancer.Steer steer(long nowMs) {
+    private LoadBalancer.RoutingPreference steer(long nowMs) {
         if (rule == null) {
             return null;
         }
@@ -234,7 +234,7 @@
                 && rule.gone().isEmpty()) {
             return null;
         }
-        return new LoadBalancer.Steer(
+        return new LoadBalancer.RoutingPreference(
                 kept,
                 rule.affinity() == null ? 1.5 : rule.affinity().uneven(),
                 rule.busy(),
@@ -269,7 +269,7 @@
             }
             return;
         }
-        LoadBalancer.Ask ask = new LoadBalancer.Ask(
+        LoadBalancer.SelectionRequest ask = new LoadBalancer.SelectionRequest(
                 service,
                 mapping.homes(),
                 affinity,
@@ -280,18 +280,18 @@
                 resuming ? weights : -1,
                 front.luck(),
                 steer(nowMs));
-        LoadBalancer.Choice c = front.picker().choose(ask, nowMs);
-        if (c instanceof LoadBalancer.NoneNow none) {
-            comeBackMs = none.comeBackMs();
+        LoadBalancer.Selection c = front.picker().select(ask, nowMs);
+        if (c instanceof LoadBalancer.NoCapacity none) {
+            comeBackMs = none.retryAfterMs();
             await(nowMs);
             return;
         }
         waitUntilMs = -1;
         waitSinceMs = -1;
-        LoadBalancer.Chosen chosen = (LoadBalancer.Chosen) c;
+        LoadBalancer.SelectedEngine chosen = (LoadBalancer.SelectedEngine) c;
         Attempt a = action.startAttempt(nowMs, timeoutMs(ask));
         if (a == null) {
-            front.picker().ended(chosen.id(), ask, AttemptOutcome.PARENT_ENDED, -1, nowMs);
+            front.picker().onAttemptEnded(chosen.id(), ask, AttemptOutcome.PARENT_ENDED, -1, nowMs);
             return;
         }
         Try t = new Try(a, ask, chosen, resuming);
@@ -302,7 +302,7 @@
                 .take(
                         chosen.id(),
                         chosen.address(),
-                        chosen.maxWires(),
+                        chosen.maxConnections(),
                         policy.repeatable(),
                         new EngineConnectionPool.Ready() {
                             @Override
@@ -342,12 +342,12 @@
         }
     }
 
-    private long timeoutMs(LoadBalancer.Ask ask) {
+    private long timeoutMs(LoadBalancer.SelectionRequest ask) {
         if (!mapping.repeatable() || action.attemptCount() + 1 >= policy.maxAttempts()) {
             return 0;
         }
         if (mapping.kind() == FleetConfig.Kind.STREAMING) {
-            return Math.max(1500, 2L * mapping.aimMs()) + (long) (ask.tokens() + ask.sharedTokens()) / 15;
+            return Math.max(1500, 2L * mapping.aimMs()) + (long) (ask.uncachedTokens() + ask.sharedPrefixTokens()) / 15;
         }
         return Math.max(250, mapping.aimMs() * 3L / 2);
     }
@@ -381,7 +381,7 @@
             sends++;
             t.sentMs = nowMs;
             t.heardMs = nowMs;
-            front.picker().sent(t.chosen.id(), nowMs);
+            front.picker().onRequestSent(t.chosen.id(), nowMs);
         }
         w.connection.send(r, t);
     }
@@ -468,7 +468,7 @@
             end(t, AttemptOutcome.BROKEN);
             return;
         }
-        front.picker().heard(t.chosen.id(), nowMs);
+        front.picker().onResponseBytes(t.chosen.id(), nowMs);
         if (status == 421) {
             String who = h.get("Instance-Id");
             t.headEnd = who != null && !who.equals(t.chosen.id()) ? AttemptOutcome.MISDIRECTED : AttemptOutcome.NOT_RUN;
@@ -503,7 +503,7 @@
             }
             long nowMs = front.nowMs();
             t.heardMs = nowMs;
-            front.picker().heard(t.chosen.id(), nowMs);
+            front.picker().onResponseBytes(t.chosen.id(), nowMs);
             if (t.firstMs < 0 && b.hasRemaining()) {
                 t.firstMs = nowMs - t.sentMs;
             }
@@ -720,7 +720,7 @@
         if (t.sentMs >= 0 && real != null && real.notRun()) {
             front.ledger().notRun(action.id());
         }
-        front.picker().ended(t.chosen.id(), t.ask, real == null ? end : real, t.firstMs, nowMs);
+        front.picker().onAttemptEnded(t.chosen.id(), t.ask, real == null ? end : real, t.firstMs, nowMs);
         if (t.wire != null) {
             EngineConnectionPool.Wire w = t.wire;
             t.wire = null;
@@ -748,14 +748,14 @@
     private void follow(RetryDecision v, long nowMs) {
         switch (v) {
             case FALLBACK:
-                if (sends > 0 && !front.picker().takeRetry(service, nowMs)) {
+                if (sends > 0 && !front.picker().tryAcquireRetry(service, nowMs)) {
                     giveUp(nowMs, Outcome.NO_ROOM);
                 } else {
                     place();
                 }
                 break;
             case RESUME:
-                if (lastId < 0 || !front.picker().takeRetry(service, nowMs)) {
+                if (lastId < 0 || !front.picker().tryAcquireRetry(service, nowMs)) {
                     breakOff(nowMs);
                 } else {
                     resuming = true;
--- a/src/main/java/ringspindle/proxy/ProxyHandler.java
+++ b/src/main/java/ringspindle/proxy/ProxyHandler.java
@@ -179,13 +179,13 @@
     /** Closes idle wires; {@code front.tidy()} now and then. */
     @Override
     public void tidy() {
-        wires.tidy(picker.known());
+        wires.tidy(picker.knownEngineIds());
     }
 
     /** Asks suspect engines for their status; {@code front.probe()} on every beat. */
     @Override
     public void probe() {
-        for (LoadBalancer.Probe p : picker.probes(clock.nowMs())) {
+        for (LoadBalancer.HealthProbe p : picker.dueHealthProbes(clock.nowMs())) {
             wires.client()
                     .newRequest(p.address().ip(), p.address().port())
                     .path(p.healthPath())
@@ -200,7 +200,7 @@
                             coldMs = (int) Double.parseDouble(
                                     r.getResponse().getHeaders().get("Warmup-Ms"));
                         }
-                        picker.probed(p.id(), well, coldMs, clock.nowMs());
+                        picker.onHealthProbeResult(p.id(), well, coldMs, clock.nowMs());
                     });
         }
     }
@@ -344,7 +344,7 @@
                             }
                             long nowMs = clock.nowMs();
                             String service = target(m, id);
-                            picker.asked(service, nowMs);
+                            picker.onRequestReceived(service, nowMs);
                             active.increment();
                             new ProxiedRequest(this, request, response, callback, m, service, id, body, sinceMs, heldMs)
                                     .begin();
--- a/src/test/java/ringspindle/dataplane/HollowDataNode.java
+++ b/src/test/java/ringspindle/dataplane/HollowDataNode.java
@@ -81,7 +81,7 @@
 
     @Override
     public void probe() {
-        picker.probes(0);
+        picker.dueHealthProbes(0);
     }
 
     @Override
--- a/src/test/java/ringspindle/loadbalancing/LoadBalancerTest.java
+++ b/src/test/java/ringspindle/loadbalancing/LoadBalancerTest.java
@@ -21,10 +21,10 @@
 import ringspindle.config.FleetConfig;
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Validated;
-import ringspindle.loadbalancing.LoadBalancer.Ask;
-import ringspindle.loadbalancing.LoadBalancer.Choice;
-import ringspindle.loadbalancing.LoadBalancer.Chosen;
-import ringspindle.loadbalancing.LoadBalancer.Steer;
+import ringspindle.loadbalancing.LoadBalancer.RoutingPreference;
+import ringspindle.loadbalancing.LoadBalancer.SelectedEngine;
+import ringspindle.loadbalancing.LoadBalancer.Selection;
+import ringspindle.loadbalancing.LoadBalancer.SelectionRequest;
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.Message.EngineLoad;
 import ringspindle.protocol.Message.Lease;
@@ -75,7 +75,7 @@
         LoadBalancer out = LoadBalancer.create(((Validated.Valid<NodeConfig>) NodeConfig.check(p)).value());
         String json =
                 "{\"revision\":1,\"routes\":[],\"services\":[{\"name\":\"s\",\"maxConnections\":100,\"warmupS\":3,\"warmupPerS\":20}]}";
-        out.config(((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value());
+        out.updateConfiguration(((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value());
         return out;
     }
 
@@ -83,64 +83,64 @@
         return new Engine(64, coldMs, draining, -1, 1, "s", "10.1.0." + n + ":80", zone, "v");
     }
 
-    private static Ask ask(Set<String> homes, Set<String> tried, long weights) {
-        return new Ask("s", homes, 0, 0, 100, 50, tried, weights, 5);
+    private static SelectionRequest ask(Set<String> homes, Set<String> tried, long weights) {
+        return new SelectionRequest("s", homes, 0, 0, 100, 50, tried, weights, 5);
     }
 
-    private static Ask any() {
+    private static SelectionRequest any() {
         return ask(Set.of(), Set.of(), -1);
     }
 
-    private static String id(Choice c) {
-        return c instanceof Chosen x ? x.id() : "none";
+    private static String id(Selection c) {
+        return c instanceof SelectedEngine x ? x.id() : "none";
     }
 
     @Test
     void homesDrainsEvacuationsTurnsAndWeightsBind() {
         LoadBalancer p = picker("a1", "a");
-        p.lease(new Lease(1, 1, 100_000), 0);
-        p.engine("i-a", engine("a1", 1, 0, false), 1, 0);
-        p.engine("i-b", engine("b1", 2, 0, false), 1, 0);
-        assertEquals("i-a", id(p.choose(any(), 10)));
-        assertEquals("i-b", id(p.choose(ask(Set.of("b"), Set.of(), -1), 10)));
-        assertEquals("i-b", id(p.choose(ask(Set.of(), Set.of("i-a"), -1), 10)));
-        assertEquals("none", id(p.choose(ask(Set.of(), Set.of(), 2), 10)));
-        p.turn("s", Set.of("i-a"), 20);
-        assertEquals("i-b", id(p.choose(any(), 30)));
-        p.evacuated("b1", true, 40);
-        assertEquals("none", id(p.choose(any(), 50)));
-        p.turn("s", Set.of(), 60);
-        assertEquals("i-a", id(p.choose(any(), 2000)));
-        p.engine("i-a", engine("a1", 1, 0, true), 2, 2100);
-        assertEquals("none", id(p.choose(any(), 2200)));
-        p.evacuated("b1", false, 2300);
-        p.leaving("i-b", false, 2400);
-        assertEquals("none", id(p.choose(any(), 9000)));
+        p.updateLease(new Lease(1, 1, 100_000), 0);
+        p.updateEngine("i-a", engine("a1", 1, 0, false), 1, 0);
+        p.updateEngine("i-b", engine("b1", 2, 0, false), 1, 0);
+        assertEquals("i-a", id(p.select(any(), 10)));
+        assertEquals("i-b", id(p.select(ask(Set.of("b"), Set.of(), -1), 10)));
+        assertEquals("i-b", id(p.select(ask(Set.of(), Set.of("i-a"), -1), 10)));
+        assertEquals("none", id(p.select(ask(Set.of(), Set.of(), 2), 10)));
+        p.setRolloutTurn("s", Set.of("i-a"), 20);
+        assertEquals("i-b", id(p.select(any(), 30)));
+        p.setZoneEvacuated("b1", true, 40);
+        assertEquals("none", id(p.select(any(), 50)));
+        p.setRolloutTurn("s", Set.of(), 60);
+        assertEquals("i-a", id(p.select(any(), 2000)));
+        p.updateEngine("i-a", engine("a1", 1, 0, true), 2, 2100);
+        assertEquals("none", id(p.select(any(), 2200)));
+        p.setZoneEvacuated("b1", false, 2300);
+        p.markDraining("i-b", false, 2400);
+        assertEquals("none", id(p.select(any(), 9000)));
     }
 
     @Test
     void consumerCancelsNeverMakeAnEngineSuspect() {
         LoadBalancer p = picker("a1", "a");
-        p.engine("i-a", engine("a1", 1, 0, false), 1, 0);
+        p.updateEngine("i-a", engine("a1", 1, 0, false), 1, 0);
         for (int i = 0; i < 50; i++) {
-            assertEquals("i-a", id(p.choose(any(), 100 + i)));
-            p.sent("i-a", 100 + i);
-            p.ended("i-a", any(), AttemptOutcome.PARENT_ENDED, -1, 101 + i);
+            assertEquals("i-a", id(p.select(any(), 100 + i)));
+            p.onRequestSent("i-a", 100 + i);
+            p.onAttemptEnded("i-a", any(), AttemptOutcome.PARENT_ENDED, -1, 101 + i);
         }
-        assertEquals(List.of(), p.probes(500));
+        assertEquals(List.of(), p.dueHealthProbes(500));
     }
 
     @Test
     void silenceMakesAnEngineSuspectUntilAProbeSaysOtherwise() {
         LoadBalancer p = picker("a1", "a");
-        p.engine("i-a", engine("a1", 1, 0, false), 1, 0);
-        p.choose(any(), 0);
-        p.sent("i-a", 0);
-        assertEquals(List.of(), p.probes(500));
-        assertEquals(1, p.probes(2500).size());
-        assertEquals("none", id(p.choose(any(), 2600)));
-        p.probed("i-a", true, 0, 2700);
-        assertEquals("i-a", id(p.choose(any(), 2800)));
+        p.updateEngine("i-a", engine("a1", 1, 0, false), 1, 0);
+        p.select(any(), 0);
+        p.onRequestSent("i-a", 0);
+        assertEquals(List.of(), p.dueHealthProbes(500));
+        assertEquals(1, p.dueHealthProbes(2500).size());
+        assertEquals("none", id(p.select(any(), 2600)));
+        p.onHealthProbeResult("i-a", true, 0, 2700);
+        assertEquals("i-a", id(p.select(any(), 2800)));
     }
 
     @Test
@@ -157,13 +157,13 @@
             for (long nowMs = 0; nowMs < 60_000; nowMs += 20) {
                 long at = nowMs;
                 if (nowMs % 1000 == 0) {
-                    all.forEach(x -> x.lease(new Lease(1, nodes, 3000), at));
+                    all.forEach(x -> x.updateLease(new Lease(1, nodes, 3000), at));
                 }
                 LoadBalancer p = all.get(luck.nextInt(nodes));
-                p.asked("s", nowMs);
+                p.onRequestReceived("s", nowMs);
                 asked.add(nowMs);
                 for (int i = 0; i < 2; i++) {
-                    if (p.takeRetry("s", nowMs)) {
+                    if (p.tryAcquireRetry("s", nowMs)) {
                         tries.add(nowMs);
                     }
                 }
@@ -195,13 +195,13 @@
                 // another holder waits until what the first granted has run out
                 boolean held = nowMs % 20_000 < 12_000 || nowMs % 20_000 > 15_500;
                 if (nowMs % 1000 == 0 && held) {
-                    all.forEach(x -> x.lease(new Lease(1 + at / 20_000, nodes, 3000), at));
+                    all.forEach(x -> x.updateLease(new Lease(1 + at / 20_000, nodes, 3000), at));
                 }
                 LoadBalancer p = all.get(luck.nextInt(nodes));
-                p.asked("s", nowMs);
+                p.onRequestReceived("s", nowMs);
                 asked.add(nowMs);
                 for (int i = 0; i < 3; i++) {
-                    if (p.takeRetry("s", nowMs)) {
+                    if (p.tryAcquireRetry("s", nowMs)) {
                         tries.add(nowMs);
                     }
                 }
@@ -219,11 +219,11 @@
     @Test
     void withoutALeaseOnlyWhatOwnRequestsEarn() {
         LoadBalancer p = picker("a1", "a");
-        p.lease(new Lease(1, 9, 3000), 0);
-        assertTrue(p.takeRetry("s", 100));
-        assertFalse(picker("a1", "a").takeRetry("s", 100));
+        p.updateLease(new Lease(1, 9, 3000), 0);
+        assertTrue(p.tryAcquireRetry("s", 100));
+        assertFalse(picker("a1", "a").tryAcquireRetry("s", 100));
         for (int i = 0; i < 100; i++) {
-            assertFalse(p.takeRetry("s", 20_000 + i), "a lease that ran out still grants");
+            assertFalse(p.tryAcquireRetry("s", 20_000 + i), "a lease that ran out still grants");
         }
     }
 
@@ -233,16 +233,16 @@
         List<LoadBalancer> all = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
             LoadBalancer p = picker("a1", "a");
-            p.lease(new Lease(1, nodes, 100_000), 0);
-            p.engine("i-a", engine("a1", 1, 20_000, false), 1, 0);
+            p.updateLease(new Lease(1, nodes, 100_000), 0);
+            p.updateEngine("i-a", engine("a1", 1, 20_000, false), 1, 0);
             all.add(p);
         }
         List<Long> sent = new ArrayList<>();
         for (long nowMs = 0; nowMs < 15_000; nowMs += 5) {
             for (LoadBalancer p : all) {
-                if (p.choose(any(), nowMs) instanceof Chosen) {
+                if (p.select(any(), nowMs) instanceof SelectedEngine) {
                     sent.add(nowMs);
-                    p.ended("i-a", any(), AttemptOutcome.ANSWERED, 10, nowMs);
+                    p.onAttemptEnded("i-a", any(), AttemptOutcome.ANSWERED, 10, nowMs);
                 }
             }
         }
@@ -260,9 +260,9 @@
         for (int n = 0; n < 6; n++) {
             LoadBalancer p = picker(n % 2 == 0 ? "a1" : "b1", n % 2 == 0 ? "a" : "b");
             for (int i = 1; i <= 6; i++) {
-                p.engine("i-" + i, engine(i % 2 == 0 ? "a1" : "b1", i, 0, false), 1, 0);
+                p.updateEngine("i-" + i, engine(i % 2 == 0 ? "a1" : "b1", i, 0, false), 1, 0);
             }
-            where.add(id(p.choose(new Ask("s", Set.of(), 4711, 13_000, 3000, 100, Set.of(), -1, n), 10)));
+            where.add(id(p.select(new SelectionRequest("s", Set.of(), 4711, 13_000, 3000, 100, Set.of(), -1, n), 10)));
         }
         assertEquals(1, where.size(), where.toString());
     }
@@ -281,10 +281,10 @@
         Map<String, Integer> out = new TreeMap<>();
         Random luck = new Random(5);
         for (int i = 0; i < n; i++) {
-            Ask a = new Ask("s", Set.of(), 0, 0, 100, 50, Set.of(), -1, luck.nextLong());
-            String id = id(p.choose(a, nowMs));
+            SelectionRequest a = new SelectionRequest("s", Set.of(), 0, 0, 100, 50, Set.of(), -1, luck.nextLong());
+            String id = id(p.select(a, nowMs));
             out.merge(id, 1, Integer::sum);
-            p.ended(id, a, AttemptOutcome.PARENT_ENDED, -1, nowMs);
+            p.onAttemptEnded(id, a, AttemptOutcome.PARENT_ENDED, -1, nowMs);
         }
         return out;
     }
@@ -293,7 +293,7 @@
     void engineThatFailsPartOfItsRequestsGetsATrickleWhateverItsHealthSays() {
         LoadBalancer p = picker("a1", "a");
         for (int i = 1; i <= 6; i++) {
-            p.engine("i-" + i, engine("a1", i, 0, false), 1, 0);
+            p.updateEngine("i-" + i, engine("a1", i, 0, false), 1, 0);
         }
         int even = choices(p, 3000, 10).get("i-1");
         assertTrue(even > 300, "before: " + even);
@@ -301,12 +301,12 @@
         for (int i = 1; i <= 6; i++) {
             seen.put("i-" + i, i == 1 ? new int[] {7, 6, 1} : new int[] {13, i == 3 ? 1 : 0, 1});
         }
-        p.load(load(seen), 20);
-        p.probed("i-1", true, 0, 25);
+        p.updateRegionLoad(load(seen), 20);
+        p.onHealthProbeResult("i-1", true, 0, 25);
         int after = choices(p, 3000, 30).getOrDefault("i-1", 0);
         assertTrue(after > 0 && after < even / 8, "a trickle, was " + even + " is " + after);
         assertTrue(choices(p, 3000, 3000).get("i-1") > even / 2, "it recovers once nothing is said against it");
-        p.load(load(seen), 3100);
+        p.updateRegionLoad(load(seen), 3100);
         assertTrue(choices(p, 3000, 4900).get("i-1") < even / 8, "the price of coming back rises");
     }
 
@@ -315,10 +315,10 @@
         LoadBalancer p = picker("a1", "a");
         Map<String, int[]> all = new HashMap<>();
         for (int i = 1; i <= 6; i++) {
-            p.engine("i-" + i, engine("a1", i, 0, false), 1, 0);
+            p.updateEngine("i-" + i, engine("a1", i, 0, false), 1, 0);
             all.put("i-" + i, new int[] {6, 6, 1});
         }
-        p.load(load(all), 20);
+        p.updateRegionLoad(load(all), 20);
         Map<String, Integer> n = choices(p, 3000, 30);
         assertEquals(6, n.size());
         n.forEach((id, k) -> assertTrue(k > 300, id + " " + k));
@@ -329,7 +329,7 @@
         LoadBalancer p = picker("a1", "a");
         Map<String, int[]> most = new HashMap<>();
         for (int i = 1; i <= 6; i++) {
-            p.engine("i-" + i, engine("a1", i, 0, false), 1, 0);
+            p.updateEngine("i-" + i, engine("a1", i, 0, false), 1, 0);
         }
         // one after the other, each beyond what the others show just then
         for (int i = 1; i <= 4; i++) {
@@ -337,7 +337,7 @@
             for (int j = 1; j <= 6; j++) {
                 most.put("i-" + j, new int[] {20, j == i ? 19 : 0, 1});
             }
-            p.load(load(most), 20 + i);
+            p.updateRegionLoad(load(most), 20 + i);
         }
         assertTrue(choices(p, 3000, 30).get("i-1") > 200, "four of six are poor, so all carry");
     }
@@ -345,9 +345,9 @@
     @Test
     void othersLoadCountsWhileItIsFresh() {
         LoadBalancer p = picker("a1", "a");
-        p.engine("i-1", engine("a1", 1, 0, false), 1, 0);
-        p.engine("i-2", engine("a1", 2, 0, false), 1, 0);
-        p.load(load(Map.of("i-1", new int[] {5, 0, 40}, "i-2", new int[] {5, 0, 2})), 100);
+        p.updateEngine("i-1", engine("a1", 1, 0, false), 1, 0);
+        p.updateEngine("i-2", engine("a1", 2, 0, false), 1, 0);
+        p.updateRegionLoad(load(Map.of("i-1", new int[] {5, 0, 40}, "i-2", new int[] {5, 0, 2})), 100);
         assertNull(choices(p, 200, 200).get("i-1"), "it runs far more for others");
         assertEquals(2, choices(p, 200, 9000).size(), "a sum that came long ago counts no more");
     }
@@ -355,54 +355,54 @@
     @Test
     void silentEnginesAndRegionsOfWhichNothingIsHeardComeLast() {
         LoadBalancer p = picker("a1", "a");
-        p.engine("i-a", engine("a1", 1, 0, false), 1, 0);
-        p.engine("i-b", engine("b1", 2, 0, false), 1, 0);
-        Ask digest = new Ask("s", Set.of(), 4712, 13_000, 3000, 100, Set.of(), -1, 1);
-        p.silent("i-a", true, 10);
+        p.updateEngine("i-a", engine("a1", 1, 0, false), 1, 0);
+        p.updateEngine("i-b", engine("b1", 2, 0, false), 1, 0);
+        SelectionRequest digest = new SelectionRequest("s", Set.of(), 4712, 13_000, 3000, 100, Set.of(), -1, 1);
+        p.setHeartbeatMissing("i-a", true, 10);
         assertEquals(Map.of("i-b", 50), choices(p, 50, 20));
-        p.silent("i-a", false, 30);
+        p.setHeartbeatMissing("i-a", false, 30);
         assertEquals(Map.of("i-a", 50), choices(p, 50, 40));
-        p.load(load(Map.of(), "a", "b"), 50);
-        p.load(load(Map.of(), "a"), 1000);
-        assertEquals("i-a", id(p.choose(digest, 1010)), "whoever holds its head");
-        assertEquals("i-b", id(p.choose(ask(Set.of("b"), Set.of(), -1), 1020)), "homes bind, heard of or not");
-        p.silent("i-b", true, 1030);
-        p.silent("i-a", true, 1030);
-        assertNotEquals("none", id(p.choose(any(), 1040)), "if all are silent, all may be asked");
+        p.updateRegionLoad(load(Map.of(), "a", "b"), 50);
+        p.updateRegionLoad(load(Map.of(), "a"), 1000);
+        assertEquals("i-a", id(p.select(digest, 1010)), "whoever holds its head");
+        assertEquals("i-b", id(p.select(ask(Set.of("b"), Set.of(), -1), 1020)), "homes bind, heard of or not");
+        p.setHeartbeatMissing("i-b", true, 1030);
+        p.setHeartbeatMissing("i-a", true, 1030);
+        assertNotEquals("none", id(p.select(any(), 1040)), "if all are silent, all may be asked");
     }
 
     @Test
     void resetOfAForgottenConnectionSaysNothingOfTheEngine() {
         LoadBalancer p = picker("a1", "a");
-        p.engine("i-a", engine("a1", 1, 0, false), 1, 0);
+        p.updateEngine("i-a", engine("a1", 1, 0, false), 1, 0);
         for (int i = 0; i < 6; i++) {
-            p.choose(any(), 100 + i);
-            p.ended("i-a", any(), AttemptOutcome.BROKEN, LoadBalancer.STALE_MS, 101 + i);
+            p.select(any(), 100 + i);
+            p.onAttemptEnded("i-a", any(), AttemptOutcome.BROKEN, LoadBalancer.STALE_MS, 101 + i);
         }
-        assertEquals(List.of(), p.probes(200));
-        assertEquals(0, p.report(200).all(LoadSummary.key("i-a")).failed());
+        assertEquals(List.of(), p.dueHealthProbes(200));
+        assertEquals(0, p.summarizeLoad(200).all(LoadSummary.key("i-a")).failed());
         for (int i = 0; i < 6; i++) {
-            p.choose(any(), 300 + i);
-            p.ended("i-a", any(), AttemptOutcome.BROKEN, -1, 301 + i);
+            p.select(any(), 300 + i);
+            p.onAttemptEnded("i-a", any(), AttemptOutcome.BROKEN, -1, 301 + i);
         }
-        assertEquals(6, p.report(400).all(LoadSummary.key("i-a")).failed());
-        assertEquals(1, p.probes(400).size());
+        assertEquals(6, p.summarizeLoad(400).all(LoadSummary.key("i-a")).failed());
+        assertEquals(1, p.dueHealthProbes(400).size());
     }
 
     @Test
     void reportHoldsWhatWasSeenLatelyAndWhatRuns() {
         LoadBalancer p = picker("a1", "a");
-        p.engine("i-a", engine("a1", 1, 0, false), 1, 0);
-        Ask digest = new Ask("s", Set.of(), 4712, 13_000, 3000, 100, Set.of(), -1, 1);
-        p.choose(digest, 100);
-        p.choose(any(), 100);
-        p.ended("i-a", any(), AttemptOutcome.ANSWERED, 120, 200);
-        LoadSummary s = p.report(300);
+        p.updateEngine("i-a", engine("a1", 1, 0, false), 1, 0);
+        SelectionRequest digest = new SelectionRequest("s", Set.of(), 4712, 13_000, 3000, 100, Set.of(), -1, 1);
+        p.select(digest, 100);
+        p.select(any(), 100);
+        p.onAttemptEnded("i-a", any(), AttemptOutcome.ANSWERED, 120, 200);
+        LoadSummary s = p.summarizeLoad(300);
         assertEquals(1, s.of(LoadSummary.key("i-a"), RequestKind.LONG).running());
         assertEquals(1, s.of(LoadSummary.key("i-a"), RequestKind.SHORT).answered());
         assertEquals(1, s.of(LoadSummary.key("i-a"), RequestKind.SHORT).firsts()[1]);
-        p.ended("i-a", digest, AttemptOutcome.PARENT_ENDED, -1, 400);
-        AttemptCounts later = p.report(2500).all(LoadSummary.key("i-a"));
+        p.onAttemptEnded("i-a", digest, AttemptOutcome.PARENT_ENDED, -1, 400);
+        AttemptCounts later = p.summarizeLoad(2500).all(LoadSummary.key("i-a"));
         assertTrue(later.empty(), "clients' cancels stay out, what is old goes: " + later);
     }
 
@@ -413,16 +413,16 @@
             List<LoadBalancer> all = new ArrayList<>();
             for (int i = 0; i < nodes; i++) {
                 LoadBalancer p = picker("n-" + i, "a1", "a");
-                p.lease(new Lease(1, nodes, 100_000), 0);
-                p.engine("i-a", engine("a1", 1, 60_000, false), 1, 0);
+                p.updateLease(new Lease(1, nodes, 100_000), 0);
+                p.updateEngine("i-a", engine("a1", 1, 60_000, false), 1, 0);
                 all.add(p);
             }
             List<Long> sent = new ArrayList<>();
             for (long nowMs = 0; nowMs < 30_000; nowMs += 10) {
                 for (LoadBalancer p : all) {
-                    if (p.choose(any(), nowMs) instanceof Chosen) {
+                    if (p.select(any(), nowMs) instanceof SelectedEngine) {
                         sent.add(nowMs);
-                        p.ended("i-a", any(), AttemptOutcome.ANSWERED, 10, nowMs);
+                        p.onAttemptEnded("i-a", any(), AttemptOutcome.ANSWERED, 10, nowMs);
                     }
                 }
             }
@@ -435,8 +435,8 @@
         }
     }
 
-    private static Ask steered(Steer steer, long affinity) {
-        return new Ask("s", Set.of(), affinity, 13_000, 3000, 100, Set.of(), -1, 7, steer);
+    private static SelectionRequest steered(RoutingPreference steer, long affinity) {
+        return new SelectionRequest("s", Set.of(), affinity, 13_000, 3000, 100, Set.of(), -1, 7, steer);
     }
 
     private static FallbackTarget step(FallbackTarget.To to, int waitMs) {
@@ -447,7 +447,7 @@
     private static List<String> six(LoadBalancer p) {
         List<String> ids = new ArrayList<>();
         for (int i = 1; i <= 6; i++) {
-            p.engine("i-" + i, engine(i % 2 == 0 ? "a1" : "b1", i, 0, false), 1, 0);
+            p.updateEngine("i-" + i, engine(i % 2 == 0 ? "a1" : "b1", i, 0, false), 1, 0);
             ids.add("i-" + i);
         }
         ids.sort(Comparator.comparingLong(id -> RendezvousHash.rank(LoadSummary.key(id), 4711)));
@@ -459,27 +459,32 @@
         LoadBalancer p = picker("a1", "a");
         List<String> ranked = six(p);
         List<FallbackTarget> busy = List.of(step(FallbackTarget.To.NEXT, 100), step(FallbackTarget.To.REGION, 200));
-        assertEquals(ranked.get(0), id(p.choose(steered(new Steer(0, 1.5, busy, List.of(), 0), 4711), 10)));
+        assertEquals(ranked.get(0), id(p.select(steered(new RoutingPreference(0, 1.5, busy, List.of(), 0), 4711), 10)));
         // far more than its share runs there
         Map<String, int[]> seen = new HashMap<>();
         ranked.forEach(i -> seen.put(i, new int[] {1, 0, 1}));
         List<EngineLoad> rows = new ArrayList<>();
         ranked.forEach(
                 i -> rows.add(new EngineLoad(LoadSummary.key(i), 1, 0, 1, i.equals(ranked.get(0)) ? 900_000 : 0)));
-        p.load(new Load(1, 1, rows, List.of()), 20);
-        assertEquals("none", id(p.choose(steered(new Steer(0, 1.5, busy, List.of(), 50), 4711), 30)), "not yet");
-        assertEquals(ranked.get(1), id(p.choose(steered(new Steer(0, 1.5, busy, List.of(), 120), 4711), 40)));
-        p.silent(ranked.get(1), true, 50);
+        p.updateRegionLoad(new Load(1, 1, rows, List.of()), 20);
+        assertEquals(
+                "none", id(p.select(steered(new RoutingPreference(0, 1.5, busy, List.of(), 50), 4711), 30)), "not yet");
+        assertEquals(
+                ranked.get(1), id(p.select(steered(new RoutingPreference(0, 1.5, busy, List.of(), 120), 4711), 40)));
+        p.setHeartbeatMissing(ranked.get(1), true, 50);
         assertEquals(
                 "none",
-                id(p.choose(steered(new Steer(0, 1.5, busy, List.of(), 120), 4711), 60)),
+                id(p.select(steered(new RoutingPreference(0, 1.5, busy, List.of(), 120), 4711), 60)),
                 "the next is not there either");
-        String third = id(p.choose(steered(new Steer(0, 1.5, busy, List.of(), 310), 4711), 70));
+        String third = id(p.select(steered(new RoutingPreference(0, 1.5, busy, List.of(), 310), 4711), 70));
         assertTrue(Integer.parseInt(third.substring(2)) % 2 == 0, third + " is not of the region");
         assertEquals(
                 "none",
-                id(p.choose(
-                        steered(new Steer(0, 1.5, List.of(step(FallbackTarget.To.NEXT, 0)), List.of(), 9000), 4711),
+                id(p.select(
+                        steered(
+                                new RoutingPreference(
+                                        0, 1.5, List.of(step(FallbackTarget.To.NEXT, 0)), List.of(), 9000),
+                                4711),
                         80)),
                 "at the end it is refused");
     }
@@ -492,22 +497,22 @@
             String holder = ranked.get(0);
             boolean here = Integer.parseInt(holder.substring(2)) % 2 == 0;
             switch (how) {
-                case "draining" -> p.leaving(holder, false, 5);
-                case "evacuated" -> p.evacuated(here ? "a1" : "b1", true, 5);
-                case "silent" -> p.silent(holder, true, 5);
-                case "cold" -> p.engine(holder, engine(here ? "a1" : "b1", 9, 9000, false), 2, 5);
+                case "draining" -> p.markDraining(holder, false, 5);
+                case "evacuated" -> p.setZoneEvacuated(here ? "a1" : "b1", true, 5);
+                case "silent" -> p.setHeartbeatMissing(holder, true, 5);
+                case "cold" -> p.updateEngine(holder, engine(here ? "a1" : "b1", 9, 9000, false), 2, 5);
                 default -> {
-                    p.choose(steered(new Steer(0, 1.5, List.of(), List.of(), 0), 4711), 5);
-                    p.ended(holder, any(), AttemptOutcome.NOT_SENT, -1, 6);
+                    p.select(steered(new RoutingPreference(0, 1.5, List.of(), List.of(), 0), 4711), 5);
+                    p.onAttemptEnded(holder, any(), AttemptOutcome.NOT_SENT, -1, 6);
                 }
             }
-            Steer steer = new Steer(
+            RoutingPreference steer = new RoutingPreference(
                     0,
                     1.5,
                     List.of(step(FallbackTarget.To.NEXT, 5000)),
                     List.of(new FallbackTarget(FallbackTarget.To.REGIONS, List.of("b"), 0)),
                     0);
-            String got = id(p.choose(steered(steer, 4711), 10));
+            String got = id(p.select(steered(steer, 4711), 10));
             if (how.equals("evacuated") && !here) {
                 assertEquals("none", got, how);
             } else {
@@ -519,14 +524,14 @@
     @Test
     void placesKeptForOthersStayFree() {
         LoadBalancer p = picker("a1", "a");
-        p.engine("i-2", engine("a1", 2, 0, false), 1, 0);
-        Steer digests = new Steer(0.75, 100, List.of(), List.of(), 0);
+        p.updateEngine("i-2", engine("a1", 2, 0, false), 1, 0);
+        RoutingPreference digests = new RoutingPreference(0.75, 100, List.of(), List.of(), 0);
         int taken = 0;
-        while (p.choose(steered(digests, 4711), 10) instanceof Chosen) {
+        while (p.select(steered(digests, 4711), 10) instanceof SelectedEngine) {
             taken++;
         }
         assertEquals(16, taken, "a quarter of 64 places");
-        assertEquals("i-2", id(p.choose(any(), 20)), "the others' places are free");
+        assertEquals("i-2", id(p.select(any(), 20)), "the others' places are free");
     }
 
     /** Whatever a rule says: what may not be asked without rules is not asked with them. */
@@ -538,11 +543,11 @@
             List<String> ranked = six(p);
             Set<String> out = new HashSet<>();
             if (luck.nextBoolean()) {
-                p.leaving(ranked.get(0), false, 1);
+                p.markDraining(ranked.get(0), false, 1);
                 out.add(ranked.get(0));
             }
             if (luck.nextBoolean()) {
-                p.evacuated("b1", true, 1);
+                p.setZoneEvacuated("b1", true, 1);
                 out.addAll(List.of("i-1", "i-3", "i-5"));
             }
             Set<String> homes = luck.nextInt(3) == 0 ? Set.of("b") : Set.of();
@@ -550,7 +555,7 @@
                 out.addAll(List.of("i-2", "i-4", "i-6"));
             }
             if (luck.nextBoolean()) {
-                p.turn("s", Set.of("i-4"), 1);
+                p.setRolloutTurn("s", Set.of("i-4"), 1);
                 out.add("i-4");
             }
             List<FallbackTarget> steps = new ArrayList<>();
@@ -559,9 +564,11 @@
                 steps.add(new FallbackTarget(
                         to, to == FallbackTarget.To.REGIONS ? List.of(luck.nextBoolean() ? "a" : "b") : List.of(), 0));
             }
-            Steer steer = new Steer(luck.nextInt(2) * 0.5, 1 + luck.nextInt(3), steps, steps, luck.nextInt(500));
-            String got = id(p.choose(
-                    new Ask("s", homes, luck.nextInt(2) * 4711L, 13_000, 3000, 100, Set.of("i-6"), -1, round, steer),
+            RoutingPreference steer =
+                    new RoutingPreference(luck.nextInt(2) * 0.5, 1 + luck.nextInt(3), steps, steps, luck.nextInt(500));
+            String got = id(p.select(
+                    new SelectionRequest(
+                            "s", homes, luck.nextInt(2) * 4711L, 13_000, 3000, 100, Set.of("i-6"), -1, round, steer),
                     10));
             assertFalse(out.contains(got) || got.equals("i-6"), "round " + round + ": " + got + " of " + out);
         }
--- a/src/test/java/ringspindle/proxy/ProxyFixture.java
+++ b/src/test/java/ringspindle/proxy/ProxyFixture.java
@@ -86,7 +86,7 @@
         front.open();
         config(3, "");
         front.confirm();
-        picker.lease(new Lease(1, 1, 60_000), clock.nowMs());
+        picker.updateLease(new Lease(1, 1, 60_000), clock.nowMs());
     }
 
     /** Puts the routes in force under that revision; more is further JSON of the configuration, from its comma on. */
@@ -100,7 +100,7 @@
                 + "],\"services\":[{\"name\":\"s\",\"healthPath\":\"/health\",\"maxConnections\":100,\"warmupS\":0,\"warmupPerS\":0}]"
                 + more + "}";
         FleetConfig c = ((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
-        picker.config(c);
+        picker.updateConfiguration(c);
         front.config(c);
     }
 
@@ -126,7 +126,7 @@
     StandInEngine engine(String id, String zone, StandInEngine.Script script) throws IOException {
         StandInEngine e = new StandInEngine(script);
         engines.add(e);
-        picker.engine(id, new Engine(8, 0, false, -1, 1, "s", e.address(), zone, "v"), 1, clock.nowMs());
+        picker.updateEngine(id, new Engine(8, 0, false, -1, 1, "s", e.address(), zone, "v"), 1, clock.nowMs());
         return e;
     }
 
--- a/src/test/java/ringspindle/proxy/ProxyHandlerTest.java
+++ b/src/test/java/ringspindle/proxy/ProxyHandlerTest.java
@@ -345,7 +345,7 @@
         ok("/card/x", "t2");
         assertEquals(
                 0,
-                picker.report(clock.nowMs())
+                picker.summarizeLoad(clock.nowMs())
                         .all(ringspindle.telemetry.LoadSummary.key("i-1"))
                         .failed());
         for (int i = 3; i < 7; i++) {
--- a/src/test/java/ringspindle/replication/RolloutSimulation.java
+++ b/src/test/java/ringspindle/replication/RolloutSimulation.java
@@ -17,10 +17,10 @@
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Validated;
 import ringspindle.loadbalancing.LoadBalancer;
-import ringspindle.loadbalancing.LoadBalancer.Ask;
-import ringspindle.loadbalancing.LoadBalancer.Choice;
-import ringspindle.loadbalancing.LoadBalancer.Chosen;
-import ringspindle.loadbalancing.LoadBalancer.Probe;
+import ringspindle.loadbalancing.LoadBalancer.HealthProbe;
+import ringspindle.loadbalancing.LoadBalancer.SelectedEngine;
+import ringspindle.loadbalancing.LoadBalancer.Selection;
+import ringspindle.loadbalancing.LoadBalancer.SelectionRequest;
 import ringspindle.membership.RolloutPlanner;
 import ringspindle.protocol.Message.Call;
 import ringspindle.protocol.Message.Engine;
@@ -78,7 +78,7 @@
         RequestAttributes asked;
         Action action;
         Attempt attempt;
-        Ask ask;
+        SelectionRequest ask;
         LoadBalancer picker;
         Stand stand;
         long endMs;
@@ -136,8 +136,8 @@
                     "bound.warmupSlack",
                     "5"));
             LoadBalancer x = LoadBalancer.create(((Validated.Valid<NodeConfig>) NodeConfig.check(p)).value());
-            x.config(c);
-            x.lease(new Lease(1, 4, 10_000_000), 0);
+            x.updateConfiguration(c);
+            x.updateLease(new Lease(1, 4, 10_000_000), 0);
             pickers.add(x);
         }
         for (int i = 0; i < 7; i++) {
@@ -168,7 +168,9 @@
         Rollout r = rollout();
         // the news takes its time to each node
         for (LoadBalancer p : pickers) {
-            in(20 + luck.nextInt(400), () -> p.turn("s", new HashSet<>(rollout().turn()), nowMs));
+            in(
+                    20 + luck.nextInt(400),
+                    () -> p.setRolloutTurn("s", new HashSet<>(rollout().turn()), nowMs));
         }
         checkFloor(r);
         return Outcome.TAKEN;
@@ -211,9 +213,9 @@
                 for (int i = 0; i < pickers.size(); i++) {
                     LoadBalancer p = pickers.get(i);
                     String region = i % 2 == 0 ? "a" : "b";
-                    for (Probe x : p.probes(nowMs)) {
+                    for (HealthProbe x : p.dueHealthProbes(nowMs)) {
                         Stand s = engines.get(x.id());
-                        p.probed(x.id(), s != null && !s.down && !cut(s.region.equals(region)), 0, nowMs);
+                        p.onHealthProbeResult(x.id(), s != null && !s.down && !cut(s.region.equals(region)), 0, nowMs);
                     }
                 }
             }
@@ -249,7 +251,7 @@
                             new RequestAttributes(luck.nextBoolean(), luck.nextInt(3) == 0 ? Set.of("a") : Set.of());
                     history.add(a);
                     LoadBalancer p = pickers.get(luck.nextInt(pickers.size()));
-                    p.asked("s", nowMs);
+                    p.onRequestReceived("s", nowMs);
                     place(a, Action.open("a", nowMs, 4000, t -> {}), p, new HashSet<>());
                 }
             }
@@ -280,7 +282,7 @@
         long version = s.version;
         String id = s.id;
         for (LoadBalancer p : pickers) {
-            in(10 + luck.nextInt(30) / 10 * 10, () -> p.engine(id, e, version, nowMs));
+            in(10 + luck.nextInt(30) / 10 * 10, () -> p.updateEngine(id, e, version, nowMs));
         }
     }
 
@@ -324,9 +326,9 @@
             return;
         }
         long weights = a.weights.isEmpty() ? -1 : a.weights.get(0);
-        Ask ask = new Ask("s", a.homes, 0, 0, 200, 50, tried, weights, luck.nextLong());
-        Choice c = p.choose(ask, nowMs);
-        if (!(c instanceof Chosen chosen)) {
+        SelectionRequest ask = new SelectionRequest("s", a.homes, 0, 0, 200, 50, tried, weights, luck.nextLong());
+        Selection c = p.select(ask, nowMs);
+        if (!(c instanceof SelectedEngine chosen)) {
             if (a.pieces.isEmpty() && !action.mayHaveRun()) {
                 a.refused = true;
                 action.cancel(CancelCause.GIVEN_UP, nowMs);
@@ -383,7 +385,7 @@
                 if (r.asked.pieces.isEmpty() || r.pieces == 0) {
                     piece(r, s);
                 }
-                r.picker.ended(s.id, r.ask, AttemptOutcome.ANSWERED, 10, nowMs);
+                r.picker.onAttemptEnded(s.id, r.ask, AttemptOutcome.ANSWERED, 10, nowMs);
                 r.action.endAttempt(
                         r.attempt,
                         AttemptOutcome.ANSWERED,
@@ -412,17 +414,17 @@
     }
 
     private void ended(Run r, AttemptOutcome end) {
-        r.picker.ended(r.ask == null ? "" : r.stand == null ? "" : r.stand.id, r.ask, end, -1, nowMs);
+        r.picker.onAttemptEnded(r.ask == null ? "" : r.stand == null ? "" : r.stand.id, r.ask, end, -1, nowMs);
         RetryDecision v = r.action.endAttempt(
                 r.attempt,
                 end,
                 new RetryPolicy(r.asked.resumable, r.asked.resumable, r.asked.resumable ? 2 : 1),
                 nowMs);
-        Set<String> tried = new HashSet<>(r.ask.tried());
+        Set<String> tried = new HashSet<>(r.ask.excludedEngineIds());
         if (r.stand != null) {
             tried.add(r.stand.id);
         }
-        if ((v == RetryDecision.FALLBACK || v == RetryDecision.RESUME) && r.picker.takeRetry("s", nowMs)) {
+        if ((v == RetryDecision.FALLBACK || v == RetryDecision.RESUME) && r.picker.tryAcquireRetry("s", nowMs)) {
             place(r.asked, r.action, r.picker, tried);
         } else if (v == RetryDecision.REFUSE || v == RetryDecision.FALLBACK && !r.action.mayHaveRun()) {
             r.asked.refused = true;
--- a/src/test/java/ringspindle/scale/HollowFleet.java
+++ b/src/test/java/ringspindle/scale/HollowFleet.java
@@ -230,12 +230,13 @@
     }
 
     private void request(HollowDataNode d) {
-        LoadBalancer.Ask ask = new LoadBalancer.Ask("llm", Set.of(), 0, 92, 291, 40, Set.of(), -1, luck.nextLong());
+        LoadBalancer.SelectionRequest ask =
+                new LoadBalancer.SelectionRequest("llm", Set.of(), 0, 92, 291, 40, Set.of(), -1, luck.nextLong());
         NodeId id = dataIds.get(datas.indexOf(d));
         net.charge(id, () -> {
-            if (d.picker().choose(ask, net.nowMs()) instanceof LoadBalancer.Chosen c) {
-                d.picker().sent(c.id(), net.nowMs());
-                net.at(250, () -> d.picker().ended(c.id(), ask, AttemptOutcome.ANSWERED, 90, net.nowMs()));
+            if (d.picker().select(ask, net.nowMs()) instanceof LoadBalancer.SelectedEngine c) {
+                d.picker().onRequestSent(c.id(), net.nowMs());
+                net.at(250, () -> d.picker().onAttemptEnded(c.id(), ask, AttemptOutcome.ANSWERED, 90, net.nowMs()));
             }
         });
         net.at(1000.0 / REQUESTS_PER_S, () -> request(d));
--- a/src/test/java/ringspindle/scale/RestartTest.java
+++ b/src/test/java/ringspindle/scale/RestartTest.java
@@ -61,10 +61,11 @@
 
     /** One request runs on, from now. */
     private void request() {
-        LoadBalancer.Ask ask = new LoadBalancer.Ask("s", Set.of(), 0, 92, 291, 40, Set.of(), -1, 1);
-        LoadBalancer.Chosen chosen =
-                assertInstanceOf(LoadBalancer.Chosen.class, data.picker().choose(ask, net.nowMs()));
-        data.picker().sent(chosen.id(), net.nowMs());
+        LoadBalancer.SelectionRequest ask =
+                new LoadBalancer.SelectionRequest("s", Set.of(), 0, 92, 291, 40, Set.of(), -1, 1);
+        LoadBalancer.SelectedEngine chosen = assertInstanceOf(
+                LoadBalancer.SelectedEngine.class, data.picker().select(ask, net.nowMs()));
+        data.picker().onRequestSent(chosen.id(), net.nowMs());
     }
 
     private int running() {
