--- a/src/test/java/ringspindle/controlplane/HollowControlNode.java
+++ b/src/test/java/ringspindle/controlplane/HollowControlNode.java
@@ -92,6 +92,20 @@
         control.call(ReplicatedState.RULES, base, "", body, (o, b) -> then.accept(o));
     }
 
+    /** Calls the replicated state, as an operator's request of that kind does. */
+    public void call(int kind, String argument, byte[] body, Consumer<Outcome> then) {
+        control.call(kind, 0, argument, body, (outcome, text) -> then.accept(outcome));
+    }
+
+    /** The JSON pages that operators read, by name. */
+    public Map<String, String> operatorPages() {
+        return Map.of(
+                "status", FleetStatus.status(control).toString(),
+                "engines", FleetStatus.engines(control).toString(),
+                "ledger", FleetStatus.ledger(control).toString(),
+                "rollouts", FleetStatus.rollouts(control).toString());
+    }
+
     /** What nodes that report here say they follow. */
     public Map<NodeId, Long> followed() {
         Map<NodeId, Long> out = new TreeMap<>();
