--- a/src/main/java/ringspindle/controlplane/ControlNode.java
+++ b/src/main/java/ringspindle/controlplane/ControlNode.java
@@ -85,17 +85,17 @@
 
     private final Object bookLock = new Object();
     private final SessionTable meet;
-    private final Knowledge knowledge;
+    private final FleetFacts knowledge;
     private final DataNodeDirectory frontends;
     private final LoadAggregator sums;
     private final FactDissemination news;
-    private final LeaseGrants leases;
-    private final RequestLedgers ledgers = new RequestLedgers();
+    private final QuotaLeaseIssuer leases;
+    private final LedgerReportStore ledgers = new LedgerReportStore();
 
-    private final RolloutDriver rollouts;
+    private final RolloutController rollouts;
     private long ticks;
     private volatile boolean leaving;
-    private final MajorityProof proof = new MajorityProof();
+    private final QuorumTracker proof = new QuorumTracker();
     /** As of the last tick; counts only together with the proof. */
     private volatile boolean current;
     /** The newest committed state, and the seq of the newest whose facts are in the book. */
@@ -121,12 +121,12 @@
                 config.region());
         mesh = means.mesh().apply(self);
         meet = SessionTable.forControl(me);
-        knowledge = new Knowledge(config, clock);
+        knowledge = new FleetFacts(config, clock);
         frontends = new DataNodeDirectory(me, meet, knowledge);
         sums = new LoadAggregator(config, self, mesh, meet, knowledge);
         news = new FactDissemination(mesh, meet, knowledge);
-        leases = new LeaseGrants(me, knowledge, frontends);
-        rollouts = new RolloutDriver(
+        leases = new QuotaLeaseIssuer(me, knowledge, frontends);
+        rollouts = new RolloutController(
                 reports,
                 (service, body, then) -> call(ReplicatedState.ROLLOUT, 0, service, body, (o, text) -> then.run()));
         List<NodeId> seeds = config.seeds().stream()
@@ -429,7 +429,7 @@
     }
 
     /** The newest ledgers of nodes that report here, by node. */
-    Map<NodeId, List<RequestLedgers.Life>> ledgers() {
+    Map<NodeId, List<LedgerReportStore.Life>> ledgers() {
         synchronized (bookLock) {
             return ledgers.all();
         }
@@ -453,7 +453,7 @@
 
     private void compact() {
         synchronized (chainLock) {
-            storage.take(new ReplicatedState.Out.Store(DiskThread.COMPACTION, chain.durable(), true));
+            storage.take(new ReplicatedState.Out.Store(GroupCommitWriter.COMPACTION, chain.durable(), true));
         }
     }
 
@@ -628,13 +628,13 @@
     }
 
     /** What a control node's newest heartbeat proves, null if there is no session. */
-    private MajorityProof.Contact contact(NodeId node) {
+    private QuorumTracker.Contact contact(NodeId node) {
         SessionTable.Peer p = meet.peer(node);
         if (p == null) {
             return null;
         }
         Heartbeat newest = p.heartbeat();
-        return new MajorityProof.Contact(p.contactMs(), newest.epoch(), (newest.flags() & Heartbeat.BLANK) != 0);
+        return new QuorumTracker.Contact(p.contactMs(), newest.epoch(), (newest.flags() & Heartbeat.BLANK) != 0);
     }
 
     /** True once engines had the time to be heard here: a node that was out of touch refused their heartbeats. */
--- a/src/main/java/ringspindle/controlplane/DataNodeDirectory.java
+++ b/src/main/java/ringspindle/controlplane/DataNodeDirectory.java
@@ -25,10 +25,10 @@
 
     private final NodeId me;
     private final SessionTable meet;
-    private final Knowledge knowledge;
+    private final FleetFacts knowledge;
     private final Map<NodeId, Long> viaLostMs = new HashMap<>();
 
-    DataNodeDirectory(NodeId me, SessionTable meet, Knowledge knowledge) {
+    DataNodeDirectory(NodeId me, SessionTable meet, FleetFacts knowledge) {
         this.me = me;
         this.meet = meet;
         this.knowledge = knowledge;
--- a/src/main/java/ringspindle/controlplane/DiskStorage.java
+++ b/src/main/java/ringspindle/controlplane/DiskStorage.java
@@ -19,12 +19,12 @@
 /** Two slots and a log in a folder, and the engines beside them. */
 final class DiskStorage implements Storage {
     private final Disk disk;
-    private final EngineFile engines;
-    private DiskThread thread;
+    private final EngineCacheFile engines;
+    private GroupCommitWriter thread;
 
     DiskStorage(Path folder, Executor pool) {
         disk = Disk.open(folder, DiskStorage::known);
-        engines = new EngineFile(folder.resolve("engines"), pool);
+        engines = new EngineCacheFile(folder.resolve("engines"), pool);
     }
 
     private static boolean known(Message record) {
@@ -40,7 +40,7 @@
 
     @Override
     public void open(LongConsumer stored, Runnable compact) {
-        thread = new DiskThread(disk, stored, compact);
+        thread = new GroupCommitWriter(disk, stored, compact);
         Thread t = new Thread(thread, "disk");
         t.setDaemon(true);
         t.start();
--- a/src/main/java/ringspindle/controlplane/EngineFile.java
+++ b/src/main/java/ringspindle/controlplane/EngineCacheFile.java
@@ -24,7 +24,7 @@
  * The engines as last heard, kept as a hint for the time right after a restart, when none has called yet. Nothing is
  * promised of it: it is not synced, a broken file counts as none, and beats replace it.
  */
-final class EngineFile {
+final class EngineCacheFile {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final int FILE_MAX = 4 << 20;
 
@@ -33,7 +33,7 @@
     private final AtomicBoolean writing = new AtomicBoolean();
     private Set<String> kept = Set.of();
 
-    EngineFile(Path file, Executor pool) {
+    EngineCacheFile(Path file, Executor pool) {
         this.file = file;
         this.pool = pool;
     }
@@ -52,7 +52,7 @@
             if ((int) c.getValue() != crc || !(Codec.decode(body) instanceof News n)) {
                 return List.of();
             }
-            return n.items().stream().allMatch(EngineFile::isEngine) ? n.items() : List.of();
+            return n.items().stream().allMatch(EngineCacheFile::isEngine) ? n.items() : List.of();
         } catch (IOException | RuntimeException x) {
             LOG.atInfo().log("no engines kept: %s", x.toString());
             return List.of();
--- a/src/main/java/ringspindle/controlplane/FactDissemination.java
+++ b/src/main/java/ringspindle/controlplane/FactDissemination.java
@@ -19,10 +19,10 @@
 
     private final Mesh mesh;
     private final SessionTable meet;
-    private final Knowledge knowledge;
+    private final FleetFacts knowledge;
     private final Set<NodeId> filled = new TreeSet<>();
 
-    FactDissemination(Mesh mesh, SessionTable meet, Knowledge knowledge) {
+    FactDissemination(Mesh mesh, SessionTable meet, FleetFacts knowledge) {
         this.mesh = mesh;
         this.meet = meet;
         this.knowledge = knowledge;
--- a/src/main/java/ringspindle/controlplane/Knowledge.java
+++ b/src/main/java/ringspindle/controlplane/FleetFacts.java
@@ -17,7 +17,7 @@
 import ringspindle.time.MonotonicClock;
 
 /** What a control node knows of the system, and when it learned it; engines' heartbeats among it. Guarded by its owner. */
-final class Knowledge {
+final class FleetFacts {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     /** Ours: engines silent for so long are forgotten. */
     private static final int FORGET_MS = 600_000;
@@ -32,7 +32,7 @@
     private final Map<String, Long> seenMs = new HashMap<>();
     private NodeConfig config;
 
-    Knowledge(NodeConfig config, MonotonicClock clock) {
+    FleetFacts(NodeConfig config, MonotonicClock clock) {
         this.config = config;
         this.clock = clock;
         presence = new EnginePresence(config.engineBeatMs());
--- a/src/main/java/ringspindle/controlplane/DiskThread.java
+++ b/src/main/java/ringspindle/controlplane/GroupCommitWriter.java
@@ -17,7 +17,7 @@
  * Writes records in order and in groups; a disk that hangs holds up only this thread. What a group wrote is told and never
  * written again, so a refused write does not repeat those before it.
  */
-final class DiskThread implements Runnable {
+final class GroupCommitWriter implements Runnable {
     /** Token of an image that was asked for to start the log anew; nobody waits for it. */
     static final long COMPACTION = -1;
     /** While the disk takes images, the log is at most this long, and one record. */
@@ -35,7 +35,7 @@
     private boolean compacting;
 
     /** {@code compact} takes an image of what counts, with token {@link #COMPACTION}, in order with the other records. */
-    DiskThread(Disk disk, LongConsumer stored, Runnable compact) {
+    GroupCommitWriter(Disk disk, LongConsumer stored, Runnable compact) {
         this.disk = disk;
         this.stored = stored;
         this.compact = compact;
@@ -125,7 +125,7 @@
     }
 
     private static long bytes(Store s) {
-        return s.records().stream().mapToLong(DiskThread::bytes).sum();
+        return s.records().stream().mapToLong(GroupCommitWriter::bytes).sum();
     }
 
     private static long bytes(Message record) {
--- a/src/main/java/ringspindle/controlplane/RequestLedgers.java
+++ b/src/main/java/ringspindle/controlplane/LedgerReportStore.java
@@ -12,7 +12,7 @@
  * The newest ledger of each life of each data node that reports here. Lives are in the order in which they were first heard:
  * their numbers come from the time of day, which may go back. Pure; not thread safe.
  */
-final class RequestLedgers {
+final class LedgerReportStore {
     /** Ours: so many lives of a node are kept, and so many nodes. */
     private static final int LIVES = 4;
 
--- a/src/main/java/ringspindle/controlplane/LoadAggregator.java
+++ b/src/main/java/ringspindle/controlplane/LoadAggregator.java
@@ -33,7 +33,7 @@
     private final long life;
     private final Mesh mesh;
     private final SessionTable meet;
-    private final Knowledge knowledge;
+    private final FleetFacts knowledge;
     private final ReportCollector sources = new ReportCollector(REPORT_TTL_MS);
     private final ReportCollector peers = new ReportCollector(REPORT_TTL_MS);
     private final Map<String, Long> regionMs = new TreeMap<>();
@@ -42,7 +42,7 @@
     private long seq;
     private LoadSummary total = LoadSummary.NONE;
 
-    LoadAggregator(NodeConfig config, Hello self, Mesh mesh, SessionTable meet, Knowledge knowledge) {
+    LoadAggregator(NodeConfig config, Hello self, Mesh mesh, SessionTable meet, FleetFacts knowledge) {
         region = config.region();
         me = self.node();
         life = self.life();
--- a/src/main/java/ringspindle/controlplane/MajorityProof.java
+++ b/src/main/java/ringspindle/controlplane/QuorumTracker.java
@@ -14,7 +14,7 @@
  * time and not a flag, so that a thread that runs before the first tick after a freeze sees that it has run out. Renewed
  * by one thread, read by many.
  */
-final class MajorityProof {
+final class QuorumTracker {
     /** A proof holds for so long after the heartbeats it rests on were sent; in calm it is at most 600 ms old. */
     static final int VALID_MS = 1500;
     /** Two ticks so far apart, this node stood still: what was proven before counts no more. */
--- a/src/main/java/ringspindle/controlplane/LeaseGrants.java
+++ b/src/main/java/ringspindle/controlplane/QuotaLeaseIssuer.java
@@ -9,7 +9,7 @@
 import ringspindle.protocol.NodeId;
 
 /** The duty of granting every data node its share of the budgets. Guarded by its owner. */
-final class LeaseGrants {
+final class QuotaLeaseIssuer {
     private static final int TTL_MS = 3000;
     /** What another holder granted has run out so long after this node took the duty over. */
     private static final int TAKEOVER_MS = TTL_MS + 500;
@@ -17,12 +17,12 @@
     private static final int EVERY_TICKS = 10;
 
     private final NodeId me;
-    private final Knowledge knowledge;
+    private final FleetFacts knowledge;
     private final DataNodeDirectory frontends;
     private NodeId lastHead;
     private long grantFromMs;
 
-    LeaseGrants(NodeId me, Knowledge knowledge, DataNodeDirectory frontends) {
+    QuotaLeaseIssuer(NodeId me, FleetFacts knowledge, DataNodeDirectory frontends) {
         this.me = me;
         this.knowledge = knowledge;
         this.frontends = frontends;
--- a/src/main/java/ringspindle/controlplane/RolloutDriver.java
+++ b/src/main/java/ringspindle/controlplane/RolloutController.java
@@ -13,7 +13,7 @@
 import ringspindle.replication.Rollout;
 
 /** The duty of driving roll-outs; without one this costs nothing. Called by one thread. */
-final class RolloutDriver {
+final class RolloutController {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final int ASK_TICKS = 6;
 
@@ -27,7 +27,7 @@
     private final Map<String, RolloutPlanner> plans = new HashMap<>();
     private volatile boolean ordering;
 
-    RolloutDriver(EngineReportClient reports, Orders orders) {
+    RolloutController(EngineReportClient reports, Orders orders) {
         this.reports = reports;
         this.orders = orders;
     }
--- a/src/main/java/ringspindle/controlplane/Storage.java
+++ b/src/main/java/ringspindle/controlplane/Storage.java
@@ -15,7 +15,7 @@
 
     /**
      * From now on records are written; {@code stored} hears of each token that is synced. {@code compact} is called when the
-     * log is long: it must {@link #take} an image of what counts, with token {@link DiskThread#COMPACTION}, in order with
+     * log is long: it must {@link #take} an image of what counts, with token {@link GroupCommitWriter#COMPACTION}, in order with
      * all other records.
      */
     void open(LongConsumer stored, Runnable compact);
--- a/src/test/java/ringspindle/controlplane/EngineFileTest.java
+++ b/src/test/java/ringspindle/controlplane/EngineCacheFileTest.java
@@ -15,15 +15,15 @@
 import ringspindle.protocol.Message.Relearn;
 
 /** The hint of engines comes back after a restart, and a broken one counts as none. */
-class EngineFileTest {
+class EngineCacheFileTest {
     @TempDir
     Path folder;
 
     private static final byte[] ENGINE = Codec.encode(new Engine(8, 0, false, 0, -1, "chat", "10.0.0.1:80", "a", "r1"));
     private static final List<Fact> TWO = List.of(new Fact(4, "i-1", 0, 7, ENGINE), new Fact(4, "i-2", 0, 9, ENGINE));
 
-    private EngineFile file() {
-        return new EngineFile(folder.resolve("engines"), Runnable::run);
+    private EngineCacheFile file() {
+        return new EngineCacheFile(folder.resolve("engines"), Runnable::run);
     }
 
     private static List<String> keys(List<Fact> items) {
@@ -35,7 +35,7 @@
         assertEquals(List.of(), file().load());
         file().keep(TWO);
         assertEquals(List.of("i-1", "i-2"), keys(file().load()));
-        EngineFile f = file();
+        EngineCacheFile f = file();
         f.keep(TWO);
         f.keep(TWO.subList(0, 1));
         assertEquals(List.of("i-1"), keys(file().load()));
@@ -43,7 +43,7 @@
 
     @Test
     void sameEnginesAreNotWrittenAgain() throws Exception {
-        EngineFile f = file();
+        EngineCacheFile f = file();
         f.keep(TWO);
         Files.delete(folder.resolve("engines"));
         f.keep(TWO);
--- a/src/test/java/ringspindle/controlplane/DiskThreadGroupsTest.java
+++ b/src/test/java/ringspindle/controlplane/GroupCommitWriterGroupsTest.java
@@ -18,7 +18,7 @@
 import ringspindle.storage.Disk;
 
 /** Groups and images, step by step without a thread: nothing is written twice or out of order, and the log stays short. */
-class DiskThreadGroupsTest {
+class GroupCommitWriterGroupsTest {
     private static final int MEGABYTE = 1 << 20;
 
     /** Keeps what counts, as after a load; refuses at will. */
@@ -71,7 +71,7 @@
     private final MemoryDisk disk = new MemoryDisk();
     private final List<Long> told = new ArrayList<>();
     private long taken;
-    private final DiskThread thread = new DiskThread(disk, this::told, this::compact);
+    private final GroupCommitWriter thread = new GroupCommitWriter(disk, this::told, this::compact);
 
     /** What is told is on the disk: itself, or a later record in an image. */
     private void told(long token) {
@@ -81,7 +81,7 @@
     }
 
     private void compact() {
-        thread.take(new Store(DiskThread.COMPACTION, List.of(new Entry(1, taken, new byte[0])), true));
+        thread.take(new Store(GroupCommitWriter.COMPACTION, List.of(new Entry(1, taken, new byte[0])), true));
     }
 
     private void take(int bytes) {
@@ -116,7 +116,8 @@
         while (told.size() < 10) {
             assertTrue(thread.writeNext());
         }
-        assertTrue(disk.mostLogBytes <= DiskThread.LOG_MAX + megabytes * MEGABYTE, "log of " + disk.mostLogBytes);
+        assertTrue(
+                disk.mostLogBytes <= GroupCommitWriter.LOG_MAX + megabytes * MEGABYTE, "log of " + disk.mostLogBytes);
         assertEquals(upTo(10), told);
     }
 
--- a/src/test/java/ringspindle/controlplane/DiskThreadTest.java
+++ b/src/test/java/ringspindle/controlplane/GroupCommitWriterTest.java
@@ -17,7 +17,7 @@
 
 /** A disk that is full for a while: nothing is told to be stored that is not, nothing is lost, and it goes on by itself. */
 @Timeout(60)
-class DiskThreadTest {
+class GroupCommitWriterTest {
     /** Refuses a number of writes, as a full disk does, and notes what was written when. */
     private static final class FullDisk implements Disk {
         final List<Message> written = Collections.synchronizedList(new ArrayList<>());
@@ -58,7 +58,7 @@
         List<Long> stored = Collections.synchronizedList(new ArrayList<>());
         List<Integer> writtenThen = Collections.synchronizedList(new ArrayList<>());
         CountDownLatch all = new CountDownLatch(4);
-        DiskThread t = new DiskThread(
+        GroupCommitWriter t = new GroupCommitWriter(
                 disk,
                 token -> {
                     stored.add(token);
--- a/src/test/java/ringspindle/controlplane/RequestLedgersTest.java
+++ b/src/test/java/ringspindle/controlplane/LedgerReportStoreTest.java
@@ -8,9 +8,9 @@
 import ringspindle.protocol.NodeId;
 
 /** The newest ledger of each of the last lives of a node, whatever numbers the lives have. */
-class RequestLedgersTest {
+class LedgerReportStoreTest {
     private static final NodeId A = NodeId.of("10.0.0.1:7001");
-    private final RequestLedgers ledgers = new RequestLedgers();
+    private final LedgerReportStore ledgers = new LedgerReportStore();
 
     private void take(long life, long seq) {
         ledgers.take(A, new LedgerReport(life, seq, 0, 0, 0, List.of()));
--- a/src/test/java/ringspindle/controlplane/MajorityProofTest.java
+++ b/src/test/java/ringspindle/controlplane/QuorumTrackerTest.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import ringspindle.controlplane.MajorityProof.Contact;
+import ringspindle.controlplane.QuorumTracker.Contact;
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
 
 /** A majority is proven as of a time, and not beyond it. */
-class MajorityProofTest {
+class QuorumTrackerTest {
     private static final NodeId A = NodeId.of("10.0.0.1:7000");
     private static final NodeId B = NodeId.of("10.0.0.2:7000");
     private static final NodeId C = NodeId.of("10.0.0.3:7000");
@@ -21,7 +21,7 @@
     private static final NodeId E = NodeId.of("10.0.0.5:7000");
     private static final View FIVE = new View(3, List.of(A, B, C, D, E), List.of(A, B, C));
 
-    private final MajorityProof proof = new MajorityProof();
+    private final QuorumTracker proof = new QuorumTracker();
     private final Map<NodeId, Contact> contacts = new TreeMap<>();
 
     private void tick(long nowMs) {
@@ -64,12 +64,12 @@
         assertFalse(proof.starting(0), "not before it runs");
         tick(0);
         assertTrue(proof.starting(0) && !proof.inTouch(0));
-        for (long nowMs = 100; nowMs < MajorityProof.STARTING_MS; nowMs += 100) {
+        for (long nowMs = 100; nowMs < QuorumTracker.STARTING_MS; nowMs += 100) {
             tick(nowMs);
             assertTrue(proof.starting(nowMs));
         }
-        tick(MajorityProof.STARTING_MS);
-        assertFalse(proof.starting(MajorityProof.STARTING_MS), "cut off from the start on");
+        tick(QuorumTracker.STARTING_MS);
+        assertFalse(proof.starting(QuorumTracker.STARTING_MS), "cut off from the start on");
     }
 
     @Test
--- a/src/test/java/ringspindle/controlplane/StoredDataTest.java
+++ b/src/test/java/ringspindle/controlplane/StoredDataTest.java
@@ -234,7 +234,7 @@
         assertEngine(
                 engines.get(1), "i-5", 3, 9, new Engine(64, 0, true, 2500, -1, "chat", "10.0.1.5:80", "srt-2", "r2"));
         Files.delete(folder.resolve(ENGINES));
-        new EngineFile(folder.resolve(ENGINES), Runnable::run).keep(engines);
+        new EngineCacheFile(folder.resolve(ENGINES), Runnable::run).keep(engines);
         assertArrayEquals(stored(ENGINES), Files.readAllBytes(folder.resolve(ENGINES)));
     }
 
