--- a/src/main/java/ringspindle/replication/Acceptor.java
+++ b/src/main/java/ringspindle/consensus/Acceptor.java
@@ -1,4 +1,4 @@
-package ringspindle.replication;
+package ringspindle.consensus;
 
 import java.util.List;
 import java.util.function.Supplier;
@@ -20,6 +20,7 @@
  */
 final class Acceptor {
     private final Replica replica;
+    private final Effects effects;
     private final Supplier<Position> position;
     private long promisedEpoch;
     private long promised;
@@ -30,8 +31,9 @@
     /**
      * @param position how far this node's copy of the control state has come
      */
-    Acceptor(Replica replica, Supplier<Position> position) {
+    Acceptor(Replica replica, Effects effects, Supplier<Position> position) {
         this.replica = replica;
+        this.effects = effects;
         this.position = position;
     }
 
@@ -72,12 +74,12 @@
     }
 
     void onPrepare(NodeId from, Prepare prepare) {
-        if (replica.blank() || replica.view() == null) {
+        if (replica.relearning() || replica.view() == null) {
             return;
         }
         if (prepare.epoch() != replica.epoch() + 1) {
             if (prepare.epoch() <= replica.epoch()) {
-                replica.send(from, new Decided(replica.view()));
+                effects.send(from, new Decided(replica.view()));
             }
             return;
         }
@@ -85,7 +87,7 @@
             return;
         }
         if (promisedEpoch > prepare.epoch() || promisedEpoch == prepare.epoch() && prepare.ballot() <= promised) {
-            replica.send(
+            effects.send(
                     from,
                     new Pledge(prepare.epoch(), prepare.ballot(), false, promised, 0, 0, 0, null, replica.view()));
             return;
@@ -108,18 +110,21 @@
                 at.seq(),
                 accepted,
                 replica.view());
-        replica.store(List.of(vote()), false, () -> replica.send(from, pledge));
+        effects.append(List.of(vote()), () -> effects.send(from, pledge));
     }
 
     void onAccept(NodeId from, Accept accept) {
-        if (replica.blank() || replica.view() == null || accept.epoch() != replica.epoch() + 1 || !replica.votes()) {
+        if (replica.relearning()
+                || replica.view() == null
+                || accept.epoch() != replica.epoch() + 1
+                || !replica.votes()) {
             if (replica.view() != null && accept.epoch() <= replica.epoch()) {
-                replica.send(from, new Decided(replica.view()));
+                effects.send(from, new Decided(replica.view()));
             }
             return;
         }
         if (promisedEpoch == accept.epoch() && accept.ballot() < promised) {
-            replica.send(from, new Accepted(accept.epoch(), accept.ballot(), false, promised));
+            effects.send(from, new Accepted(accept.epoch(), accept.ballot(), false, promised));
             return;
         }
         if (promisedEpoch < accept.epoch()) {
@@ -130,12 +135,12 @@
         acceptedBallot = accept.ballot();
         accepted = accept.view();
         Accepted answer = new Accepted(accept.epoch(), accept.ballot(), true, accept.ballot());
-        replica.store(List.of(vote()), false, () -> replica.send(from, answer));
+        effects.append(List.of(vote()), () -> effects.send(from, answer));
     }
 
     /** Tells a node that lost its disk, or missed a view, what was promised here; on disk before it is told. */
     void onRelearn(NodeId from, Relearn relearn) {
-        if (replica.blank() || replica.view() == null) {
+        if (replica.relearning() || replica.view() == null) {
             return;
         }
         Vote vote = vote();
@@ -146,7 +151,7 @@
                 vote.acceptedBallot(),
                 vote.accepted(),
                 vote.view());
-        replica.store(List.of(vote), false, () -> replica.send(from, answer));
+        effects.append(List.of(vote), () -> effects.send(from, answer));
     }
 
     @Override
--- a/src/main/java/ringspindle/replication/Proposer.java
+++ b/src/main/java/ringspindle/consensus/Proposer.java
@@ -1,6 +1,7 @@
-package ringspindle.replication;
+package ringspindle.consensus;
 
 import java.util.Map;
+import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -43,6 +44,8 @@
     }
 
     private final Replica replica;
+    private final Effects effects;
+    private final Random random;
     private final Acceptor acceptor;
     private final ViewPlanner planner;
     private final Consumer<View> decided;
@@ -53,8 +56,16 @@
     /**
      * @param decided hears of the view that was decided
      */
-    Proposer(Replica replica, Acceptor acceptor, ViewPlanner planner, Consumer<View> decided) {
+    Proposer(
+            Replica replica,
+            Effects effects,
+            Random random,
+            Acceptor acceptor,
+            ViewPlanner planner,
+            Consumer<View> decided) {
         this.replica = replica;
+        this.effects = effects;
+        this.random = random;
         this.acceptor = acceptor;
         this.planner = planner;
         this.decided = decided;
@@ -77,10 +88,10 @@
     void propose() {
         long epoch = replica.epoch() + 1;
         round = Math.max(round, acceptor.promisedBallot(epoch) >> PROPOSER_BITS) + 1;
-        long ballot = round << PROPOSER_BITS | replica.view().voters().indexOf(replica.self) + 1;
+        long ballot = round << PROPOSER_BITS | replica.view().voters().indexOf(replica.self()) + 1;
         proposal = new Proposal(epoch, ballot, replica.nowMs());
         for (NodeId voter : replica.view().voters()) {
-            replica.send(voter, new Prepare(epoch, ballot, replica.view()));
+            effects.send(voter, new Prepare(epoch, ballot, replica.view()));
         }
     }
 
@@ -91,7 +102,7 @@
         }
     }
 
-    void onPledge(NodeId from, Pledge pledge) {
+    void onPromise(NodeId from, Pledge pledge) {
         boolean awaited = proposal != null
                 && proposal.value == null
                 && proposal.epoch == pledge.epoch()
@@ -118,7 +129,7 @@
             return;
         }
         long expected = replica.view().voters().stream()
-                .filter(v -> v.equals(replica.self) || replica.linked(v))
+                .filter(v -> v.equals(replica.self()) || replica.linked(v))
                 .count();
         if (proposal.promises.size() < expected && replica.nowMs() - proposal.sinceMs < STRAGGLERS_MS) {
             return;
@@ -131,7 +142,7 @@
         }
         proposal.value = value;
         for (NodeId voter : replica.view().voters()) {
-            replica.send(voter, new Accept(proposal.epoch, proposal.ballot, value));
+            effects.send(voter, new Accept(proposal.epoch, proposal.ballot, value));
         }
     }
 
@@ -171,12 +182,12 @@
     private void announce(View view) {
         Set<NodeId> all = new TreeSet<>(replica.view().voters());
         all.addAll(view.voters());
-        if (replica.reach() != null) {
+        if (replica.connectivity() != null) {
             // nodes without a vote, too, pass calls on to the head
-            all.addAll(replica.reach().live());
+            all.addAll(replica.connectivity().live());
         }
-        all.remove(replica.self);
-        all.forEach(node -> replica.send(node, new Decided(view)));
+        all.remove(replica.self());
+        all.forEach(node -> effects.send(node, new Decided(view)));
         decided.accept(view);
     }
 
@@ -192,6 +203,6 @@
 
     private void giveUp() {
         proposal = null;
-        nextProposalMs = replica.nowMs() + BACKOFF_MS + replica.random.nextInt(BACKOFF_SPREAD_MS);
+        nextProposalMs = replica.nowMs() + BACKOFF_MS + random.nextInt(BACKOFF_SPREAD_MS);
     }
 }
--- a/src/main/java/ringspindle/replication/Relearning.java
+++ b/src/main/java/ringspindle/consensus/Relearning.java
@@ -1,6 +1,7 @@
-package ringspindle.replication;
+package ringspindle.consensus;
 
 import java.util.Map;
+import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -19,15 +20,19 @@
     private static final long ASK_AS_LEARNER_EVERY_MS = 2000;
 
     private final Replica replica;
+    private final Effects effects;
+    private final Random random;
     private final Map<NodeId, Relearned> answers = new TreeMap<>();
     private long nextAskMs;
 
-    Relearning(Replica replica) {
+    Relearning(Replica replica, Effects effects, Random random) {
         this.replica = replica;
+        this.effects = effects;
+        this.random = random;
     }
 
     void ask(NodeId peer) {
-        replica.send(peer, new Relearn(replica.nextToken()));
+        effects.send(peer, new Relearn(effects.nextId()));
     }
 
     /** While blank: asks all that may know. */
@@ -36,12 +41,12 @@
             return;
         }
         nextAskMs = replica.nowMs() + ASK_EVERY_MS;
-        Set<NodeId> peers = new TreeSet<>(replica.seeds);
-        peers.addAll(replica.reach().live());
+        Set<NodeId> peers = new TreeSet<>(replica.seeds());
+        peers.addAll(replica.connectivity().live());
         if (replica.view() != null) {
             peers.addAll(replica.view().voters());
         }
-        peers.remove(replica.self);
+        peers.remove(replica.self());
         peers.forEach(this::ask);
     }
 
@@ -49,12 +54,12 @@
     void askOne() {
         if (replica.votes()
                 || replica.nowMs() < nextAskMs
-                || replica.reach().live().isEmpty()) {
+                || replica.connectivity().live().isEmpty()) {
             return;
         }
         nextAskMs = replica.nowMs() + ASK_AS_LEARNER_EVERY_MS;
-        NodeId[] live = replica.reach().live().toArray(new NodeId[0]);
-        ask(live[replica.random.nextInt(live.length)]);
+        NodeId[] live = replica.connectivity().live().toArray(new NodeId[0]);
+        ask(live[random.nextInt(live.length)]);
     }
 
     /** Takes an answer; true once a majority of the newest view's voters has answered and the acceptor is restored. */
--- /dev/null
+++ b/src/main/java/ringspindle/consensus/Replica.java
@@ -0,0 +1,142 @@
+package ringspindle.consensus;
+
+import java.util.List;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeId;
+
+/**
+ * This node as a member of the control side: who it is, the view in force, its place there, and the time and links of the
+ * input at hand. Other packages read it; only the agreement on views changes the view.
+ */
+public final class Replica {
+    /** A gap between two ticks that is taken for a pause of this node; after it links are given time to show. */
+    private static final long PAUSE_MS = 500;
+
+    private static final long NEVER = -1;
+
+    private final NodeId self;
+    private final List<NodeId> seeds;
+    private View view;
+    private boolean relearning;
+    private Connectivity connectivity;
+    private long nowMs;
+    private long lastTickMs = NEVER;
+    private long pausedMs = Long.MIN_VALUE / 2;
+
+    Replica(NodeId self, List<NodeId> seeds) {
+        this.self = self;
+        this.seeds = List.copyOf(seeds);
+    }
+
+    /** The address of this node. */
+    public NodeId self() {
+        return self;
+    }
+
+    List<NodeId> seeds() {
+        return seeds;
+    }
+
+    // ---- the input at hand
+
+    /** Sets the time of the input at hand, in milliseconds of the node's steady clock. */
+    public void advanceTo(long nowMs) {
+        this.nowMs = nowMs;
+    }
+
+    /** The time of the input at hand, in milliseconds of the node's steady clock. */
+    public long nowMs() {
+        return nowMs;
+    }
+
+    /** A tick; true if this node was paused before it, so that it cannot tell how long the others were silent. */
+    boolean tick(long nowMs, Connectivity connectivity) {
+        advanceTo(nowMs);
+        this.connectivity = connectivity;
+        boolean paused = lastTickMs >= 0 && nowMs - lastTickMs > PAUSE_MS;
+        lastTickMs = nowMs;
+        if (paused) {
+            pausedMs = nowMs;
+        }
+        return paused;
+    }
+
+    boolean justPaused() {
+        return nowMs - pausedMs < PAUSE_MS;
+    }
+
+    // ---- links, as of the last tick
+
+    /** Links as of the last tick, null before the first. */
+    Connectivity connectivity() {
+        return connectivity;
+    }
+
+    /** False before the first tick: nothing is known of any link yet. */
+    public boolean linksKnown() {
+        return connectivity != null;
+    }
+
+    /** True while this node and the peer heard each other lately, as of the last tick. */
+    public boolean linked(NodeId peer) {
+        return connectivity != null && connectivity.linked(self, peer);
+    }
+
+    boolean leaving(NodeId node) {
+        return connectivity != null && connectivity.leaving(node);
+    }
+
+    // ---- the view
+
+    /** The newest view, null if unknown. */
+    public View view() {
+        return view;
+    }
+
+    void view(View newest) {
+        view = newest;
+    }
+
+    /** Epoch of the newest view, which must be known. */
+    public long epoch() {
+        return view.epoch();
+    }
+
+    /** True while this node may have forgotten what it promised, and so takes no part. */
+    public boolean relearning() {
+        return relearning;
+    }
+
+    void relearning(boolean is) {
+        relearning = is;
+    }
+
+    /** True if this node votes on the next view. */
+    public boolean votes() {
+        return view.voters().contains(self);
+    }
+
+    /** True if this node is a member of the chain. */
+    public boolean inChain() {
+        return view.chain().contains(self);
+    }
+
+    /** True if this node is first in the chain. */
+    public boolean isHead() {
+        return view.head().equals(self);
+    }
+
+    /** The next member of the chain, null if there is none. */
+    public NodeId successor() {
+        int index = view.chain().indexOf(self);
+        return index < 0 || index + 1 >= view.chain().size()
+                ? null
+                : view.chain().get(index + 1);
+    }
+
+    /** The member before this one, null if there is none. */
+    public NodeId predecessor() {
+        int index = view.chain().indexOf(self);
+        return index <= 0 ? null : view.chain().get(index - 1);
+    }
+}
--- a/src/main/java/ringspindle/replication/ViewMonitor.java
+++ b/src/main/java/ringspindle/consensus/ViewMonitor.java
@@ -1,4 +1,4 @@
-package ringspindle.replication;
+package ringspindle.consensus;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -31,16 +31,16 @@
     private static final long QUORUM_MS = 1200;
 
     private final Replica replica;
-    private final Membership membership;
+    private final VoterSelection selection;
     private final boolean bootstrap;
     private long startedMs = UNSET;
     private long wrongSinceMs = UNSET;
     private long quorumMs = Long.MIN_VALUE / 2;
     private long readdMs = READD_MS;
 
-    ViewMonitor(Replica replica, Membership membership, boolean bootstrap) {
+    ViewMonitor(Replica replica, VoterSelection selection, boolean bootstrap) {
         this.replica = replica;
-        this.membership = membership;
+        this.selection = selection;
         this.bootstrap = bootstrap;
     }
 
@@ -52,7 +52,7 @@
 
     void onPause() {
         wrongSinceMs = UNSET;
-        membership.forgetSilence();
+        selection.forgetSilence();
     }
 
     /** Time went on; notes with whom this node is in touch. */
@@ -60,11 +60,11 @@
         if (startedMs < 0) {
             startedMs = replica.nowMs();
         }
-        if (replica.view() != null && !replica.blank()) {
+        if (replica.view() != null && !replica.relearning()) {
             if (quorumLinked()) {
                 quorumMs = replica.nowMs();
             }
-            membership.observe(replica.view(), replica.reach(), replica.nowMs());
+            selection.observe(replica.view(), replica.connectivity(), replica.nowMs());
         }
     }
 
@@ -74,7 +74,7 @@
     }
 
     private boolean inTouch(NodeId node) {
-        return node.equals(replica.self) || replica.linked(node);
+        return node.equals(replica.self()) || replica.linked(node);
     }
 
     boolean quorumProven(long nowMs) {
@@ -83,7 +83,7 @@
 
     /** Too few voters to bear the losses asked for: orders wait for nodes that may still join. */
     boolean founding(long nowMs) {
-        if (replica.view() != null && replica.view().voters().size() >= membership.leastVoters()) {
+        if (replica.view() != null && replica.view().voters().size() >= selection.leastVoters()) {
             return false;
         }
         if (replica.view() == null || startedMs < 0) {
@@ -95,15 +95,15 @@
     }
 
     private boolean joinerInTouch() {
-        return replica.reach() != null
-                && replica.reach().live().stream()
+        return replica.connectivity() != null
+                && replica.connectivity().live().stream()
                         .anyMatch(n -> !replica.view().voters().contains(n) && !replica.leaving(n));
     }
 
     /** True if this node is to propose another view now. */
-    boolean proposalDue(Replication replication, Acceptor acceptor) {
+    boolean proposalDue(LocalCopy copy, Acceptor acceptor) {
         boolean able = replica.votes() && quorumLinked() && !replica.justPaused();
-        long patienceMs = able ? patience(replication, acceptor) : UNSET;
+        long patienceMs = able ? patience(copy, acceptor) : UNSET;
         if (patienceMs < 0) {
             wrongSinceMs = UNSET;
             return false;
@@ -118,13 +118,13 @@
     private long rank() {
         List<NodeId> order = new ArrayList<>(replica.view().chain());
         replica.view().voters().stream().filter(voter -> !order.contains(voter)).forEach(order::add);
-        return order.subList(0, order.indexOf(replica.self)).stream()
+        return order.subList(0, order.indexOf(replica.self())).stream()
                 .filter(replica::linked)
                 .count();
     }
 
     /** How long to bear what is wrong with the view, below 0 if nothing is. */
-    private long patience(Replication replication, Acceptor acceptor) {
+    private long patience(LocalCopy copy, Acceptor acceptor) {
         View view = replica.view();
         if (acceptor.fenced()) {
             return FENCED_MS;
@@ -135,16 +135,16 @@
         if (memberLeaves(view)) {
             return 0;
         }
-        if (replica.isHead() && replication.active() && replication.stalledFor(STALLED_MS)) {
+        if (replica.isHead() && copy.ofThisView() && copy.stalledFor(STALLED_MS)) {
             return 0;
         }
-        if (replica.isHead() && !replication.ofThisView() || replica.reach().blank(view.head())) {
+        if (replica.isHead() && !copy.ofThisView() || replica.connectivity().relearning(view.head())) {
             return BROKEN_MS;
         }
         if (voterToReadd(view)) {
             return readdMs;
         }
-        if (membership.changeDue(view, replica.reach(), replica.nowMs())) {
+        if (selection.changeDue(view, replica.connectivity(), replica.nowMs())) {
             return founding(replica.nowMs()) ? JOIN_FOUNDING_MS : JOIN_MS;
         }
         return UNSET;
@@ -153,7 +153,7 @@
     private boolean chainBroken(View view) {
         List<NodeId> chain = view.chain();
         for (int i = 0; i + 1 < chain.size(); i++) {
-            if (!replica.reach().linked(chain.get(i), chain.get(i + 1))) {
+            if (!replica.connectivity().linked(chain.get(i), chain.get(i + 1))) {
                 return true;
             }
         }
@@ -171,11 +171,11 @@
         for (NodeId voter : view.voters()) {
             boolean candidate = !view.chain().contains(voter)
                     && !replica.leaving(voter)
-                    && !replica.reach().blank(voter)
+                    && !replica.connectivity().relearning(voter)
                     && inTouch(voter);
             if (candidate
                     && view.chain().stream()
-                            .anyMatch(m -> inTouch(m) && replica.reach().linked(m, voter))) {
+                            .anyMatch(m -> inTouch(m) && replica.connectivity().linked(m, voter))) {
                 return true;
             }
         }
--- a/src/main/java/ringspindle/replication/ViewPlanner.java
+++ b/src/main/java/ringspindle/consensus/ViewPlanner.java
@@ -1,4 +1,4 @@
-package ringspindle.replication;
+package ringspindle.consensus;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -19,12 +19,12 @@
     private static final int PATH_STEPS_MAX = 4000;
 
     private final Replica replica;
-    private final Membership membership;
+    private final VoterSelection selection;
     private int pathSteps;
 
-    ViewPlanner(Replica replica, Membership membership) {
+    ViewPlanner(Replica replica, VoterSelection selection) {
         this.replica = replica;
-        this.membership = membership;
+        this.selection = selection;
     }
 
     /** The next view, null if these promises do not allow one. */
@@ -35,9 +35,9 @@
         }
         NodeId head = head(newest, promises);
         View view = replica.view();
-        List<NodeId> voters = replica.reach() == null
+        List<NodeId> voters = replica.connectivity() == null
                 ? view.voters()
-                : membership.nextVoters(view, promises.keySet(), head, replica.reach(), replica.nowMs());
+                : selection.nextVoters(view, promises.keySet(), head, replica.connectivity(), replica.nowMs());
         List<NodeId> chain = chain(head, voters, promises.keySet());
         if (chain == null && !voters.equals(view.voters())) {
             // with other voters there is no chain over a majority of them: leave them as they are for now
@@ -112,18 +112,18 @@
 
     /** Orders members by place, the head's first, so that the chain crosses each long link once. */
     private void sortByPlace(NodeId head, List<NodeId> members) {
-        if (replica.reach() == null) {
+        if (replica.connectivity() == null) {
             return;
         }
-        List<String> places = new ArrayList<>(List.of(replica.reach().place(head)));
+        List<String> places = new ArrayList<>(List.of(replica.connectivity().failureDomain(head)));
         for (NodeId member : members) {
-            String place = replica.reach().place(member);
+            String place = replica.connectivity().failureDomain(member);
             if (!places.contains(place)) {
                 places.add(place);
             }
         }
-        members.sort(
-                Comparator.comparingInt(member -> places.indexOf(replica.reach().place(member))));
+        members.sort(Comparator.comparingInt(
+                member -> places.indexOf(replica.connectivity().failureDomain(member))));
     }
 
     /** The longest path from the head over links that stand, or the best that a bounded search finds. */
@@ -138,7 +138,7 @@
             return best;
         }
         for (NodeId next : rest) {
-            if (replica.reach() != null && !replica.reach().linked(from, next)) {
+            if (replica.connectivity() != null && !replica.connectivity().linked(from, next)) {
                 continue;
             }
             List<NodeId> others = new ArrayList<>(rest);
--- a/src/main/java/ringspindle/replication/Membership.java
+++ b/src/main/java/ringspindle/consensus/VoterSelection.java
@@ -1,4 +1,4 @@
-package ringspindle.replication;
+package ringspindle.consensus;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -15,12 +15,7 @@
  * voter a view, as long as enough voters remain for the losses that have to be borne. A voter that was only cut off or
  * frozen joins again like any other node.
  */
-final class Membership {
-    /** More voters bear no loss that is asked for, and each of them is one more sync and hop for every order. */
-    static final int VOTERS_MAX = 9;
-    /** How long nobody may have heard of a voter before its seat is given away. */
-    static final long SILENT_VOTER_MS = 2000;
-
+final class VoterSelection {
     private final NodeId self;
     private final int leastVoters;
     private final Map<NodeId, Long> silentSinceMs = new TreeMap<>();
@@ -28,7 +23,7 @@
     /**
      * @param leastVoters as many voters as remain at least: 2f + 1 for the loss of f disks
      */
-    Membership(NodeId self, int leastVoters) {
+    VoterSelection(NodeId self, int leastVoters) {
         this.self = self;
         this.leastVoters = leastVoters;
     }
@@ -38,10 +33,10 @@
     }
 
     /** Notes which voters nobody in touch hears of. */
-    void observe(View view, ReplicatedState.Reach reach, long nowMs) {
+    void observe(View view, Connectivity connectivity, long nowMs) {
         silentSinceMs.keySet().retainAll(view.voters());
         for (NodeId voter : view.voters()) {
-            if (heardOf(voter, view, reach)) {
+            if (heardOf(voter, view, connectivity)) {
                 silentSinceMs.remove(voter);
             } else {
                 silentSinceMs.putIfAbsent(voter, nowMs);
@@ -54,12 +49,12 @@
         silentSinceMs.clear();
     }
 
-    private boolean heardOf(NodeId voter, View view, ReplicatedState.Reach reach) {
-        if (voter.equals(self) || reach.linked(self, voter)) {
+    private boolean heardOf(NodeId voter, View view, Connectivity connectivity) {
+        if (voter.equals(self) || connectivity.linked(self, voter)) {
             return true;
         }
         for (NodeId witness : view.voters()) {
-            if (!witness.equals(voter) && reach.linked(self, witness) && reach.linked(witness, voter)) {
+            if (!witness.equals(voter) && connectivity.linked(self, witness) && connectivity.linked(witness, voter)) {
                 return true;
             }
         }
@@ -67,8 +62,8 @@
     }
 
     /** True while another set of voters would be better than the one in force. */
-    boolean changeDue(View view, ReplicatedState.Reach reach, long nowMs) {
-        return !nextVoters(view, Set.of(), null, reach, nowMs).equals(view.voters());
+    boolean changeDue(View view, Connectivity connectivity, long nowMs) {
+        return !nextVoters(view, Set.of(), null, connectivity, nowMs).equals(view.voters());
     }
 
     /**
@@ -78,15 +73,15 @@
      * @param keep a voter that must stay since nobody else holds as much, null if there is none
      */
     List<NodeId> nextVoters(
-            View view, Collection<NodeId> promised, NodeId keep, ReplicatedState.Reach reach, long nowMs) {
-        List<NodeId> joiners = joiners(view, reach);
+            View view, Collection<NodeId> promised, NodeId keep, Connectivity connectivity, long nowMs) {
+        List<NodeId> joiners = joiners(view, connectivity);
         List<NodeId> voters = new ArrayList<>(view.voters());
-        NodeId gone = departed(view, promised, keep, reach, nowMs);
+        NodeId gone = departed(view, promised, keep, connectivity, nowMs);
         if (gone != null && voters.size() - 1 + joiners.size() >= leastVoters) {
             voters.remove(gone);
         }
         for (NodeId joiner : joiners) {
-            if (voters.size() < VOTERS_MAX) {
+            if (voters.size() < ViewConsensus.VOTERS_MAX) {
                 voters.add(joiner);
             }
         }
@@ -95,37 +90,37 @@
 
     /** The voter whose seat is given up next: one that leaves, else the one silent for longest; null if there is none. */
     private NodeId departed(
-            View view, Collection<NodeId> promised, NodeId keep, ReplicatedState.Reach reach, long nowMs) {
+            View view, Collection<NodeId> promised, NodeId keep, Connectivity connectivity, long nowMs) {
         for (NodeId voter : view.voters()) {
-            if (!voter.equals(keep) && reach.leaving(voter)) {
+            if (!voter.equals(keep) && connectivity.leaving(voter)) {
                 return voter;
             }
         }
         return view.voters().stream()
                 .filter(voter -> !voter.equals(keep) && !promised.contains(voter))
-                .filter(voter -> nowMs - silentSinceMs.getOrDefault(voter, nowMs) >= SILENT_VOTER_MS)
+                .filter(voter -> nowMs - silentSinceMs.getOrDefault(voter, nowMs) >= ViewConsensus.SILENT_VOTER_MS)
                 .min(Comparator.comparing(silentSinceMs::get))
                 .orElse(null);
     }
 
     /** Nodes that may vote: in touch, not leaving, with memory of what was promised, and heard by most voters. */
-    private List<NodeId> joiners(View view, ReplicatedState.Reach reach) {
+    private List<NodeId> joiners(View view, Connectivity connectivity) {
         List<NodeId> joiners = new ArrayList<>();
-        for (NodeId node : reach.live()) {
+        for (NodeId node : connectivity.live()) {
             if (!view.voters().contains(node)
-                    && !reach.leaving(node)
-                    && !reach.blank(node)
-                    && votersInTouch(node, view, reach) >= view.majority()) {
+                    && !connectivity.leaving(node)
+                    && !connectivity.relearning(node)
+                    && votersInTouch(node, view, connectivity) >= view.majority()) {
                 joiners.add(node);
             }
         }
         return joiners;
     }
 
-    private static int votersInTouch(NodeId node, View view, ReplicatedState.Reach reach) {
+    private static int votersInTouch(NodeId node, View view, Connectivity connectivity) {
         int inTouch = 0;
         for (NodeId voter : view.voters()) {
-            inTouch += reach.linked(node, voter) ? 1 : 0;
+            inTouch += connectivity.linked(node, voter) ? 1 : 0;
         }
         return inTouch;
     }
--- a/src/main/java/ringspindle/controlplane/ControlNode.java
+++ b/src/main/java/ringspindle/controlplane/ControlNode.java
@@ -15,6 +15,7 @@
 import java.util.function.Function;
 import ringspindle.api.Outcome;
 import ringspindle.config.NodeConfig;
+import ringspindle.consensus.Connectivity;
 import ringspindle.gossip.FactStore;
 import ringspindle.membership.DataNodeFact;
 import ringspindle.membership.FactValidator;
@@ -538,7 +539,7 @@
         View view;
         boolean blank;
         synchronized (chainLock) {
-            carryOut(chain.beat(nowMs, new Reach(live)));
+            carryOut(chain.beat(nowMs, new LiveConnectivity(live)));
             view = chain.view();
             current = chain.current(nowMs);
             blank = chain.blank();
@@ -580,10 +581,10 @@
     }
 
     /** Who is in touch with whom, for the chain. */
-    private final class Reach implements ReplicatedState.Reach {
+    private final class LiveConnectivity implements Connectivity {
         private final Set<NodeId> live;
 
-        Reach(Set<NodeId> live) {
+        LiveConnectivity(Set<NodeId> live) {
             this.live = live;
         }
 
@@ -605,7 +606,7 @@
         }
 
         @Override
-        public boolean blank(NodeId n) {
+        public boolean relearning(NodeId n) {
             return !n.equals(me) && says(n, Heartbeat.BLANK);
         }
 
@@ -617,7 +618,7 @@
         }
 
         @Override
-        public String place(NodeId n) {
+        public String failureDomain(NodeId n) {
             synchronized (bookLock) {
                 SessionTable.Peer p = meet.peer(n);
                 return n.equals(me)
--- a/src/main/java/ringspindle/replication/ChainReplicatedState.java
+++ b/src/main/java/ringspindle/replication/ChainReplicatedState.java
@@ -2,20 +2,16 @@
 
 import java.util.List;
 import java.util.Random;
+import ringspindle.consensus.Connectivity;
+import ringspindle.consensus.LocalCopy;
+import ringspindle.consensus.Replica;
+import ringspindle.consensus.ViewConsensus;
 import ringspindle.protocol.Message;
-import ringspindle.protocol.Message.Accept;
-import ringspindle.protocol.Message.Accepted;
 import ringspindle.protocol.Message.Call;
-import ringspindle.protocol.Message.Confirm;
 import ringspindle.protocol.Message.Confirmed;
-import ringspindle.protocol.Message.Decided;
 import ringspindle.protocol.Message.Entry;
 import ringspindle.protocol.Message.Install;
-import ringspindle.protocol.Message.Pledge;
 import ringspindle.protocol.Message.Position;
-import ringspindle.protocol.Message.Prepare;
-import ringspindle.protocol.Message.Relearn;
-import ringspindle.protocol.Message.Relearned;
 import ringspindle.protocol.Message.Reply;
 import ringspindle.protocol.Message.State;
 import ringspindle.protocol.Message.Synced;
@@ -24,53 +20,44 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * Chain replication under views. A view is decided by single-decree agreement of a majority of the previous view's voters; a
- * voter that promised the next epoch refuses the entries of the old one. The head of a new view is the promiser with the
- * newest state, so that nothing acknowledged is lost. This class hands each input to the part whose job it is.
+ * Chain replication under agreed views. The head of a new view is the promiser with the newest state, so that nothing
+ * acknowledged is lost. This class hands each input to the part whose job it is.
  */
 final class ChainReplicatedState implements ReplicatedState {
     private static final byte[] NONE = {};
     /** A node that has promised another view may answer for the old one no longer than this. */
     private static final long FENCED_MS = 1500;
 
+    private final ViewConsensus consensus;
     private final Replica replica;
-    private final Acceptor acceptor;
-    private final Proposer proposer;
-    private final Relearning relearning;
+    private final OutputQueue outputs;
     private final Replication replication;
     private final Orders orders;
-    private final ViewMonitor monitor;
     private boolean announced;
 
     ChainReplicatedState(
             NodeId self, List<NodeId> seeds, boolean bootstrap, List<Message> found, long randomSeed, int leastVoters) {
-        replica = new Replica(self, seeds, new Random(randomSeed));
-        Membership membership = new Membership(self, Math.min(Membership.VOTERS_MAX, leastVoters));
-        monitor = new ViewMonitor(replica, membership, bootstrap);
-        acceptor = new Acceptor(replica, this::position);
-        proposer = new Proposer(replica, acceptor, new ViewPlanner(replica, membership), this::learn);
-        relearning = new Relearning(replica);
-        orders = new Orders(replica, () -> !monitor.founding(replica.nowMs()));
-        replication = new Replication(replica, acceptor, orders);
+        Random random = new Random(randomSeed);
+        outputs = new OutputQueue(self);
+        consensus = new ViewConsensus(
+                new ViewConsensus.Settings(self, seeds, bootstrap, leastVoters), random, outputs, new Copy());
+        replica = consensus.replica();
+        orders = new Orders(replica, outputs, random, () -> !consensus.founding(replica.nowMs()));
+        replication = new Replication(consensus, outputs, orders);
         orders.over(replication);
         found.forEach(this::load);
         if (replica.view() == null) {
             if (bootstrap && seeds.contains(self)) {
                 found(seeds);
             } else {
-                replica.blank(true);
+                consensus.startWithoutMemory();
             }
         }
     }
 
-    private Position position() {
-        return replication.position();
-    }
-
     private void load(Message record) {
         if (record instanceof Vote vote) {
-            replica.view(vote.view());
-            acceptor.restore(vote.promisedEpoch(), vote.promised(), vote.acceptedBallot(), vote.accepted());
+            consensus.restore(vote);
         } else if (record instanceof State state) {
             replication.load(state);
         } else if (record instanceof Entry entry) {
@@ -80,9 +67,8 @@
 
     /** The first start of a system: its seeds are the first voters. */
     private void found(List<NodeId> seeds) {
-        State first = new State(1, 0, 0, List.of(), List.of(), NONE);
-        replica.view(new View(1, List.copyOf(seeds), List.copyOf(seeds), new Position(1, 0)));
-        replication.load(first);
+        consensus.bootstrap(seeds);
+        replication.load(new State(1, 0, 0, List.of(), List.of(), NONE));
     }
 
     // ---- what others see
@@ -99,65 +85,60 @@
 
     @Override
     public boolean current(long nowMs) {
-        if (replica.view() == null || !monitor.quorumProven(nowMs)) {
+        if (replica.view() == null || !consensus.quorumProven(nowMs)) {
             return false;
         }
         if (!replica.votes()) {
             // beyond the bound a node learns: it passes calls on, and hears what is committed as facts
-            return replica.view().voters().size() >= Membership.VOTERS_MAX && !replica.blank();
+            return consensus.allSeatsTaken() && !replica.relearning();
         }
-        return committed() != null && replication.ofThisView() && replica.inChain() && !acceptor.fencedFor(FENCED_MS);
+        return committed() != null && replication.ofThisView() && replica.inChain() && !consensus.fencedFor(FENCED_MS);
     }
 
     @Override
     public boolean blank() {
-        return replica.blank() || replica.view() == null;
+        return replica.relearning() || replica.view() == null;
     }
 
     @Override
     public boolean founding(long nowMs) {
-        return monitor.founding(nowMs);
+        return consensus.founding(nowMs);
     }
 
     @Override
     public List<Message> durable() {
-        return List.of(acceptor.vote(), replication.last());
+        return List.of(consensus.vote(), replication.last());
     }
 
     /** Where it stands, for tests and logs. */
     String standing() {
         View view = replica.view();
-        return "view " + (view == null ? null : view.epoch() + " " + view.chain()) + " " + acceptor + " " + replication
-                + " blank " + replica.blank() + " " + orders + " proposes " + proposer.proposing();
+        return "view " + (view == null ? null : view.epoch() + " " + view.chain()) + " " + consensus + " " + replication
+                + " " + orders;
     }
 
     // ---- inputs
 
     @Override
     public List<Out> on(NodeId from, Message message, long nowMs) {
-        replica.at(nowMs);
+        replica.advanceTo(nowMs);
         announce();
-        take(from, message);
+        receive(from, message);
         return finish();
     }
 
     @Override
     public List<Out> stored(long token, long nowMs) {
-        replica.at(nowMs);
-        replica.stored(token);
+        replica.advanceTo(nowMs);
+        outputs.synced(token);
         return finish();
     }
 
     @Override
     public List<Out> opened(NodeId peer, long nowMs) {
-        replica.at(nowMs);
+        replica.advanceTo(nowMs);
         announce();
-        if (replica.blank()) {
-            relearning.ask(peer);
-        } else if (replica.view() != null) {
-            // whichever of the two missed a view learns it
-            replica.send(peer, new Decided(replica.view()));
-        }
+        consensus.opened(peer);
         replication.onOpened(peer);
         orders.onOpened(peer);
         return finish();
@@ -165,81 +146,53 @@
 
     @Override
     public List<Out> call(Call call, long nowMs) {
-        replica.at(nowMs);
+        replica.advanceTo(nowMs);
         announce();
         orders.take(call);
         return finish();
     }
 
     @Override
-    public List<Out> beat(long nowMs, Reach reach) {
-        if (replica.tick(nowMs, reach)) {
-            monitor.onPause();
-        }
+    public List<Out> beat(long nowMs, Connectivity connectivity) {
+        consensus.observe(nowMs, connectivity);
         announce();
-        monitor.tick();
         orders.tick();
-        if (replica.blank()) {
-            relearning.askAll();
-        } else if (replica.view() != null) {
-            relearning.askOne();
+        consensus.askPeers();
+        if (!blank()) {
             orders.goOn();
             replication.tick();
-            judge();
+            consensus.proposeIfDue();
         }
         return finish();
     }
 
-    private void judge() {
-        if (proposer.proposing()) {
-            proposer.tick();
-        } else if (monitor.proposalDue(replication, acceptor) && proposer.mayPropose()) {
-            proposer.propose();
-        }
-    }
-
     private List<Out> finish() {
-        for (Message message = replica.pollSelf(); message != null; message = replica.pollSelf()) {
-            take(replica.self, message);
+        for (Message message = outputs.pollSelf(); message != null; message = outputs.pollSelf()) {
+            receive(replica.self(), message);
         }
-        return replica.takeOutputs();
+        return outputs.takeOutputs();
     }
 
     /** The first view and state go to disk before anything else is said or written. */
     private void announce() {
-        if (announced || replica.view() == null || replica.blank()) {
+        if (announced || blank()) {
             return;
         }
         announced = true;
-        replica.emit(new Out.Viewed(replica.view()));
+        outputs.emit(new Out.Viewed(replica.view()));
         replication.writeFirst();
     }
 
-    private void take(NodeId from, Message message) {
-        if (message instanceof Prepare prepare) {
-            learn(prepare.view());
-            acceptor.onPrepare(from, prepare);
-        } else if (message instanceof Pledge pledge) {
-            learn(pledge.view());
-            proposer.onPledge(from, pledge);
-        } else if (message instanceof Accept accept) {
-            acceptor.onAccept(from, accept);
-        } else if (message instanceof Accepted accepted) {
-            proposer.onAccepted(from, accepted);
-        } else if (message instanceof Decided decided) {
-            learn(decided.view());
-        } else if (message instanceof Relearn relearn) {
-            acceptor.onRelearn(from, relearn);
-        } else if (message instanceof Relearned relearned) {
-            onRelearned(from, relearned);
-        } else if (message instanceof Install install) {
+    private void receive(NodeId from, Message message) {
+        if (consensus.receive(from, message)) {
+            return;
+        }
+        if (message instanceof Install install) {
             replication.onInstall(from, install);
         } else if (message instanceof Entry entry) {
             replication.onEntry(from, entry);
         } else if (message instanceof Synced synced) {
             replication.onSynced(from, synced);
-        } else if (message instanceof Confirm confirm) {
-            replica.send(from, new Confirmed(confirm.epoch(), confirm.id(), confirms(confirm.epoch())));
         } else if (message instanceof Confirmed confirmed) {
             orders.onConfirmed(from, confirmed);
         } else if (message instanceof Call call) {
@@ -249,36 +202,33 @@
         }
     }
 
-    /** True while this node knows of no newer view, decided or promised. */
-    private boolean confirms(long epoch) {
-        return replica.view() != null && replica.epoch() == epoch && !acceptor.fenced() && !replica.blank();
-    }
+    /** What the agreement on views sees and tells of the copy held here. */
+    private final class Copy implements LocalCopy {
+        @Override
+        public Position position() {
+            return replication.position();
+        }
 
-    // ---- views
+        @Override
+        public boolean ofThisView() {
+            return replication.ofThisView();
+        }
 
-    private void learn(View view) {
-        if (view == null || replica.view() != null && view.epoch() <= replica.epoch()) {
-            return;
+        @Override
+        public boolean stalledFor(long ms) {
+            return replication.stalledFor(ms);
         }
-        replica.view(view);
-        if (replica.blank()) {
-            // a node without memory must not act in any view before it has relearned
-            return;
+
+        @Override
+        public void onViewStarted(View view) {
+            outputs.emit(new Out.Viewed(view));
+            replication.startView();
+            orders.startView();
         }
-        acceptor.settled(view);
-        proposer.startView();
-        monitor.startView();
-        replica.emit(new Out.Viewed(view));
-        replication.startView();
-        orders.startView();
-    }
 
-    private void onRelearned(NodeId from, Relearned relearned) {
-        if (!replica.blank() || relearned.view() == null) {
-            learn(relearned.view());
-        } else if (relearning.onRelearned(from, relearned, acceptor)) {
-            replica.blank(false);
-            replica.emit(new Out.Viewed(replica.view()));
+        @Override
+        public void onRelearned(View view) {
+            outputs.emit(new Out.Viewed(view));
             replication.reset();
         }
     }
--- a/src/main/java/ringspindle/replication/Orders.java
+++ b/src/main/java/ringspindle/replication/Orders.java
@@ -17,11 +17,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.BooleanSupplier;
 import ringspindle.api.Outcome;
+import ringspindle.consensus.Replica;
 import ringspindle.protocol.Message.Call;
 import ringspindle.protocol.Message.Confirm;
 import ringspindle.protocol.Message.Confirmed;
@@ -67,6 +69,7 @@
     private record Waiting(Held held, Content.Decision decision, long seq) {}
 
     private final Replica replica;
+    private final OutputQueue outputs;
     private final BooleanSupplier takesOrders;
     private final Content content = new Content();
     private final Map<NodeId, Map<Long, Held>> held = new TreeMap<>();
@@ -81,11 +84,12 @@
     /**
      * @param takesOrders false while too few voters could keep what would be acknowledged
      */
-    Orders(Replica replica, BooleanSupplier takesOrders) {
+    Orders(Replica replica, OutputQueue outputs, Random random, BooleanSupplier takesOrders) {
         this.replica = replica;
+        this.outputs = outputs;
         this.takesOrders = takesOrders;
         // numbers of an earlier life of this node must not be taken for this one's
-        nextConfirm = replica.random.nextLong();
+        nextConfirm = random.nextLong();
     }
 
     /** Where orders are appended and readings are made. */
@@ -97,7 +101,7 @@
 
     /** A caller's own call. */
     void take(Call call) {
-        hold(replica.self, call.since(knownVersion(call)));
+        hold(replica.self(), call.since(knownVersion(call)));
     }
 
     /** How new what a caller's order may replace is, as far as this node knows; orders on revisions name theirs. */
@@ -113,7 +117,7 @@
 
     /** A call that another node took; whoever passes it on asks the next view's head anew, so it must not wait here for that. */
     void onCall(NodeId from, Call call) {
-        if (replica.view() != null && target(call).equals(replica.self)) {
+        if (replica.view() != null && target(call).equals(replica.self())) {
             hold(from, call);
         }
     }
@@ -131,7 +135,7 @@
     void startView() {
         unconfirmed.clear();
         waiting.clear();
-        held.keySet().removeIf(origin -> !origin.equals(replica.self));
+        held.keySet().removeIf(origin -> !origin.equals(replica.self()));
         goOn();
     }
 
@@ -141,7 +145,7 @@
             return;
         }
         if (peer.equals(replica.view().head()) || peer.equals(replica.view().tail())) {
-            held.getOrDefault(replica.self, Map.of()).values().stream()
+            held.getOrDefault(replica.self(), Map.of()).values().stream()
                     .filter(h -> target(h.call).equals(peer))
                     .forEach(h -> h.sentEpoch = UNSENT);
         }
@@ -150,7 +154,7 @@
 
     /** Passes on or decides what has not been in this view. */
     void goOn() {
-        if (held.isEmpty() || replica.view() == null || replica.blank()) {
+        if (held.isEmpty() || replica.view() == null || replica.relearning()) {
             return;
         }
         for (Map<Long, Held> calls : held.values()) {
@@ -167,10 +171,10 @@
 
     private void goOn(Held call) {
         NodeId target = target(call.call);
-        if (!target.equals(replica.self)) {
-            if (call.origin.equals(replica.self) && (replica.reach() == null || replica.linked(target))) {
+        if (!target.equals(replica.self())) {
+            if (call.origin.equals(replica.self()) && (!replica.linksKnown() || replica.linked(target))) {
                 call.sentEpoch = replica.epoch();
-                replica.send(target, call.call);
+                outputs.send(target, call.call);
             }
             return;
         }
@@ -202,8 +206,8 @@
         for (Map<Long, Held> calls : held.values()) {
             calls.values().removeIf(call -> {
                 boolean overdue = overdue(call);
-                if (overdue && call.origin.equals(replica.self)) {
-                    replica.emit(new ReplicatedState.Out.Answer(call.call.id(), Outcome.UNCLEAR, NONE));
+                if (overdue && call.origin.equals(replica.self())) {
+                    outputs.emit(new ReplicatedState.Out.Answer(call.call.id(), Outcome.UNCLEAR, NONE));
                 }
                 return overdue;
             });
@@ -227,7 +231,7 @@
         long id = nextConfirm++;
         unconfirmed.put(
                 id, new Unconfirmed(call, decision, replication.last().seq(), replica.nowMs(), new TreeSet<>()));
-        replica.view().voters().forEach(voter -> replica.send(voter, new Confirm(replica.epoch(), id)));
+        replica.view().voters().forEach(voter -> outputs.send(voter, new Confirm(replica.epoch(), id)));
     }
 
     void onConfirmed(NodeId from, Confirmed confirmation) {
@@ -296,19 +300,19 @@
     }
 
     private void reply(NodeId origin, long call, Outcome outcome, byte[] body) {
-        if (origin.equals(replica.self)) {
-            replica.emit(new ReplicatedState.Out.Answer(call, outcome, body));
+        if (origin.equals(replica.self())) {
+            outputs.emit(new ReplicatedState.Out.Answer(call, outcome, body));
         } else {
-            replica.send(origin, new Reply(call, outcome.ordinal(), body));
+            outputs.send(origin, new Reply(call, outcome.ordinal(), body));
         }
     }
 
     /** The answer of the head or tail to a call that was taken here. */
     void onReply(Reply reply) {
-        Map<Long, Held> calls = held.get(replica.self);
+        Map<Long, Held> calls = held.get(replica.self());
         boolean known = reply.outcome() >= 0 && reply.outcome() < Outcome.values().length;
         if (known && calls != null && calls.remove(reply.id()) != null) {
-            replica.emit(new ReplicatedState.Out.Answer(reply.id(), Outcome.values()[reply.outcome()], reply.body()));
+            outputs.emit(new ReplicatedState.Out.Answer(reply.id(), Outcome.values()[reply.outcome()], reply.body()));
         }
     }
 
--- /dev/null
+++ b/src/main/java/ringspindle/replication/OutputQueue.java
@@ -0,0 +1,77 @@
+package ringspindle.replication;
+
+import it.unimi.dsi.fastutil.longs.Long2ObjectMap;
+import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import ringspindle.consensus.Effects;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.NodeId;
+
+/** What the input at hand leads to: messages, writes, answers; and what goes on once a write is synced. */
+final class OutputQueue implements Effects {
+    private final NodeId self;
+    private final Long2ObjectMap<Runnable> afterSync = new Long2ObjectOpenHashMap<>();
+    private final ArrayDeque<Message> toSelf = new ArrayDeque<>();
+    private List<ReplicatedState.Out> outputs = new ArrayList<>();
+    private long nextId;
+
+    OutputQueue(NodeId self) {
+        this.self = self;
+    }
+
+    @Override
+    public void send(NodeId to, Message message) {
+        if (to.equals(self)) {
+            toSelf.add(message);
+        } else {
+            outputs.add(new ReplicatedState.Out.Send(to, message));
+        }
+    }
+
+    @Override
+    public void append(List<Message> records, Runnable whenSynced) {
+        store(records, false, whenSynced);
+    }
+
+    /** Writes and syncs the records in place of all that was written before. */
+    void replaceAll(List<Message> records, Runnable whenSynced) {
+        store(records, true, whenSynced);
+    }
+
+    private void store(List<Message> records, boolean snapshot, Runnable whenSynced) {
+        long token = nextId();
+        afterSync.put(token, whenSynced);
+        outputs.add(new ReplicatedState.Out.Store(token, records, snapshot));
+    }
+
+    /** The records of that token are synced; a token that is not known is let pass. */
+    void synced(long token) {
+        Runnable whenSynced = afterSync.remove(token);
+        if (whenSynced != null) {
+            whenSynced.run();
+        }
+    }
+
+    @Override
+    public long nextId() {
+        return nextId++;
+    }
+
+    void emit(ReplicatedState.Out output) {
+        outputs.add(output);
+    }
+
+    /** The next message of this node to itself, null if there is none. */
+    Message pollSelf() {
+        return toSelf.poll();
+    }
+
+    /** What has come together since the last call. */
+    List<ReplicatedState.Out> takeOutputs() {
+        List<ReplicatedState.Out> taken = outputs;
+        outputs = new ArrayList<>();
+        return taken;
+    }
+}
--- a/src/main/java/ringspindle/replication/ReplicatedState.java
+++ b/src/main/java/ringspindle/replication/ReplicatedState.java
@@ -1,8 +1,8 @@
 package ringspindle.replication;
 
-import java.util.Collection;
 import java.util.List;
 import ringspindle.api.Outcome;
+import ringspindle.consensus.Connectivity;
 import ringspindle.protocol.Message;
 import ringspindle.protocol.Message.Call;
 import ringspindle.protocol.Message.State;
@@ -30,30 +30,6 @@
         record Viewed(View view) implements Out {}
     }
 
-    /** Who is in touch with whom, as this node knows it. */
-    interface Reach {
-        /** True while both sides heard each other lately. */
-        boolean linked(NodeId a, NodeId b);
-
-        /** Control nodes that this node is in touch with. */
-        Collection<NodeId> live();
-
-        /** Where a node stands, so that a chain crosses few long links; equal names are near each other. */
-        default String place(NodeId n) {
-            return "";
-        }
-
-        /** True for a node, this one or another, that has said that it is about to end. */
-        default boolean leaving(NodeId n) {
-            return false;
-        }
-
-        /** True for a peer that lost its disk and has not relearned yet what was promised: it can neither vote nor hold state. */
-        default boolean blank(NodeId n) {
-            return false;
-        }
-    }
-
     /** Kinds of calls and ops. */
     int PUT = 1;
 
@@ -82,7 +58,7 @@
     List<Out> opened(NodeId peer, long nowMs);
 
     /** Time went on. */
-    List<Out> beat(long nowMs, Reach reach);
+    List<Out> beat(long nowMs, Connectivity connectivity);
 
     /** A call came in at this node; the answer comes as {@link Out.Answer} with its id. */
     List<Out> call(Call c, long nowMs);
--- a/src/main/java/ringspindle/replication/Replication.java
+++ b/src/main/java/ringspindle/replication/Replication.java
@@ -2,6 +2,8 @@
 
 import java.util.ArrayDeque;
 import java.util.List;
+import ringspindle.consensus.Replica;
+import ringspindle.consensus.ViewConsensus;
 import ringspindle.protocol.Codec;
 import ringspindle.protocol.Message.Entry;
 import ringspindle.protocol.Message.Install;
@@ -36,7 +38,8 @@
     private record Pending(long seq, State state, byte[] op, NodeId origin, long call) {}
 
     private final Replica replica;
-    private final Acceptor acceptor;
+    private final ViewConsensus consensus;
+    private final OutputQueue outputs;
     private final Listener listener;
     private final ArrayDeque<Pending> pending = new ArrayDeque<>();
     private State last = new State(NOTHING, 0, 0, List.of(), List.of(), NONE);
@@ -51,9 +54,10 @@
     private long resendMs = RESEND_MS;
     private long uncommittedSinceMs;
 
-    Replication(Replica replica, Acceptor acceptor, Listener listener) {
-        this.replica = replica;
-        this.acceptor = acceptor;
+    Replication(ViewConsensus consensus, OutputQueue outputs, Listener listener) {
+        this.replica = consensus.replica();
+        this.consensus = consensus;
+        this.outputs = outputs;
         this.listener = listener;
     }
 
@@ -75,7 +79,11 @@
 
     /** True while this node takes part in the chain of the view in force, with a copy that belongs to it. */
     boolean active() {
-        return replica.view() != null && !replica.blank() && !acceptor.fenced() && ofThisView() && replica.inChain();
+        return replica.view() != null
+                && !replica.relearning()
+                && !consensus.fenced()
+                && ofThisView()
+                && replica.inChain();
     }
 
     /** True while, besides, it is known here what is committed in this view. */
@@ -120,7 +128,7 @@
         uncommittedSinceMs = replica.nowMs();
         State first = last;
         long epoch = replica.epoch();
-        replica.store(List.of(acceptor.vote(), first), true, () -> {
+        outputs.replaceAll(List.of(consensus.vote(), first), () -> {
             if (active() && replica.epoch() == epoch && replica.isHead()) {
                 onStored(first);
             }
@@ -130,7 +138,7 @@
     /** Starts anew with nothing, and with a vote that was relearned. */
     void reset() {
         load(new State(NOTHING, 0, 0, List.of(), List.of(), NONE));
-        replica.store(List.of(acceptor.vote(), last), true, () -> {});
+        outputs.replaceAll(List.of(consensus.vote(), last), () -> {});
     }
 
     /** A new view is in force. Its head turns the copy it holds into the first of the view; others wait for a snapshot. */
@@ -145,9 +153,9 @@
         if (leads) {
             last = inThisView(last);
             State first = last;
-            replica.store(List.of(acceptor.vote(), first), true, () -> onStored(first));
+            outputs.replaceAll(List.of(consensus.vote(), first), () -> onStored(first));
         } else {
-            replica.store(List.of(acceptor.vote()), false, () -> {});
+            outputs.append(List.of(consensus.vote()), () -> {});
         }
     }
 
@@ -172,7 +180,7 @@
         last = Content.apply(last, (Op) Codec.decode(op));
         State state = last;
         pending.add(new Pending(state.seq(), state, op, origin, call));
-        replica.store(List.of(new Entry(replica.epoch(), state.seq(), op)), false, () -> onStored(state));
+        outputs.append(List.of(new Entry(replica.epoch(), state.seq(), op)), () -> onStored(state));
     }
 
     /** A state of some view is on this disk. */
@@ -189,7 +197,7 @@
 
     /** Commits at the tail, else passes on what is synced. */
     private void goOn() {
-        if (acceptor.fenced()) {
+        if (consensus.fenced()) {
             return;
         }
         if (replica.successor() == null) {
@@ -237,7 +245,7 @@
         }
         for (Pending entry : pending) {
             if (entry.seq() > sentDown && entry.seq() <= synced) {
-                replica.send(next, new Entry(replica.epoch(), entry.seq(), entry.op()));
+                outputs.send(next, new Entry(replica.epoch(), entry.seq(), entry.op()));
                 sentDown = entry.seq();
                 sentDownMs = replica.nowMs();
             }
@@ -249,14 +257,14 @@
         if (syncedState.lineage() != replica.epoch()) {
             return false;
         }
-        replica.send(next, new Install(replica.epoch(), syncedState.seq(), Codec.encode(syncedState)));
+        outputs.send(next, new Install(replica.epoch(), syncedState.seq(), Codec.encode(syncedState)));
         sentDown = syncedState.seq();
         sentDownMs = replica.nowMs();
         return true;
     }
 
     void onInstall(NodeId from, Install install) {
-        boolean takes = replica.view() != null && !replica.blank() && !acceptor.fenced();
+        boolean takes = replica.view() != null && !replica.relearning() && !consensus.fenced();
         if (!takes || install.epoch() != replica.epoch() || !from.equals(replica.predecessor())) {
             return;
         }
@@ -271,7 +279,7 @@
         sentDown = NOTHING;
         synced = NOTHING;
         State installed = last;
-        replica.store(List.of(acceptor.vote(), installed), true, () -> onStored(installed));
+        outputs.replaceAll(List.of(consensus.vote(), installed), () -> onStored(installed));
     }
 
     void onEntry(NodeId from, Entry entry) {
@@ -291,7 +299,7 @@
     /** Says again what is committed, to a predecessor that seems not to have heard it. */
     private void confirmCommitted() {
         if (committedInThisView() && replica.predecessor() != null) {
-            replica.send(replica.predecessor(), new Synced(replica.epoch(), committed.seq()));
+            outputs.send(replica.predecessor(), new Synced(replica.epoch(), committed.seq()));
         }
     }
 
@@ -325,10 +333,10 @@
         if (newest != null && newer(newest)) {
             uncommittedSinceMs = replica.nowMs();
             committed = inThisView(newest);
-            replica.emit(new ReplicatedState.Out.Committed(committed));
+            outputs.emit(new ReplicatedState.Out.Committed(committed));
         }
         if (replica.predecessor() != null) {
-            replica.send(replica.predecessor(), new Synced(replica.epoch(), seq));
+            outputs.send(replica.predecessor(), new Synced(replica.epoch(), seq));
         }
         listener.committed(seq);
     }
--- a/src/test/java/ringspindle/replication/ChainReplicatedStateTest.java
+++ b/src/test/java/ringspindle/replication/ChainReplicatedStateTest.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import ringspindle.api.Outcome;
+import ringspindle.consensus.Connectivity;
 import ringspindle.protocol.Codec;
 import ringspindle.protocol.Message;
 import ringspindle.protocol.Message.Accept;
@@ -32,7 +33,6 @@
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
 import ringspindle.replication.ReplicatedState.Out;
-import ringspindle.replication.ReplicatedState.Reach;
 
 /** Single steps of the chain, input by input. */
 class ChainReplicatedStateTest {
@@ -40,7 +40,7 @@
     private static final NodeId B = NodeId.of("10.0.0.2:7000");
     private static final NodeId C = NodeId.of("10.0.0.3:7000");
     private static final List<NodeId> ALL = List.of(A, B, C);
-    private static final Reach TOUCH = new Reach() {
+    private static final Connectivity TOUCH = new Connectivity() {
         @Override
         public boolean linked(NodeId a, NodeId b) {
             return true;
@@ -240,7 +240,7 @@
         synced(c, c.beat(0, TOUCH));
         View two = new View(2, ALL, List.of(A, C), new Position(1, 5));
         synced(c, c.on(A, new Decided(two), 5));
-        Reach withB = new Reach() {
+        Connectivity withB = new Connectivity() {
             @Override
             public boolean linked(NodeId a, NodeId b) {
                 return !a.equals(A) && !b.equals(A);
--- a/src/test/java/ringspindle/replication/ChainSimulation.java
+++ b/src/test/java/ringspindle/replication/ChainSimulation.java
@@ -18,6 +18,7 @@
 import ringspindle.api.Outcome;
 import ringspindle.config.FleetConfig;
 import ringspindle.config.Validated;
+import ringspindle.consensus.Connectivity;
 import ringspindle.protocol.Codec;
 import ringspindle.protocol.Message;
 import ringspindle.protocol.Message.Call;
@@ -310,7 +311,7 @@
             return;
         }
         if (n.frozenUntilMs <= nowMs) {
-            carry(n, n.machine.beat(nowMs, new ReplicatedState.Reach() {
+            carry(n, n.machine.beat(nowMs, new Connectivity() {
                 @Override
                 public boolean linked(NodeId a, NodeId b) {
                     return a.equals(b) || ChainSimulation.this.linked(a, b);
@@ -333,13 +334,13 @@
                 }
 
                 @Override
-                public boolean blank(NodeId o) {
+                public boolean relearning(NodeId o) {
                     Node peer = byId.get(o);
                     return up(peer) && peer.machine.blank();
                 }
 
                 @Override
-                public String place(NodeId o) {
+                public String failureDomain(NodeId o) {
                     return Long.toString((o.bits() >>> 24) % 3);
                 }
             }));
--- a/src/test/java/ringspindle/replication/ChainSimulationTest.java
+++ b/src/test/java/ringspindle/replication/ChainSimulationTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import ringspindle.consensus.ViewConsensus;
 
 /** Histories of the simulated core, checked after the fact. Seeds are fixed; a failure names its seed. */
 class ChainSimulationTest {
@@ -38,7 +39,7 @@
             assertEquals(List.of(), h.problems(), () -> "seed and size " + sim.name() + sim.standing());
             assertTrue(h.readBack >= 0, "nothing could be read back, seed " + seed);
             assertEquals(
-                    Math.min(size, Membership.VOTERS_MAX),
+                    Math.min(size, ViewConsensus.VOTERS_MAX),
                     sim.voters(),
                     () -> "all vote in the end " + sim.name() + sim.standing());
             acked += h.acked.size();
@@ -131,16 +132,16 @@
         ChainSimulation sim = new ChainSimulation(3, 12, 3, 2);
         ChainSimulation.History h = sim.run(0, 25_000);
         assertEquals(List.of(), h.problems(), () -> sim.name() + sim.standing());
-        assertEquals(Membership.VOTERS_MAX, sim.voters());
+        assertEquals(ViewConsensus.VOTERS_MAX, sim.voters());
         assertTrue(h.acked.size() > 10, "acknowledged " + h.acked.size());
     }
 
     /** With all seats taken a node that only learns takes the one of a voter that is gone. */
     @Test
     void learnerTakesTheSeatOfALostVoter() {
-        ChainSimulation sim = new ChainSimulation(5, Membership.VOTERS_MAX + 1, 3, 2);
+        ChainSimulation sim = new ChainSimulation(5, ViewConsensus.VOTERS_MAX + 1, 3, 2);
         sim.script(20_000, () -> {
-            sim.checkVoters(Membership.VOTERS_MAX);
+            sim.checkVoters(ViewConsensus.VOTERS_MAX);
             sim.loseForGood(sim.votersOfNewest().get(1));
         });
         ChainSimulation.History h = sim.run(0, 26_000);
--- a/src/test/java/ringspindle/replication/ModelFingerprint.java
+++ b/src/test/java/ringspindle/replication/ModelFingerprint.java
@@ -11,6 +11,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
+import ringspindle.consensus.Connectivity;
 import ringspindle.protocol.Codec;
 import ringspindle.protocol.Message;
 import ringspindle.protocol.NodeId;
@@ -61,7 +62,7 @@
     private void addFields(Object value) {
         boolean skipped = value instanceof Runnable
                 || value instanceof Random
-                || value instanceof ReplicatedState.Reach
+                || value instanceof Connectivity
                 || value instanceof Content;
         boolean ours = value.getClass().getName().startsWith("ringspindle.")
                 && !value.getClass().isHidden();
--- a/src/test/java/ringspindle/replication/ModelPlanted.java
+++ b/src/test/java/ringspindle/replication/ModelPlanted.java
@@ -10,6 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import ringspindle.api.Outcome;
+import ringspindle.consensus.Connectivity;
 import ringspindle.protocol.Codec;
 import ringspindle.protocol.Message;
 import ringspindle.protocol.Message.Call;
@@ -162,8 +163,8 @@
         }
 
         @Override
-        public List<Out> beat(long nowMs, Reach reach) {
-            return synced(super.beat(nowMs, reach), nowMs);
+        public List<Out> beat(long nowMs, Connectivity connectivity) {
+            return synced(super.beat(nowMs, connectivity), nowMs);
         }
 
         @Override
@@ -247,8 +248,8 @@
         }
 
         @Override
-        public List<Out> beat(long nowMs, Reach reach) {
-            return forget(super.beat(nowMs, reach));
+        public List<Out> beat(long nowMs, Connectivity connectivity) {
+            return forget(super.beat(nowMs, connectivity));
         }
 
         @Override
@@ -266,17 +267,17 @@
         }
 
         @Override
-        public List<Out> beat(long nowMs, Reach reach) {
+        public List<Out> beat(long nowMs, Connectivity connectivity) {
             View view = view();
             if (view != null && view.voters().contains(me)) {
                 List<NodeId> linked = view.voters().stream()
-                        .filter(v -> v.equals(me) || reach.linked(me, v))
+                        .filter(v -> v.equals(me) || connectivity.linked(me, v))
                         .toList();
                 if (linked.size() < view.voters().size()) {
                     super.on(me, new Decided(ModelViews.next(view, linked, linked)), nowMs);
                 }
             }
-            return super.beat(nowMs, reach);
+            return super.beat(nowMs, connectivity);
         }
     }
 
@@ -351,13 +352,13 @@
         }
 
         @Override
-        public List<Out> beat(long nowMs, Reach reach) {
+        public List<Out> beat(long nowMs, Connectivity connectivity) {
             List<Out> outs = new ArrayList<>();
             while (!late.isEmpty() && late.peek().dueMs() <= nowMs) {
                 Late next = late.poll();
                 outs.addAll(super.on(next.from(), next.call(), nowMs));
             }
-            outs.addAll(super.beat(nowMs, reach));
+            outs.addAll(super.beat(nowMs, connectivity));
             return outs;
         }
     }
--- a/src/test/java/ringspindle/replication/ModelTamper.java
+++ b/src/test/java/ringspindle/replication/ModelTamper.java
@@ -1,6 +1,7 @@
 package ringspindle.replication;
 
 import java.util.List;
+import ringspindle.consensus.Connectivity;
 import ringspindle.protocol.Message;
 import ringspindle.protocol.Message.Call;
 import ringspindle.protocol.Message.State;
@@ -34,8 +35,8 @@
     }
 
     @Override
-    public List<Out> beat(long nowMs, Reach reach) {
-        return inner.beat(nowMs, reach);
+    public List<Out> beat(long nowMs, Connectivity connectivity) {
+        return inner.beat(nowMs, connectivity);
     }
 
     @Override
--- a/src/test/java/ringspindle/replication/ModelWorld.java
+++ b/src/test/java/ringspindle/replication/ModelWorld.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import ringspindle.consensus.Connectivity;
 import ringspindle.protocol.Codec;
 import ringspindle.protocol.Message;
 import ringspindle.protocol.Message.Call;
@@ -294,7 +295,7 @@
     }
 
     /** What a node knows of the others. */
-    private final class ModelReach implements ReplicatedState.Reach {
+    private final class ModelReach implements Connectivity {
         private final ModelNode self;
 
         ModelReach(ModelNode self) {
@@ -319,7 +320,7 @@
         }
 
         @Override
-        public String place(NodeId node) {
+        public String failureDomain(NodeId node) {
             return Integer.toString(byId.get(node).slot % 3);
         }
 
@@ -329,7 +330,7 @@
         }
 
         @Override
-        public boolean blank(NodeId node) {
+        public boolean relearning(NodeId node) {
             ReplicatedState chain = byId.get(node).chain;
             return chain != null && chain.blank();
         }
