--- /dev/null
+++ b/src/test/java/ringspindle/loadbalancing/SelectionSequence.java
@@ -0,0 +1,363 @@
+package ringspindle.loadbalancing;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Properties;
+import java.util.Random;
+import java.util.Set;
+import java.util.TreeMap;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.NodeConfig;
+import ringspindle.config.Validated;
+import ringspindle.loadbalancing.LoadBalancer.HealthProbe;
+import ringspindle.loadbalancing.LoadBalancer.NoCapacity;
+import ringspindle.loadbalancing.LoadBalancer.RoutingPreference;
+import ringspindle.loadbalancing.LoadBalancer.SelectedEngine;
+import ringspindle.loadbalancing.LoadBalancer.Selection;
+import ringspindle.loadbalancing.LoadBalancer.SelectionRequest;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.EngineLoad;
+import ringspindle.protocol.Message.Lease;
+import ringspindle.protocol.Message.Load;
+import ringspindle.protocol.Message.RegionLoad;
+import ringspindle.retry.AttemptOutcome;
+import ringspindle.routing.FallbackTarget;
+import ringspindle.telemetry.AttemptCounts;
+import ringspindle.telemetry.LoadSummary;
+
+/**
+ * Three load balancers under a seeded sequence of events, whose every answer goes into a running hash. Nothing but the
+ * seed decides what happens.
+ */
+final class SelectionSequence {
+    private static final String[] ZONES = {"a1", "a2", "b1", "c1"};
+    private static final String[] REGIONS = {"a", "b", "c"};
+    private static final String[] SERVICES = {"warm", "steady", "unlisted"};
+    private static final int ENGINES = 20;
+
+    /** How often each kind of decision was met. */
+    static final class Totals {
+        private final Map<String, Integer> byKind = new TreeMap<>();
+
+        Totals() {
+            for (String kind : List.of(
+                    "selected",
+                    "plain",
+                    "noCapacity250",
+                    "noCapacity600",
+                    "noCapacity900",
+                    "probe",
+                    "retry",
+                    "noRetry",
+                    "preferred",
+                    "plainNone",
+                    "preferredNone")) {
+                byKind.put(kind, 0);
+            }
+        }
+
+        void count(String kind) {
+            byKind.merge(kind, 1, Integer::sum);
+        }
+
+        void add(Totals other) {
+            other.byKind.forEach((kind, count) -> byKind.merge(kind, count, Integer::sum));
+        }
+
+        boolean allAtLeast(int least) {
+            return byKind.values().stream().allMatch(count -> count >= least);
+        }
+
+        @Override
+        public String toString() {
+            return byKind.toString();
+        }
+    }
+
+    private record Running(LoadBalancer at, String id, SelectionRequest request) {}
+
+    private final Random random;
+    private final List<LoadBalancer> nodes = new ArrayList<>();
+    private final List<Running> running = new ArrayList<>();
+    private final Totals totals = new Totals();
+    private long nowMs;
+    private long version;
+    private long hash = 1125899906842597L;
+    private int events;
+
+    SelectionSequence(long seed) {
+        random = new Random(seed);
+        nodes.add(node("n-1", "a1", "a"));
+        nodes.add(node("n-2", "a2", "a"));
+        nodes.add(node("n-3", "b1", "b"));
+        // a number of nodes that gives whole shares of a slow start on even seeds, turns on odd ones
+        nodes.forEach(node -> node.updateLease(new Lease(1, seed % 2 == 0 ? 4 : 60, 3000), 0));
+        for (int i = 0; i < ENGINES; i++) {
+            engineReports(i);
+        }
+    }
+
+    private static LoadBalancer node(String name, String zone, String region) {
+        Properties settings = new Properties();
+        Map.of("node.name", name, "node.ip", "10.0.0.1", "node.zone", zone, "node.region", region)
+                .forEach(settings::setProperty);
+        Map.of("listen.inner", "7000", "seeds", "10.0.0.9:80", "engine.beatMs", "300")
+                .forEach(settings::setProperty);
+        Map.of("zone.a1", "a", "zone.a2", "a", "zone.b1", "b", "zone.c1", "c").forEach(settings::setProperty);
+        Map.of("bound.retryRatio", "0.2", "bound.retrySlack", "50", "bound.retryWindowS", "10")
+                .forEach(settings::setProperty);
+        Map.of("bound.warmupOverrun", "1.5", "bound.warmupSlack", "5").forEach(settings::setProperty);
+        LoadBalancer out = LoadBalancer.create(((Validated.Valid<NodeConfig>) NodeConfig.check(settings)).value());
+        String json = "{\"revision\":1,\"routes\":[],\"services\":["
+                + "{\"name\":\"warm\",\"maxConnections\":100,\"warmupS\":3,\"warmupPerS\":20},"
+                + "{\"name\":\"steady\",\"maxConnections\":40,\"warmupS\":0,\"warmupPerS\":0,"
+                + "\"healthPath\":\"/ready\"}]}";
+        out.updateConfiguration(((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value());
+        return out;
+    }
+
+    void run(int count) {
+        for (int i = 0; i < count; i++) {
+            event();
+        }
+    }
+
+    int events() {
+        return events;
+    }
+
+    String checkpoint() {
+        return "hash=" + Long.toHexString(hash) + " " + totals;
+    }
+
+    Totals totals() {
+        return totals;
+    }
+
+    private void event() {
+        events++;
+        nowMs += random.nextInt(400) == 0 ? 4000 : random.nextInt(25);
+        int kind = random.nextInt(1000);
+        if (kind < 430) {
+            selects();
+        } else if (kind < 760) {
+            attemptEnds();
+        } else if (kind < 800) {
+            bytesArrive();
+        } else if (kind < 850) {
+            retryIsAsked();
+        } else if (kind < 890) {
+            probesAreDue();
+        } else if (kind < 915) {
+            regionLoadArrives();
+        } else if (kind < 950) {
+            engineReports(random.nextInt(ENGINES));
+        } else if (kind < 965) {
+            node().updateLease(new Lease(1, 1 + random.nextInt(80), 3000), nowMs);
+        } else if (kind < 975) {
+            summarizes();
+        } else {
+            rareEvent();
+        }
+    }
+
+    private LoadBalancer node() {
+        return nodes.get(random.nextInt(nodes.size()));
+    }
+
+    private String engineId() {
+        return "i-" + random.nextInt(ENGINES);
+    }
+
+    private <T> T oneOf(T[] all) {
+        return all[random.nextInt(all.length)];
+    }
+
+    private void note(Object... facts) {
+        for (Object fact : facts) {
+            hash = hash * 31 + fact.toString().hashCode();
+        }
+    }
+
+    private void engineReports(int i) {
+        int coldMs = random.nextInt(4) == 0 ? 500 + random.nextInt(4000) : 0;
+        boolean draining = random.nextInt(300) == 0;
+        Engine engine = new Engine(
+                16 + i % 3 * 16,
+                coldMs,
+                draining,
+                -1,
+                i % 5 == 0 ? -1 : i % 2,
+                SERVICES[i % 7 == 0 ? 1 : i % 11 == 0 ? 2 : 0],
+                "10.1.0." + (i + 1) + ":80",
+                ZONES[i % ZONES.length],
+                "v");
+        version++;
+        nodes.forEach(node -> node.updateEngine("i-" + i, engine, version, nowMs));
+    }
+
+    private SelectionRequest request() {
+        Set<String> allowed = random.nextInt(6) == 0 ? Set.of(oneOf(REGIONS)) : Set.of();
+        Set<String> excluded = random.nextInt(5) == 0 ? Set.of(engineId(), "i-none") : Set.of();
+        boolean shares = random.nextInt(2) == 0;
+        return new SelectionRequest(
+                SERVICES[random.nextInt(10) == 0 ? 1 + random.nextInt(2) : 0],
+                allowed,
+                shares ? 1 + random.nextInt(5) * 7919L : 0,
+                shares ? 1000 + random.nextInt(20_000) : random.nextInt(200),
+                random.nextInt(8) == 0 ? 0 : random.nextInt(9000),
+                random.nextInt(400),
+                excluded,
+                random.nextInt(8) == 0 ? random.nextInt(3) : -1,
+                random.nextLong(),
+                random.nextInt(3) == 0 ? preference() : null);
+    }
+
+    private RoutingPreference preference() {
+        return new RoutingPreference(
+                random.nextInt(3) * 0.3,
+                1 + random.nextInt(3) * 0.5,
+                fallbacks(),
+                fallbacks(),
+                random.nextInt(3) * 150L);
+    }
+
+    private List<FallbackTarget> fallbacks() {
+        List<FallbackTarget> out = new ArrayList<>();
+        for (int i = random.nextInt(4); i > 0; i--) {
+            FallbackTarget.To to = oneOf(FallbackTarget.To.values());
+            List<String> regions = to == FallbackTarget.To.REGIONS ? List.of(oneOf(REGIONS)) : List.of();
+            out.add(new FallbackTarget(to, regions, random.nextInt(3) * 100));
+        }
+        return out;
+    }
+
+    private void selects() {
+        LoadBalancer node = node();
+        SelectionRequest request = request();
+        if (random.nextInt(2) == 0) {
+            node.onRequestReceived(request.service(), nowMs);
+        }
+        Selection selection = node.select(request, nowMs);
+        if (selection instanceof NoCapacity none) {
+            note(none.outcome(), none.retryAfterMs());
+            totals.count("noCapacity" + none.retryAfterMs());
+            totals.count(request.preference() == null ? "plainNone" : "preferredNone");
+            return;
+        }
+        SelectedEngine engine = (SelectedEngine) selection;
+        note(engine.id(), engine.address(), engine.zone(), engine.maxConnections());
+        totals.count("selected");
+        totals.count(request.preference() == null ? "plain" : "preferred");
+        running.add(new Running(node, engine.id(), request));
+        if (random.nextInt(10) > 0) {
+            node.onRequestSent(engine.id(), nowMs);
+        }
+    }
+
+    private void attemptEnds() {
+        if (running.isEmpty()) {
+            return;
+        }
+        Running ended = running.remove(random.nextInt(running.size()));
+        boolean unlucky = Math.floorMod(ended.id().hashCode() + nowMs / 20_000, 9) == 0;
+        AttemptOutcome outcome = AttemptOutcome.ANSWERED;
+        if (unlucky && random.nextInt(2) == 0 || random.nextInt(25) == 0) {
+            outcome = oneOf(AttemptOutcome.values());
+        }
+        if (outcome == AttemptOutcome.MISDIRECTED && random.nextInt(40) > 0) {
+            outcome = AttemptOutcome.BROKEN;
+        }
+        long firstMs = outcome == AttemptOutcome.ANSWERED ? random.nextInt(600) : -1;
+        if (outcome == AttemptOutcome.BROKEN && random.nextInt(3) == 0) {
+            firstMs = LoadBalancer.STALE_MS;
+        }
+        ended.at().onAttemptEnded(ended.id(), ended.request(), outcome, firstMs, nowMs);
+    }
+
+    private void bytesArrive() {
+        if (!running.isEmpty()) {
+            Running some = running.get(random.nextInt(running.size()));
+            some.at().onResponseBytes(some.id(), nowMs);
+        }
+    }
+
+    private void retryIsAsked() {
+        boolean granted = node().tryAcquireRetry(SERVICES[random.nextInt(2)], nowMs);
+        note(granted);
+        totals.count(granted ? "retry" : "noRetry");
+    }
+
+    private void probesAreDue() {
+        LoadBalancer node = node();
+        for (HealthProbe probe : node.dueHealthProbes(nowMs)) {
+            note(probe.id(), probe.address(), probe.healthPath());
+            totals.count("probe");
+            node.onHealthProbeResult(probe.id(), random.nextInt(2) == 0, random.nextInt(20) == 0 ? 1500 : 0, nowMs);
+        }
+        note(new TreeMap<>(Map.of("ids", new java.util.TreeSet<>(node.knownEngineIds()))));
+    }
+
+    private void regionLoadArrives() {
+        List<EngineLoad> engines = new ArrayList<>();
+        for (int i = 0; i < ENGINES; i++) {
+            if (random.nextInt(10) > 0) {
+                int failed = random.nextInt(7) == 0 ? random.nextInt(12) : 0;
+                int answered = random.nextInt(14);
+                engines.add(new EngineLoad(
+                        LoadSummary.key("i-" + i), answered, failed, random.nextInt(20), random.nextInt(60_000)));
+            }
+        }
+        engines.add(new EngineLoad(LoadSummary.key("i-none"), 1, 1, 1, 1));
+        List<RegionLoad> regions = new ArrayList<>();
+        for (String region : REGIONS) {
+            if (random.nextInt(6) > 0) {
+                regions.add(new RegionLoad(
+                        region, oneOf(SERVICES), random.nextInt(5), 90, random.nextInt(80), random.nextInt(10), 0));
+            }
+        }
+        node().updateRegionLoad(new Load(1, 1, engines, regions), nowMs);
+    }
+
+    private void summarizes() {
+        LoadSummary summary = node().summarizeLoad(nowMs);
+        for (long key : summary.engines()) {
+            AttemptCounts counts = summary.all(key);
+            note(key, counts.answered(), counts.notRun(), counts.failed(), counts.running(), counts.tokens());
+            for (int count : counts.firsts()) {
+                note(count);
+            }
+        }
+    }
+
+    private void rareEvent() {
+        switch (random.nextInt(12)) {
+            case 0, 1 -> node().setZoneEvacuated(oneOf(ZONES), true, nowMs);
+            case 2, 3, 4 -> {
+                for (String zone : ZONES) {
+                    node().setZoneEvacuated(zone, false, nowMs);
+                }
+            }
+            case 5, 6 -> node().setHeartbeatMissing(engineId(), true, nowMs);
+            case 7, 8 -> {
+                for (int i = 0; i < ENGINES; i++) {
+                    node().setHeartbeatMissing("i-" + i, false, nowMs);
+                }
+            }
+            case 9 -> node().setRolloutTurn("warm", new HashSet<>(Set.of(engineId(), "i-none")), nowMs);
+            case 10 -> node().setRolloutTurn("warm", Set.of(), nowMs);
+            default -> engineLeaves();
+        }
+    }
+
+    /** One engine in a while drains, most of them on one node only, as its id never comes back there. */
+    private void engineLeaves() {
+        if (random.nextInt(6) == 0) {
+            node().markDraining(engineId(), random.nextBoolean(), nowMs);
+        }
+    }
+}
