--- a/src/main/java/ringspindle/controlplane/ControlNode.java
+++ b/src/main/java/ringspindle/controlplane/ControlNode.java
@@ -22,6 +22,7 @@
 import ringspindle.membership.RolloutPlanner;
 import ringspindle.membership.SessionTable;
 import ringspindle.protocol.Codec;
+import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message;
 import ringspindle.protocol.Message.Call;
 import ringspindle.protocol.Message.Digest;
@@ -294,7 +295,7 @@
     }
 
     /** Milliseconds since a fact last moved, as this node saw it; of engines since they were last heard. */
-    long ageMs(int kind, String key) {
+    long ageMs(FactKind kind, String key) {
         synchronized (bookLock) {
             return knowledge.ageMs(kind, key);
         }
@@ -491,15 +492,15 @@
     private void committed(State s) {
         List<Fact> items = new ArrayList<>();
         if (s.config().length > 0) {
-            items.add(new Fact(FactStore.CONFIG, "", 0, s.revision(), s.config()));
+            items.add(new Fact(FactKind.CONFIG, "", 0, s.revision(), s.config()));
         }
         for (Mark m : s.marks()) {
-            int kind =
+            FactKind kind =
                     switch (m.kind()) {
-                        case ReplicatedState.MARK_EVACUATED -> FactStore.EVACUATED;
-                        case ReplicatedState.MARK_LEAVING -> FactStore.LEAVING;
-                        case ReplicatedState.MARK_RULES -> FactStore.RULES;
-                        default -> FactStore.ROLLOUT;
+                        case ReplicatedState.MARK_EVACUATED -> FactKind.EVACUATED;
+                        case ReplicatedState.MARK_LEAVING -> FactKind.LEAVING;
+                        case ReplicatedState.MARK_RULES -> FactKind.RULES;
+                        default -> FactKind.ROLLOUT;
                     };
             items.add(new Fact(kind, m.key(), 0, m.version(), m.value().getBytes(UTF_8)));
         }
@@ -565,7 +566,7 @@
             }
             push();
             if (ticks % KEEP_TICKS == 0) {
-                storage.keep(knowledge.book().all(FactStore.ENGINE));
+                storage.keep(knowledge.book().all(FactKind.ENGINE));
             }
         }
     }
@@ -669,7 +670,7 @@
         if (!holder || ticks % ROLL_TICKS != 0 || rollouts.ordering()) {
             return;
         }
-        List<Rollout> known = book(b -> b.all(FactStore.ROLLOUT).stream()
+        List<Rollout> known = book(b -> b.all(FactKind.ROLLOUT).stream()
                 .map(i -> Rollout.read(new String(i.value(), UTF_8)))
                 .toList());
         rollouts.tick(known, this::members, this::engineAddress, view.epoch(), ticks, nowMs);
@@ -683,7 +684,7 @@
     }
 
     private String engineAddress(String id) {
-        Fact i = book(b -> b.get(FactStore.ENGINE, id));
+        Fact i = book(b -> b.get(FactKind.ENGINE, id));
         return i == null ? null : ((Engine) Codec.decode(i.value())).address();
     }
 
@@ -696,10 +697,10 @@
         String text = active + queued == 0 ? "free to swap" : "still runs " + (active + queued);
         synchronized (bookLock) {
             knowledge.merge(List.of(new Fact(
-                    FactStore.TURN,
+                    FactKind.TURN,
                     id,
                     view.epoch(),
-                    knowledge.nextVersion(FactStore.TURN, id, view.epoch()),
+                    knowledge.nextVersion(FactKind.TURN, id, view.epoch()),
                     text.getBytes(UTF_8))));
         }
     }
--- a/src/main/java/ringspindle/controlplane/DataNodeDirectory.java
+++ b/src/main/java/ringspindle/controlplane/DataNodeDirectory.java
@@ -5,9 +5,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import ringspindle.gossip.FactStore;
 import ringspindle.membership.DataNodeFact;
 import ringspindle.membership.SessionTable;
+import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message.Fact;
 import ringspindle.protocol.Message.Heartbeat;
 import ringspindle.protocol.Message.Hello;
@@ -36,7 +36,7 @@
 
     /** A node's session is told once; told anew if it changes, or if whoever told it is out of touch. */
     void heard(SessionTable.Peer peer, Heartbeat heartbeat) {
-        Fact old = knowledge.book().get(FactStore.NODE, peer.hello().node().toString());
+        Fact old = knowledge.book().get(FactKind.NODE, peer.hello().node().toString());
         DataNodeFact was = old == null ? null : DataNodeFact.of(old.value());
         boolean same = was != null
                 && was.flags() == heartbeat.flags()
@@ -54,13 +54,13 @@
 
     /** A restart has a new life that must win, though the time of day that lives are drawn from may go back. */
     private Fact item(SessionTable.Peer peer, int flags, long version) {
-        Fact old = knowledge.book().get(FactStore.NODE, peer.hello().node().toString());
+        Fact old = knowledge.book().get(FactKind.NODE, peer.hello().node().toString());
         long ownLife = peer.hello().life();
         long wasLife =
                 old == null ? ownLife : DataNodeFact.of(old.value()).hello().life();
         long nodeLife = old == null ? ownLife : wasLife == ownLife ? old.life() : Math.max(ownLife, old.life() + 1);
         return new Fact(
-                FactStore.NODE,
+                FactKind.NODE,
                 peer.hello().node().toString(),
                 nodeLife,
                 version,
@@ -76,7 +76,7 @@
         List<String> inZone = new ArrayList<>();
         List<String> inRegion = new ArrayList<>();
         List<String> all = new ArrayList<>();
-        for (Fact i : knowledge.book().all(FactStore.NODE)) {
+        for (Fact i : knowledge.book().all(FactKind.NODE)) {
             DataNodeFact r = DataNodeFact.of(i.value());
             if (!r.ready() || !(inTouch ? holds(i, r, nowMs) : linkedHere(r))) {
                 continue;
@@ -102,7 +102,7 @@
 
     /** True while the control node that told a fact of a node is in touch, and a moment longer. */
     private boolean holds(Fact i, DataNodeFact r, long nowMs) {
-        Long at = knowledge.seenMs(FactStore.NODE, i.key());
+        Long at = knowledge.seenMs(FactKind.NODE, i.key());
         if (at != null && nowMs - at < HOLD_MS) {
             return true;
         }
@@ -119,7 +119,7 @@
     /** Data nodes as known here, and whether their facts still hold. */
     Map<DataNodeFact, Boolean> all(long nowMs) {
         Map<DataNodeFact, Boolean> out = new LinkedHashMap<>();
-        for (Fact i : knowledge.book().all(FactStore.NODE)) {
+        for (Fact i : knowledge.book().all(FactKind.NODE)) {
             DataNodeFact r = DataNodeFact.of(i.value());
             out.put(r, r.ready() && holds(i, r, nowMs));
         }
@@ -129,7 +129,7 @@
     /** Data nodes that take requests, as known here. */
     int ready() {
         int n = 0;
-        for (Fact i : knowledge.book().all(FactStore.NODE)) {
+        for (Fact i : knowledge.book().all(FactKind.NODE)) {
             n += DataNodeFact.of(i.value()).ready() ? 1 : 0;
         }
         return n;
@@ -138,8 +138,8 @@
     /** Data nodes that may be sending requests: those with a session, and those that lost theirs a moment ago. */
     int sharing(long nowMs) {
         int nodes = 0;
-        for (Fact i : knowledge.book().all(FactStore.NODE)) {
-            Long at = knowledge.seenMs(FactStore.NODE, i.key());
+        for (Fact i : knowledge.book().all(FactKind.NODE)) {
+            Long at = knowledge.seenMs(FactKind.NODE, i.key());
             nodes += DataNodeFact.of(i.value()).flags() != 0 || at != null && nowMs - at < LOST_COUNTS_MS ? 1 : 0;
         }
         return nodes;
--- a/src/main/java/ringspindle/controlplane/EngineCacheFile.java
+++ b/src/main/java/ringspindle/controlplane/EngineCacheFile.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.zip.CRC32C;
-import ringspindle.gossip.FactStore;
 import ringspindle.protocol.Codec;
+import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.Message.Fact;
 import ringspindle.protocol.Message.News;
@@ -61,7 +61,7 @@
 
     /** Throws if it cannot be read, such as what another version wrote. */
     private static boolean isEngine(Fact item) {
-        return item.kind() == FactStore.ENGINE && Codec.decode(item.value()) instanceof Engine;
+        return item.kind() == FactKind.ENGINE && Codec.decode(item.value()) instanceof Engine;
     }
 
     /** Writes if other engines are there than last time; a disk that hangs holds up nobody else. */
--- a/src/main/java/ringspindle/controlplane/FactDissemination.java
+++ b/src/main/java/ringspindle/controlplane/FactDissemination.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import ringspindle.gossip.FactStore;
 import ringspindle.membership.DataNodeFact;
 import ringspindle.membership.SessionTable;
+import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message.Digest;
 import ringspindle.protocol.Message.Fact;
 import ringspindle.protocol.Message.News;
@@ -85,8 +85,8 @@
 
     /** A data node needs the data nodes of its region, for gossip, and not what engines in turn still run. */
     private static boolean usefulToData(Fact i, String region) {
-        return i.kind() != FactStore.TURN
-                && (i.kind() != FactStore.NODE
+        return i.kind() != FactKind.TURN
+                && (i.kind() != FactKind.NODE
                         || DataNodeFact.of(i.value()).hello().region().equals(region));
     }
 }
--- a/src/main/java/ringspindle/controlplane/FleetFacts.java
+++ b/src/main/java/ringspindle/controlplane/FleetFacts.java
@@ -9,6 +9,7 @@
 import ringspindle.gossip.FactStore;
 import ringspindle.membership.RolloutPlanner;
 import ringspindle.protocol.Codec;
+import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.Message.Fact;
 import ringspindle.telemetry.EnginePresence;
@@ -54,28 +55,28 @@
         long nowMs = clock.nowMs();
         for (Fact i : book.merge(items)) {
             seenMs.put(seenKey(i.kind(), i.key()), nowMs);
-            if (i.kind() == FactStore.ENGINE) {
+            if (i.kind() == FactKind.ENGINE) {
                 presence.told(i.key(), (Engine) Codec.decode(i.value()), i.version(), nowMs);
-            } else if (i.kind() == FactStore.SILENT
+            } else if (i.kind() == FactKind.SILENT
                     && i.value()[0] == 1
                     && presence.contradicts(i.key(), (i.version() - 1) / 2, nowMs)) {
-                book.merge(List.of(new Fact(FactStore.SILENT, i.key(), 0, 2 * presence.seq(i.key()), new byte[] {0})));
+                book.merge(List.of(new Fact(FactKind.SILENT, i.key(), 0, 2 * presence.seq(i.key()), new byte[] {0})));
             }
         }
     }
 
-    private static String seenKey(int kind, String key) {
+    private static String seenKey(FactKind kind, String key) {
         return kind + " " + key;
     }
 
     /** When a fact last moved, as this node saw it; null if never. */
-    Long seenMs(int kind, String key) {
+    Long seenMs(FactKind kind, String key) {
         return seenMs.get(seenKey(kind, key));
     }
 
     /** Milliseconds since a fact last moved, as this node saw it; of engines since they were last heard. */
-    long ageMs(int kind, String key) {
-        if (kind == FactStore.ENGINE) {
+    long ageMs(FactKind kind, String key) {
+        if (kind == FactKind.ENGINE) {
             return presence.agoMs(key, clock.nowMs());
         }
         Long at = seenMs(kind, key);
@@ -83,7 +84,7 @@
     }
 
     /** What a holder of a duty says under its view comes after all that is known to have been said under it. */
-    long nextVersion(int kind, String key, long epoch) {
+    long nextVersion(FactKind kind, String key, long epoch) {
         Fact old = book.get(kind, key);
         return old == null || old.life() != epoch ? 1 : old.version() + 1;
     }
@@ -91,7 +92,7 @@
     /** An engine's heartbeat, spread only if it says something new. */
     void heartbeat(String id, Engine e, long seq) {
         if (presence.heard(id, e, seq, clock.nowMs())) {
-            merge(List.of(new Fact(FactStore.ENGINE, id, 0, seq, Codec.encode(e))));
+            merge(List.of(new Fact(FactKind.ENGINE, id, 0, seq, Codec.encode(e))));
         }
     }
 
@@ -101,22 +102,22 @@
                 presence.judge(e -> config.regionOf(e.zone()).equals(config.region()), nowMs)) {
             LOG.atInfo().log("engine %s %s", c.id(), c.silent() ? "is silent" : "is heard again");
             byte silent = (byte) (c.silent() ? 1 : 0);
-            merge(List.of(new Fact(FactStore.SILENT, c.id(), 0, 2 * c.seq() + silent, new byte[] {silent})));
+            merge(List.of(new Fact(FactKind.SILENT, c.id(), 0, 2 * c.seq() + silent, new byte[] {silent})));
         }
         for (String id : presence.forget(FORGET_MS, nowMs)) {
-            book.forget(FactStore.ENGINE, id);
-            book.forget(FactStore.SILENT, id);
-            seenMs.remove(seenKey(FactStore.ENGINE, id));
-            seenMs.remove(seenKey(FactStore.SILENT, id));
+            book.forget(FactKind.ENGINE, id);
+            book.forget(FactKind.SILENT, id);
+            seenMs.remove(seenKey(FactKind.ENGINE, id));
+            seenMs.remove(seenKey(FactKind.SILENT, id));
         }
     }
 
     /** Engines that count for the load of their region. */
     List<LoadTotals.Member> loadMembers() {
         List<LoadTotals.Member> out = new ArrayList<>();
-        for (Fact i : book.all(FactStore.ENGINE)) {
-            Fact silent = book.get(FactStore.SILENT, i.key());
-            if ((silent == null || silent.value()[0] == 0) && book.get(FactStore.LEAVING, i.key()) == null) {
+        for (Fact i : book.all(FactKind.ENGINE)) {
+            Fact silent = book.get(FactKind.SILENT, i.key());
+            if ((silent == null || silent.value()[0] == 0) && book.get(FactKind.LEAVING, i.key()) == null) {
                 Engine e = (Engine) Codec.decode(i.value());
                 out.add(new LoadTotals.Member(
                         LoadSummary.key(i.key()), e.service(), config.regionOf(e.zone()), e.capacity()));
@@ -129,7 +130,7 @@
     List<RolloutPlanner.Member> rollMembers(String service) {
         List<RolloutPlanner.Member> out = new ArrayList<>();
         long nowMs = clock.nowMs();
-        for (Fact i : book.all(FactStore.ENGINE)) {
+        for (Fact i : book.all(FactKind.ENGINE)) {
             Engine e = (Engine) Codec.decode(i.value());
             long ageMs = presence.agoMs(i.key(), nowMs);
             if (e.service().equals(service) && ageMs < ROLL_SILENT_MS) {
@@ -137,7 +138,7 @@
                         i.key(),
                         config.regionOf(e.zone()),
                         e.weights(),
-                        e.draining() || book.get(FactStore.LEAVING, i.key()) != null,
+                        e.draining() || book.get(FactKind.LEAVING, i.key()) != null,
                         ageMs > (long) SILENT_HEARTBEATS * config.engineBeatMs()));
             }
         }
--- a/src/main/java/ringspindle/controlplane/FleetStatus.java
+++ b/src/main/java/ringspindle/controlplane/FleetStatus.java
@@ -9,9 +9,9 @@
 import java.util.ArrayList;
 import ringspindle.config.FleetConfig;
 import ringspindle.config.Validated;
-import ringspindle.gossip.FactStore;
 import ringspindle.membership.DataNodeFact;
 import ringspindle.protocol.Codec;
+import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.Message.Fact;
 import ringspindle.protocol.Message.Heartbeat;
@@ -89,7 +89,7 @@
                         .add("blank", h.blank())));
         out.add("holders", holders);
         JsonArrayBuilder nodes = JSON.createArrayBuilder();
-        for (Fact i : c.book(b -> new ArrayList<>(b.all(FactStore.NODE)))) {
+        for (Fact i : c.book(b -> new ArrayList<>(b.all(FactKind.NODE)))) {
             DataNodeFact r = DataNodeFact.of(i.value());
             Hello h = r.hello();
             nodes.add(JSON.createObjectBuilder()
@@ -175,7 +175,7 @@
 
     static JsonObject rollouts(ControlNode c) {
         JsonArrayBuilder out = JSON.createArrayBuilder();
-        for (Fact i : c.book(b -> new ArrayList<>(b.all(FactStore.ROLLOUT)))) {
+        for (Fact i : c.book(b -> new ArrayList<>(b.all(FactKind.ROLLOUT)))) {
             out.add(JSON.createReader(new java.io.StringReader(new String(i.value(), UTF_8)))
                     .readObject());
         }
@@ -185,12 +185,12 @@
     static JsonObject engines(ControlNode c) {
         JsonArrayBuilder out = JSON.createArrayBuilder();
         LoadSummary total = c.total();
-        for (Fact i : c.book(b -> new ArrayList<>(b.all(FactStore.ENGINE)))) {
+        for (Fact i : c.book(b -> new ArrayList<>(b.all(FactKind.ENGINE)))) {
             Engine e = (Engine) Codec.decode(i.value());
-            Fact leaving = c.book(b -> b.get(FactStore.LEAVING, i.key()));
-            long ageMs = Math.min(Integer.MAX_VALUE, c.ageMs(FactStore.ENGINE, i.key()));
+            Fact leaving = c.book(b -> b.get(FactKind.LEAVING, i.key()));
+            long ageMs = Math.min(Integer.MAX_VALUE, c.ageMs(FactKind.ENGINE, i.key()));
             AttemptCounts t = total.all(LoadSummary.key(i.key()));
-            Fact turn = c.ageMs(FactStore.TURN, i.key()) < 3000 ? c.book(b -> b.get(FactStore.TURN, i.key())) : null;
+            Fact turn = c.ageMs(FactKind.TURN, i.key()) < 3000 ? c.book(b -> b.get(FactKind.TURN, i.key())) : null;
             out.add(JSON.createObjectBuilder()
                     .add("turn", turn == null ? "" : new String(turn.value(), UTF_8))
                     .add("id", i.key())
--- a/src/main/java/ringspindle/controlplane/QuotaLeaseIssuer.java
+++ b/src/main/java/ringspindle/controlplane/QuotaLeaseIssuer.java
@@ -1,8 +1,8 @@
 package ringspindle.controlplane;
 
 import java.util.List;
-import ringspindle.gossip.FactStore;
 import ringspindle.protocol.Codec;
+import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message.Fact;
 import ringspindle.protocol.Message.Lease;
 import ringspindle.protocol.Message.View;
@@ -45,10 +45,10 @@
         int nodes = frontends.sharing(nowMs);
         if (nodes > 0) {
             knowledge.merge(List.of(new Fact(
-                    FactStore.LEASE,
+                    FactKind.LEASE,
                     "",
                     view.epoch(),
-                    knowledge.nextVersion(FactStore.LEASE, "", view.epoch()),
+                    knowledge.nextVersion(FactKind.LEASE, "", view.epoch()),
                     Codec.encode(new Lease(view.epoch(), nodes, TTL_MS)))));
         }
     }
--- a/src/main/java/ringspindle/dataplane/DataNode.java
+++ b/src/main/java/ringspindle/dataplane/DataNode.java
@@ -19,6 +19,7 @@
 import ringspindle.membership.FactValidator;
 import ringspindle.membership.SessionTable;
 import ringspindle.protocol.Codec;
+import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message;
 import ringspindle.protocol.Message.Digest;
 import ringspindle.protocol.Message.Engine;
@@ -143,10 +144,10 @@
                 apply(fresh, nowMs);
                 if (n.full()) {
                     confirmedBy.add(from);
-                    if (book.get(FactStore.CONFIG, "") != null) {
+                    if (book.get(FactKind.CONFIG, "") != null) {
                         front.confirm();
                     }
-                } else if (!confirmedBy.isEmpty() && book.get(FactStore.CONFIG, "") != null) {
+                } else if (!confirmedBy.isEmpty() && book.get(FactKind.CONFIG, "") != null) {
                     front.confirm();
                 }
             } else if (m instanceof Load l) {
@@ -171,19 +172,19 @@
     private void apply(List<Fact> fresh, long nowMs) {
         // what forbids comes before what allows
         for (Fact i : fresh) {
-            if (i.kind() == FactStore.LEAVING) {
+            if (i.kind() == FactKind.LEAVING) {
                 picker.markDraining(i.key(), new String(i.value(), UTF_8).equals("gone"), nowMs);
-            } else if (i.kind() == FactStore.EVACUATED) {
+            } else if (i.kind() == FactKind.EVACUATED) {
                 picker.setZoneEvacuated(i.key(), new String(i.value(), UTF_8).equals("on"), nowMs);
-            } else if (i.kind() == FactStore.ROLLOUT) {
+            } else if (i.kind() == FactKind.ROLLOUT) {
                 Rollout r = Rollout.read(new String(i.value(), UTF_8));
                 picker.setRolloutTurn(r.service(), new HashSet<>(r.turn()), nowMs);
-            } else if (i.kind() == FactStore.LEASE) {
+            } else if (i.kind() == FactKind.LEASE) {
                 picker.updateLease((Lease) Codec.decode(i.value()), nowMs);
             }
         }
         for (Fact i : fresh) {
-            if (i.kind() == FactStore.CONFIG) {
+            if (i.kind() == FactKind.CONFIG) {
                 Validated<FleetConfig> c = FleetConfig.read(FleetConfig.unpack(i.value()));
                 if (c instanceof Validated.Valid<FleetConfig> good) {
                     picker.updateConfiguration(good.value());
@@ -192,16 +193,16 @@
                 } else {
                     LOG.atSevere().log("configuration %s cannot be read here", i.version());
                 }
-            } else if (i.kind() == FactStore.ENGINE) {
+            } else if (i.kind() == FactKind.ENGINE) {
                 picker.updateEngine(i.key(), (Engine) Codec.decode(i.value()), i.version(), nowMs);
-            } else if (i.kind() == FactStore.RULES) {
+            } else if (i.kind() == FactKind.RULES) {
                 if (ServingRules.read(i.value()) instanceof Validated.Valid<ServingRules> good) {
                     front.rules(good.value());
                     LOG.atInfo().log("serving rules %s in force", good.value().revision());
                 } else {
                     LOG.atSevere().log("serving rules of seq %s cannot be read here", i.version());
                 }
-            } else if (i.kind() == FactStore.SILENT) {
+            } else if (i.kind() == FactKind.SILENT) {
                 picker.setHeartbeatMissing(i.key(), i.value()[0] == 1, nowMs);
             }
         }
@@ -307,7 +308,7 @@
         // the next data node on the ring; the one before dials here
         NodeId next = null;
         NodeId first = null;
-        for (Fact i : book.all(FactStore.NODE)) {
+        for (Fact i : book.all(FactKind.NODE)) {
             DataNodeFact r = DataNodeFact.of(i.value());
             if ((r.flags() & Heartbeat.READY) == 0 || !r.hello().region().equals(config.region())) {
                 continue;
--- a/src/main/java/ringspindle/gossip/FactStore.java
+++ b/src/main/java/ringspindle/gossip/FactStore.java
@@ -2,38 +2,26 @@
 
 import java.util.Collection;
 import java.util.List;
+import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message.Fact;
 import ringspindle.protocol.NodeId;
 
 /** What a node knows: facts by kind and key, the newer (life, version) wins. Pure; not thread safe. */
 public interface FactStore {
-    int CONFIG = 1;
-    int EVACUATED = 2;
-    int LEAVING = 3;
-    int ENGINE = 4;
-    int NODE = 5;
-    int LEASE = 6;
-    int ROLLOUT = 7;
-    /** How much an engine in turn still runs, told by the duty's holder. */
-    int TURN = 8;
-    /** Whether control nodes hear an engine's heartbeats; rests on the number of the last one. */
-    int SILENT = 9;
-    /** The operators' serving rules. */
-    int RULES = 10;
-
+    /** Ranges of facts that have a digest each. */
     int RANGES = 16;
 
     /** Takes what is newer; returns just that. {@code book.merge(news.items())}. */
     List<Fact> merge(List<Fact> items);
 
-    /** The fact, null if there is none; {@code book.get(FactStore.CONFIG, "")}. */
-    Fact get(int kind, String key);
+    /** The fact, null if there is none; {@code book.get(FactKind.CONFIG, "")}. */
+    Fact get(FactKind kind, String key);
 
-    /** All facts of a kind; {@code book.all(FactStore.ENGINE)}. */
-    Collection<Fact> all(int kind);
+    /** All facts of a kind; {@code book.all(FactKind.ENGINE)}. */
+    Collection<Fact> all(FactKind kind);
 
-    /** Takes a fact out, without trace; {@code book.forget(FactStore.NODE, "10.0.0.1:7721")}. */
-    void forget(int kind, String key);
+    /** Takes a fact out, without trace; {@code book.forget(FactKind.NODE, "10.0.0.1:7721")}. */
+    void forget(FactKind kind, String key);
 
     /** What a peer has not been sent yet, at most so many; marks it as sent. {@code book.pending(peer, 64)}. */
     default List<Fact> pending(NodeId peer, int most) {
--- a/src/main/java/ringspindle/gossip/VersionedFactStore.java
+++ b/src/main/java/ringspindle/gossip/VersionedFactStore.java
@@ -1,5 +1,6 @@
 package ringspindle.gossip;
 
+import com.google.common.collect.Sets;
 import it.unimi.dsi.fastutil.longs.Long2ObjectRBTreeMap;
 import it.unimi.dsi.fastutil.longs.Long2ObjectSortedMap;
 import java.util.ArrayList;
@@ -9,11 +10,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message.Fact;
 import ringspindle.protocol.NodeId;
 
 /** Facts in one table, in the order in which they came in; each peer has a mark up to which it was told. */
 final class VersionedFactStore implements FactStore {
+    private static final Set<FactKind> NOT_REPAIRED =
+            Sets.immutableEnumSet(FactKind.NODE, FactKind.LEASE, FactKind.TURN, FactKind.SILENT);
+
     private static final class Row {
         Fact item;
         long stamp;
@@ -27,15 +32,23 @@
     private final long[] ranges = new long[RANGES];
     private long stamp;
 
-    private static String id(int kind, String key) {
-        return kind + " " + key;
+    private static String id(int kindNumber, String key) {
+        return kindNumber + " " + key;
+    }
+
+    private static String id(FactKind kind, String key) {
+        return id(kind.number(), key);
+    }
+
+    private static String id(Fact fact) {
+        return id(fact.kindNumber(), fact.key());
     }
 
     @Override
     public List<Fact> merge(List<Fact> items) {
         List<Fact> fresh = new ArrayList<>();
         for (Fact i : items) {
-            String id = id(i.kind(), i.key());
+            String id = id(i);
             Row r = rows.get(id);
             if (r != null
                     && (r.item.life() > i.life() || r.item.life() == i.life() && r.item.version() >= i.version())) {
@@ -63,7 +76,7 @@
     }
 
     private static long hash(String id, Fact i) {
-        if (i.kind() == NODE || i.kind() == LEASE || i.kind() == TURN || i.kind() == SILENT) {
+        if (NOT_REPAIRED.contains(i.kind())) {
             // told anew on every new session, and not the same everywhere: no part of repair
             return 0;
         }
@@ -77,16 +90,16 @@
     }
 
     @Override
-    public Fact get(int kind, String key) {
+    public Fact get(FactKind kind, String key) {
         Row r = rows.get(id(kind, key));
         return r == null ? null : r.item;
     }
 
     @Override
-    public Collection<Fact> all(int kind) {
+    public Collection<Fact> all(FactKind kind) {
         List<Fact> out = new ArrayList<>();
         for (Row r : byStamp.values()) {
-            if (r.item.kind() == kind) {
+            if (r.item.kindNumber() == kind.number()) {
                 out.add(r.item);
             }
         }
@@ -94,7 +107,7 @@
     }
 
     @Override
-    public void forget(int kind, String key) {
+    public void forget(FactKind kind, String key) {
         String id = id(kind, key);
         Row r = rows.remove(id);
         if (r != null) {
@@ -113,8 +126,7 @@
                 return out;
             }
             mark[0] = r.stamp;
-            if (!has.remove(id(r.item.kind(), r.item.key()) + "@" + r.item.life() + "." + r.item.version())
-                    && useful.test(r.item)) {
+            if (!has.remove(id(r.item) + "@" + r.item.life() + "." + r.item.version()) && useful.test(r.item)) {
                 out.add(r.item);
             }
         }
@@ -140,7 +152,7 @@
             has.clear();
         }
         for (Fact i : items) {
-            has.add(id(i.kind(), i.key()) + "@" + i.life() + "." + i.version());
+            has.add(id(i) + "@" + i.life() + "." + i.version());
         }
     }
 
@@ -162,7 +174,7 @@
     public List<Fact> differing(long[] theirs) {
         List<Fact> out = new ArrayList<>();
         for (Row r : byStamp.values()) {
-            int n = range(id(r.item.kind(), r.item.key()));
+            int n = range(id(r.item));
             if (r.hash != 0 && (n >= theirs.length || theirs[n] != ranges[n])) {
                 out.add(r.item);
             }
--- a/src/main/java/ringspindle/membership/FactValidator.java
+++ b/src/main/java/ringspindle/membership/FactValidator.java
@@ -1,7 +1,6 @@
 package ringspindle.membership;
 
 import java.util.List;
-import ringspindle.gossip.FactStore;
 import ringspindle.protocol.Codec;
 import ringspindle.protocol.FrameException;
 import ringspindle.protocol.Message.Engine;
@@ -20,21 +19,21 @@
     private static void check(Fact item) {
         try {
             if (!readable(item)) {
-                throw new FrameException(FrameException.Reason.GARBLED, "fact of kind " + item.kind());
+                throw new FrameException(FrameException.Reason.GARBLED, "fact of kind " + item.kindNumber());
             }
         } catch (FrameException x) {
             throw x;
         } catch (RuntimeException x) {
-            throw new FrameException(FrameException.Reason.GARBLED, "fact of kind " + item.kind(), x);
+            throw new FrameException(FrameException.Reason.GARBLED, "fact of kind " + item.kindNumber(), x);
         }
     }
 
     private static boolean readable(Fact item) {
         return switch (item.kind()) {
-            case FactStore.ENGINE -> Codec.decode(item.value()) instanceof Engine;
-            case FactStore.LEASE -> Codec.decode(item.value()) instanceof Lease;
-            case FactStore.NODE -> DataNodeFact.of(item.value()).hello() != null;
-            case FactStore.SILENT -> item.value().length == 1;
+            case ENGINE -> Codec.decode(item.value()) instanceof Engine;
+            case LEASE -> Codec.decode(item.value()) instanceof Lease;
+            case NODE -> DataNodeFact.of(item.value()).hello() != null;
+            case SILENT -> item.value().length == 1;
             default -> true;
         };
     }
--- /dev/null
+++ b/src/main/java/ringspindle/protocol/FactKind.java
@@ -0,0 +1,45 @@
+package ringspindle.protocol;
+
+/** What a {@link Message.Fact} is about. */
+public enum FactKind {
+    /** A kind that this program does not know: such a fact is kept and passed on, and means nothing here. */
+    UNKNOWN(0),
+    /** The fleet's configuration; its version is the revision. */
+    CONFIG(1),
+    /** Whether a zone is evacuated. */
+    EVACUATED(2),
+    /** An engine that drains, or is gone. */
+    LEAVING(3),
+    /** What an engine last said of itself. */
+    ENGINE(4),
+    /** A data node's session. */
+    NODE(5),
+    /** The quota lease of the data nodes. */
+    LEASE(6),
+    /** A rollout of a service. */
+    ROLLOUT(7),
+    /** How much an engine in turn still runs, as the holder of the rollout duty says. */
+    TURN(8),
+    /** Whether control nodes hear an engine's heartbeats; rests on the number of the last one. */
+    SILENT(9),
+    /** The operators' serving rules. */
+    RULES(10);
+
+    private static final WireNumbers<FactKind> NUMBERS = new WireNumbers<>(values(), FactKind::number, UNKNOWN);
+
+    private final int number;
+
+    FactKind(int number) {
+        this.number = number;
+    }
+
+    /** The kind's number in messages. */
+    public int number() {
+        return number;
+    }
+
+    /** The kind of that number, {@link #UNKNOWN} if this program knows none. */
+    public static FactKind of(int number) {
+        return NUMBERS.of(number);
+    }
+}
--- a/src/main/java/ringspindle/protocol/Message.java
+++ b/src/main/java/ringspindle/protocol/Message.java
@@ -127,8 +127,22 @@
     /** Answer to {@link Call}. */
     record Reply(long id, int outcome, byte[] body) implements Message {}
 
-    /** One fact of the book; the newer (life, version) wins. */
-    record Fact(int kind, String key, long life, long version, byte[] value) {}
+    /**
+     * One fact of the replicated fleet facts; the newer (life, version) wins.
+     *
+     * @param kindNumber the number of its {@link FactKind}, or one that this program does not know
+     */
+    record Fact(int kindNumber, String key, long life, long version, byte[] value) {
+        /** A fact of a known kind. */
+        public Fact(FactKind kind, String key, long life, long version, byte[] value) {
+            this(kind.number(), key, life, version, value);
+        }
+
+        /** What the fact is about. */
+        public FactKind kind() {
+            return FactKind.of(kindNumber);
+        }
+    }
 
     /** Items of the replicated key-value state that the receiver may lack. */
     record News(boolean full, List<Fact> items) implements Message {}
--- a/src/test/java/ringspindle/gossip/FactStoreTest.java
+++ b/src/test/java/ringspindle/gossip/FactStoreTest.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
+import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message.Fact;
 import ringspindle.protocol.NodeId;
 
@@ -26,8 +27,8 @@
             Collections.shuffle(mixed, luck);
             FactStore b = FactStore.create();
             mixed.forEach(x -> b.merge(List.of(x)));
-            assertEquals(9, b.get(1, "").version());
-            assertEquals(8, b.get(5, "n").life());
+            assertEquals(9, b.get(FactKind.CONFIG, "").version());
+            assertEquals(8, b.get(FactKind.NODE, "n").life());
         }
     }
 
@@ -70,6 +71,15 @@
         }
     }
 
+    @Test
+    void factsOfKindsNotKnownHereAreKeptAndPassedOn() {
+        FactStore store = FactStore.create();
+        List<Fact> newer = List.of(item(200, "k", 0, 1), item(201, "k", 0, 1));
+        assertEquals(newer, store.merge(newer));
+        assertEquals(newer, store.pending(NodeId.of("10.0.0.1:1"), 10));
+        assertEquals(newer, store.differing(FactStore.create().ranges()));
+    }
+
     @Test
     void whatAPeerSaidDoesNotGoBackToIt() {
         FactStore b = FactStore.create();
