--- a/src/main/java/ringspindle/Main.java
+++ b/src/main/java/ringspindle/Main.java
@@ -9,95 +9,107 @@
 import java.util.logging.Level;
 import ringspindle.cli.Cli;
 import ringspindle.cli.CommandLine;
+import ringspindle.cli.ExitCode;
 import ringspindle.cli.SelfTest;
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Settings;
 import ringspindle.config.Validated;
+import ringspindle.config.Validated.Invalid;
+import ringspindle.config.Validated.Valid;
 import ringspindle.controlplane.ControlPlane;
 import ringspindle.dataplane.DataPlane;
 import ringspindle.logging.JsonLines;
+import sun.misc.Signal;
 
 /** The program: {@code data-plane}, {@code control-plane}, and the operator's command line. */
 public final class Main {
-    /** Bad usage or settings. */
-    static final int USAGE = 2;
-
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
 
+    private static final String DATA_PLANE = "data-plane";
+    private static final String CONTROL_PLANE = "control-plane";
+    private static final String SELF_TEST = "selftest";
+
     /** Options that come before a command. */
-    static final class Global {
+    private static final class GlobalOptions {
         @Parameter(
                 names = {"--help", "-h"},
                 help = true,
                 description = "this text")
-        boolean help;
+        private boolean help;
     }
 
     /** Options of a daemon. */
-    static final class Daemon {
+    private static final class DaemonOptions {
         @Parameter(
                 names = "--settings",
                 description = "the settings file (default: the file named by RINGSPINDLE_SETTINGS)")
-        String settings = System.getenv("RINGSPINDLE_SETTINGS");
+        private String settings = System.getenv("RINGSPINDLE_SETTINGS");
 
         @Parameter(names = "--log", description = "log level: FINE, INFO, WARNING")
-        String level = "INFO";
+        private String level = "INFO";
 
         @Parameter(
                 names = {"--help", "-h"},
                 help = true,
                 description = "this text")
-        boolean help;
+        private boolean help;
     }
 
-    private Main() {}
+    private final GlobalOptions global = new GlobalOptions();
+    private final DaemonOptions dataPlane = new DaemonOptions();
+    private final DaemonOptions controlPlane = new DaemonOptions();
+    private final DaemonOptions selfTest = new DaemonOptions();
+    private final Cli cli = new Cli(System.out, System.err);
+    private final CommandLine line = new CommandLine(global);
+
+    private Main() {
+        JCommander parser = line.parser();
+        parser.addCommand(DATA_PLANE, dataPlane);
+        parser.addCommand(CONTROL_PLANE, controlPlane);
+        parser.addCommand(SELF_TEST, selfTest);
+        cli.addTo(parser);
+    }
 
-    /** {@code java -jar ringspindle.jar control-plane --settings node.conf}. */
+    /** Runs the command that the arguments name, for example {@code control-plane --settings node.conf}. */
     public static void main(String[] args) {
-        System.exit(run(args));
+        System.exit(run(args).value());
     }
 
-    /** {@code Main.run(new String[] {"config", "check", "file.json"})} gives the exit code. */
-    public static int run(String[] args) {
-        Daemon data = new Daemon();
-        Daemon control = new Daemon();
-        Daemon self = new Daemon();
-        Cli cli = Cli.create(System.out, System.err);
-        Global global = new Global();
-        CommandLine line = new CommandLine(global);
-        JCommander parser = line.parser();
-        parser.addCommand("data-plane", data);
-        parser.addCommand("control-plane", control);
-        parser.addCommand("selftest", self);
-        cli.addTo(parser);
+    /** Runs the command that the arguments name; a daemon's runs until it is terminated. */
+    public static ExitCode run(String[] args) {
+        return new Main().parseAndExecute(args);
+    }
+
+    private ExitCode parseAndExecute(String[] args) {
         try {
             line.parse(args);
             String command = line.command();
             if (global.help) {
-                parser.usage();
-                return 0;
+                line.parser().usage();
+                return ExitCode.OK;
             }
             if (command == null) {
                 throw new ParameterException("no command given");
             }
-            if (data.help || control.help || self.help || cli.wantsHelp(command)) {
-                parser.getUsageFormatter().usage(command);
-                return 0;
+            if (dataPlane.help || controlPlane.help || selfTest.help || cli.wantsHelp(command)) {
+                line.parser().getUsageFormatter().usage(command);
+                return ExitCode.OK;
             }
-            return execute(command, cli, command.equals("data-plane") ? data : control);
-        } catch (ParameterException x) {
-            System.err.println(x.getMessage());
+            return execute(command);
+        } catch (ParameterException misuse) {
+            System.err.println(misuse.getMessage());
             System.err.println(line.usageLine());
-            return USAGE;
+            return ExitCode.USAGE;
         }
     }
 
-    private static int execute(String command, Cli cli, Daemon daemon) {
+    private ExitCode execute(String command) {
         switch (command) {
-            case "data-plane":
-            case "control-plane":
-                return daemon(command, daemon);
-            case "selftest":
+            case DATA_PLANE:
+                return runDaemon(command, dataPlane);
+            case CONTROL_PLANE:
+                return runDaemon(command, controlPlane);
+            case SELF_TEST:
                 JsonLines.install(Level.INFO);
                 return SelfTest.run();
             default:
@@ -106,42 +118,49 @@
         }
     }
 
-    private static int daemon(String command, Daemon d) {
-        try {
-            JsonLines.install(Level.parse(d.level));
-        } catch (IllegalArgumentException x) {
-            throw new ParameterException("unknown log level " + d.level);
-        }
-        if (d.settings == null || d.settings.isEmpty()) {
+    private static ExitCode runDaemon(String command, DaemonOptions options) {
+        installLog(options.level);
+        if (options.settings == null || options.settings.isEmpty()) {
             throw new ParameterException("no settings file: give --settings or RINGSPINDLE_SETTINGS");
         }
-        Validated<NodeConfig> c = NodeConfig.read(Path.of(d.settings));
-        if (c instanceof Validated.Invalid<NodeConfig> bad) {
-            bad.problems().forEach(p -> LOG.atSevere().log("settings: %s", p.text()));
-            return USAGE;
+        Path file = Path.of(options.settings);
+        Validated<NodeConfig> read = NodeConfig.read(file);
+        if (read instanceof Invalid<NodeConfig> invalid) {
+            invalid.problems().forEach(error -> LOG.atSevere().log("settings: %s", error.text()));
+            return ExitCode.USAGE;
         }
-        NodeConfig config = ((Validated.Valid<NodeConfig>) c).value();
-        CountDownLatch term = new CountDownLatch(1);
-        sun.misc.Signal.handle(new sun.misc.Signal("TERM"), s -> term.countDown());
-        sun.misc.Signal.handle(new sun.misc.Signal("INT"), s -> term.countDown());
-        Settings settings = new Settings(config);
-        sun.misc.Signal.handle(new sun.misc.Signal("HUP"), s -> {
-            Settings.Reload r = settings.reload(NodeConfig.read(Path.of(d.settings)));
-            r.problems().forEach(p -> LOG.atWarning().log("settings, kept as they were: %s", p.text()));
-            if (r.problems().isEmpty()) {
-                LOG.atInfo().log("settings read again; taken over: %s; after a restart: %s", r.taken(), r.restart());
-            }
-        });
+        Settings settings = new Settings(((Valid<NodeConfig>) read).value());
+        CountDownLatch terminated = new CountDownLatch(1);
+        Signal.handle(new Signal("TERM"), signal -> terminated.countDown());
+        Signal.handle(new Signal("INT"), signal -> terminated.countDown());
+        Signal.handle(new Signal("HUP"), signal -> reload(settings, file));
         try {
-            if (command.equals("data-plane")) {
-                DataPlane.run(settings, term);
+            if (command.equals(DATA_PLANE)) {
+                DataPlane.run(settings, terminated);
             } else {
-                ControlPlane.run(settings, term);
+                ControlPlane.run(settings, terminated);
             }
-            return 0;
-        } catch (Exception x) {
-            LOG.atSevere().withCause(x).log("%s fails", command);
-            return 1;
+            return ExitCode.OK;
+        } catch (Exception failure) {
+            LOG.atSevere().withCause(failure).log("%s fails", command);
+            return ExitCode.FAILED;
+        }
+    }
+
+    private static void installLog(String level) {
+        try {
+            JsonLines.install(Level.parse(level));
+        } catch (IllegalArgumentException unknown) {
+            throw new ParameterException("unknown log level " + level);
+        }
+    }
+
+    private static void reload(Settings settings, Path file) {
+        Settings.Reload reload = settings.reload(NodeConfig.read(file));
+        if (reload.problems().isEmpty()) {
+            LOG.atInfo().log(
+                    "settings read again; taken over: %s; after a restart: %s", reload.taken(), reload.restart());
         }
+        reload.problems().forEach(error -> LOG.atWarning().log("settings, kept as they were: %s", error.text()));
     }
 }
--- a/src/main/java/ringspindle/cli/Explain.java
+++ b/src/main/java/ringspindle/cli/Explain.java
@@ -12,55 +12,81 @@
 import ringspindle.routing.ServingRules;
 import ringspindle.telemetry.LoadSummary;
 
-/** Which rule a request falls under, who holds it, and where else it may go. Pure. */
+/** Says which rule a request falls under, which engine has affinity to it, and where else it may go. */
 final class Explain {
-    /** An engine that may be asked. */
+    private static final int CANDIDATES_SHOWN = 3;
+
+    /** An engine that may serve the request. */
     record Candidate(String id, String zone, String region, String state) {}
 
     private Explain() {}
 
-    /** One line each; {@code Explain.lines(rules, asked, "5c1e07a2:800,91bd3f06:410", engines)}. */
-    static List<String> lines(ServingRules rules, RequestAttributes asked, String prefix, List<Candidate> engines) {
-        ServingRule r = rules.of(asked);
-        List<String> out = new ArrayList<>();
-        out.add("rule       " + r.name() + " of revision " + rules.revision()
-                + (r.name().equals(ServingRules.PLAIN) ? ", as no rule before it fits" : ", the first that fits"));
-        out.add("class      rank " + (r.rank() < 0 ? "as the route says" : r.rank()) + ", share kept " + r.share()
-                + ", left to others " + String.format(Locale.ROOT, "%.2f", rules.kept(r)) + ", waits "
-                + (r.waitMs() < 0 ? "as without rules" : r.waitMs() + " ms"));
-        Affinity.Key key =
-                r.affinity() == null ? Affinity.plain(prefix) : r.affinity().key(prefix);
-        out.add("affinity   "
-                + (r.affinity() == null
-                        ? "as without rules"
-                        : r.affinity().by().name().toLowerCase(Locale.ROOT)) + ", "
-                + (key.key() == 0
-                        ? "nothing is shared, so no engine holds it"
-                        : "key " + Long.toHexString(key.key()) + ", " + key.sharedTokens() + " tokens shared"));
+    /**
+     * The explanation, a line each for the rule, the class, the affinity and the fallbacks.
+     *
+     * @param prefix the request's Prompt-Prefix, empty for none
+     * @param engines engines that may serve it, none if they are not known
+     */
+    static List<String> lines(ServingRules rules, RequestAttributes request, String prefix, List<Candidate> engines) {
+        ServingRule rule = rules.of(request);
+        Affinity.Key key = rule.affinity() == null
+                ? Affinity.plain(prefix)
+                : rule.affinity().key(prefix);
+        List<String> lines = new ArrayList<>();
+        lines.add("rule       " + ruleText(rules, rule));
+        lines.add("class      " + classText(rules, rule));
+        lines.add("affinity   " + affinityText(rule.affinity(), key));
         if (key.key() != 0) {
-            List<Candidate> ranked = new ArrayList<>(engines);
-            ranked.sort(Comparator.comparingLong(e -> RendezvousHash.rank(LoadSummary.key(e.id()), key.key())));
-            for (int i = 0; i < Math.min(3, ranked.size()); i++) {
-                Candidate c = ranked.get(i);
-                out.add((i == 0 ? "holder     " : "next       ") + c.id() + " in " + c.zone() + ", " + c.state());
-            }
+            lines.addAll(ranking(key, engines));
+        }
+        lines.add("when busy  " + fallbackText(rule.busy()));
+        lines.add("when gone  " + fallbackText(rule.gone()));
+        return lines;
+    }
+
+    private static String ruleText(ServingRules rules, ServingRule rule) {
+        String reason = rule.name().equals(ServingRules.PLAIN) ? "as no rule before it fits" : "the first that fits";
+        return rule.name() + " of revision " + rules.revision() + ", " + reason;
+    }
+
+    private static String classText(ServingRules rules, ServingRule rule) {
+        return "rank " + (rule.rank() < 0 ? "as the route says" : rule.rank())
+                + ", share kept " + rule.share()
+                + ", left to others " + String.format(Locale.ROOT, "%.2f", rules.kept(rule))
+                + ", waits " + (rule.waitMs() < 0 ? "as without rules" : rule.waitMs() + " ms");
+    }
+
+    private static String affinityText(Affinity affinity, Affinity.Key key) {
+        String by = affinity == null ? "as without rules" : affinity.by().name().toLowerCase(Locale.ROOT);
+        if (key.key() == 0) {
+            return by + ", nothing is shared, so no engine holds it";
+        }
+        return by + ", key " + Long.toHexString(key.key()) + ", " + key.sharedTokens() + " tokens shared";
+    }
+
+    /** The engines that rank first for the key, as the load balancer ranks them. */
+    private static List<String> ranking(Affinity.Key key, List<Candidate> engines) {
+        List<Candidate> ranked = new ArrayList<>(engines);
+        ranked.sort(Comparator.comparingLong(engine -> RendezvousHash.rank(LoadSummary.key(engine.id()), key.key())));
+        List<String> lines = new ArrayList<>();
+        for (Candidate engine : ranked.subList(0, Math.min(CANDIDATES_SHOWN, ranked.size()))) {
+            String label = lines.isEmpty() ? "holder     " : "next       ";
+            lines.add(label + engine.id() + " in " + engine.zone() + ", " + engine.state());
         }
-        out.add("when busy  " + steps(r.busy()));
-        out.add("when gone  " + steps(r.gone()));
-        return out;
+        return lines;
     }
 
-    private static String steps(List<FallbackTarget> steps) {
-        if (steps.isEmpty()) {
+    private static String fallbackText(List<FallbackTarget> targets) {
+        if (targets.isEmpty()) {
             return "as without rules: whichever costs least";
         }
-        StringBuilder b = new StringBuilder();
-        for (FallbackTarget s : steps) {
-            b.append(b.length() == 0 ? "" : ", then ")
-                    .append(s.waitMs() > 0 ? "after " + s.waitMs() + " ms " : "")
-                    .append(s.to().name().toLowerCase(Locale.ROOT))
-                    .append(s.regions().isEmpty() ? "" : " " + String.join(" or ", s.regions()));
+        StringBuilder text = new StringBuilder();
+        for (FallbackTarget target : targets) {
+            text.append(text.isEmpty() ? "" : ", then ")
+                    .append(target.waitMs() > 0 ? "after " + target.waitMs() + " ms " : "")
+                    .append(target.to().name().toLowerCase(Locale.ROOT))
+                    .append(target.regions().isEmpty() ? "" : " " + String.join(" or ", target.regions()));
         }
-        return b + ", then refused with Retry-After";
+        return text + ", then refused with Retry-After";
     }
 }
--- a/src/main/java/ringspindle/cli/SelfTest.java
+++ b/src/main/java/ringspindle/cli/SelfTest.java
@@ -1,14 +1,9 @@
 package ringspindle.cli;
 
-import static java.nio.charset.StandardCharsets.ISO_8859_1;
-
 import com.google.common.flogger.FluentLogger;
-import java.io.BufferedReader;
 import java.io.IOException;
-import java.io.InputStreamReader;
 import java.net.InetAddress;
 import java.net.ServerSocket;
-import java.net.Socket;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
@@ -17,95 +12,132 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.Comparator;
-import java.util.Locale;
-import java.util.Map;
 import java.util.Properties;
 import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.stream.Stream;
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Settings;
-import ringspindle.config.Validated;
+import ringspindle.config.Validated.Valid;
 import ringspindle.controlplane.ControlPlane;
 import ringspindle.dataplane.DataPlane;
 
 /**
- * Starts both planes on loopback, sends a configuration and an engine's beat, and sees whether a request comes
+ * Starts both planes on loopback, sends a configuration and an engine's heartbeat, and sees whether a request comes
  * through. It shows that an installation works; the build uses it to learn which classes a start needs.
  */
 public final class SelfTest {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private static final int WAIT_MS = 20_000;
+    private static final String LOOPBACK = "127.0.0.1";
+    private static final Duration STEP_TIMEOUT = Duration.ofSeconds(20);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(3);
+    private static final long RETRY_INTERVAL_MS = 50;
+    private static final long SHUTDOWN_TIMEOUT_MS = 10_000;
+
+    /** The ports that the two planes listen on; the inner one is followed by a second. */
+    private record Ports(int control, int registry, int frontend, int readiness, int inner) {
+        static Ports free() throws IOException {
+            int[] single = new int[4];
+            ServerSocket[] sockets = new ServerSocket[single.length];
+            for (int i = 0; i < single.length; i++) {
+                sockets[i] = new ServerSocket(0);
+                single[i] = sockets[i].getLocalPort();
+            }
+            for (ServerSocket socket : sockets) {
+                socket.close();
+            }
+            return new Ports(single[0], single[1], single[2], single[3], adjacentPair());
+        }
 
-    private SelfTest() {}
+        /** The first of two free ports that follow each other. */
+        private static int adjacentPair() throws IOException {
+            while (true) {
+                try (ServerSocket first = new ServerSocket(0);
+                        ServerSocket second = new ServerSocket(first.getLocalPort() + 1)) {
+                    return second.getLocalPort() - 1;
+                } catch (IOException | IllegalArgumentException taken) {
+                    // the port after it is taken or out of range: try another pair
+                }
+            }
+        }
+    }
 
-    /** {@code SelfTest.run()} is 0 if all works. */
-    public static int run() {
+    /** What a thread of the self-test does. */
+    private interface Task {
+        void run() throws Exception;
+    }
+
+    private final Ports ports;
+    private final int enginePort;
+    private final HttpClient http =
+            HttpClient.newBuilder().connectTimeout(CONNECT_TIMEOUT).build();
+
+    private SelfTest(Ports ports, int enginePort) {
+        this.ports = ports;
+        this.enginePort = enginePort;
+    }
+
+    /** Runs the self-test; {@link ExitCode#OK} if all works, otherwise the log says what does not. */
+    public static ExitCode run() {
         Path folder = null;
-        try (ServerSocket engine = new ServerSocket(0, 10, InetAddress.getByName("127.0.0.1"))) {
+        try (ServerSocket engine = new ServerSocket(0, 10, InetAddress.getByName(LOOPBACK))) {
             folder = Files.createTempDirectory("ringspindle-selftest");
-            return run(folder, engine);
-        } catch (Exception x) {
-            LOG.atSevere().withCause(x).log("self-test fails");
-            return 1;
+            boolean passed = new SelfTest(Ports.free(), engine.getLocalPort()).passes(folder, engine);
+            LOG.atInfo().log(passed ? "self-test passed" : "self-test failed");
+            return passed ? ExitCode.OK : ExitCode.FAILED;
+        } catch (Exception failure) {
+            LOG.atSevere().withCause(failure).log("self-test fails");
+            return ExitCode.FAILED;
         } finally {
-            remove(folder);
+            delete(folder);
         }
     }
 
-    private static int run(Path folder, ServerSocket engine) throws Exception {
-        int[] port = ports(5);
-        Properties p = new Properties();
-        p.putAll(Map.of(
-                "node.name",
-                "selftest",
-                "node.ip",
-                "127.0.0.1",
-                "node.zone",
-                "z",
-                "node.region",
-                "r",
-                "node.bootstrap",
-                "true",
-                "node.data",
-                folder.toString(),
-                "listen.control",
-                "127.0.0.1:" + port[0],
-                "listen.registry",
-                "127.0.0.1:" + port[1],
-                "seeds",
-                "127.0.0.1:" + port[0],
-                "zone.z",
-                "r"));
-        p.putAll(Map.of(
-                "listen.inner",
-                String.valueOf(innerPorts()),
-                "listen.frontend",
-                "127.0.0.1:" + port[2],
-                "listen.readiness",
-                "127.0.0.1:" + port[3],
-                "bound.graceS",
-                "3"));
-        NodeConfig config = ((Validated.Valid<NodeConfig>) NodeConfig.check(p)).value();
-        CountDownLatch term = new CountDownLatch(1);
-        Thread control = thread(() -> ControlPlane.run(new Settings(config), term));
-        Thread data = thread(() -> DataPlane.run(new Settings(config), term));
-        Thread stand = thread(() -> answer(engine));
-        String base = "http://127.0.0.1:" + port[0] + "/ringspindle/";
-        boolean ok = until(base + "configuration", "PUT", configuration(), 200)
-                && until(base + "instances/i-1", "PUT", beat(engine.getLocalPort()), 200)
-                && until("http://127.0.0.1:" + port[3] + "/ringspindle/readiness", "GET", "", 200)
-                && until(
-                        "http://127.0.0.1:" + port[1] + "/ringspindle/resolution?name=a&region=r&zone=z",
-                        "GET",
-                        "",
-                        200)
-                && until("http://127.0.0.1:" + port[2] + "/card/x", "POST", "hello", 200)
-                && until("http://127.0.0.1:" + port[2] + "/nowhere/x", "POST", "hello", 404);
-        LOG.atInfo().log(ok ? "self-test passed" : "self-test failed");
-        term.countDown();
-        control.join(10_000);
-        data.join(10_000);
-        stand.interrupt();
-        return ok ? 0 : 1;
+    private boolean passes(Path folder, ServerSocket engine) throws InterruptedException {
+        NodeConfig config = ((Valid<NodeConfig>) NodeConfig.check(properties(folder))).value();
+        CountDownLatch terminated = new CountDownLatch(1);
+        Thread control = start(() -> ControlPlane.run(new Settings(config), terminated));
+        Thread data = start(() -> DataPlane.run(new Settings(config), terminated));
+        Thread standIn = start(() -> SelfTestEngine.serve(engine));
+        boolean passed = checksPass();
+        terminated.countDown();
+        control.join(SHUTDOWN_TIMEOUT_MS);
+        data.join(SHUTDOWN_TIMEOUT_MS);
+        standIn.interrupt();
+        return passed;
+    }
+
+    private Properties properties(Path folder) {
+        Properties properties = new Properties();
+        properties.setProperty("node.name", "selftest");
+        properties.setProperty("node.ip", LOOPBACK);
+        properties.setProperty("node.zone", "z");
+        properties.setProperty("node.region", "r");
+        properties.setProperty("node.bootstrap", "true");
+        properties.setProperty("node.data", folder.toString());
+        properties.setProperty("listen.control", address(ports.control()));
+        properties.setProperty("listen.registry", address(ports.registry()));
+        properties.setProperty("listen.inner", String.valueOf(ports.inner()));
+        properties.setProperty("listen.frontend", address(ports.frontend()));
+        properties.setProperty("listen.readiness", address(ports.readiness()));
+        properties.setProperty("seeds", address(ports.control()));
+        properties.setProperty("zone.z", "r");
+        properties.setProperty("bound.graceS", "3");
+        return properties;
+    }
+
+    private static String address(int port) {
+        return LOOPBACK + ":" + port;
+    }
+
+    private boolean checksPass() throws InterruptedException {
+        return gives(ports.control(), "PUT", "/ringspindle/configuration", configuration(), 200)
+                && gives(ports.control(), "PUT", "/ringspindle/instances/i-1", heartbeat(), 200)
+                && gives(ports.readiness(), "GET", "/ringspindle/readiness", "", 200)
+                && gives(ports.registry(), "GET", "/ringspindle/resolution?name=a&region=r&zone=z", "", 200)
+                && gives(ports.frontend(), "POST", "/card/x", "hello", 200)
+                && gives(ports.frontend(), "POST", "/nowhere/x", "hello", 404);
     }
 
     private static String configuration() {
@@ -114,114 +146,67 @@
                 + "\"services\":[{\"name\":\"s\",\"healthPath\":\"/health\",\"maxConnections\":10}]}";
     }
 
-    private static String beat(int port) {
-        return "{\"service\":\"s\",\"address\":\"127.0.0.1:" + port
+    private String heartbeat() {
+        return "{\"service\":\"s\",\"address\":\"" + address(enginePort)
                 + "\",\"zone\":\"z\",\"revision\":\"v1\",\"capacity\":4,"
                 + "\"state\":\"ready\",\"warmupLeftMs\":0,\"callSeq\":1}";
     }
 
-    private interface Work {
-        void run() throws Exception;
-    }
-
-    private static Thread thread(Work w) {
-        Thread t = new Thread(() -> {
+    private static Thread start(Task task) {
+        Thread thread = new Thread(() -> {
             try {
-                w.run();
-            } catch (Exception x) {
-                LOG.atFine().withCause(x).log("self-test thread ends");
+                task.run();
+            } catch (Exception failure) {
+                LOG.atFine().withCause(failure).log("self-test thread ends");
             }
         });
-        t.setDaemon(true);
-        t.start();
-        return t;
+        thread.setDaemon(true);
+        thread.start();
+        return thread;
     }
 
-    /** The least an engine can be. */
-    private static void answer(ServerSocket engine) throws IOException {
-        while (true) {
-            try (Socket s = engine.accept()) {
-                BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(), ISO_8859_1));
-                String id = "";
-                int length = 0;
-                for (String h = in.readLine(); h != null && !h.isEmpty(); h = in.readLine()) {
-                    String lower = h.toLowerCase(Locale.ROOT);
-                    id = lower.startsWith("attempt-id:") ? h.substring(11).trim() : id;
-                    length = lower.startsWith("content-length:")
-                            ? Integer.parseInt(h.substring(15).trim())
-                            : length;
-                }
-                for (int i = 0; i < length; i++) {
-                    in.read();
-                }
-                s.getOutputStream()
-                        .write(("HTTP/1.1 200 OK\r\nAttempt-Id: " + id
-                                        + "\r\nServer-Seal: s\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok")
-                                .getBytes(ISO_8859_1));
+    /** Repeats a call until it gives the status; false, after a message, if it does not in time. */
+    private boolean gives(int port, String method, String path, String body, int status) throws InterruptedException {
+        String url = "http://" + address(port) + path;
+        long startNs = System.nanoTime();
+        int lastStatus = 0;
+        while (System.nanoTime() - startNs < STEP_TIMEOUT.toNanos()) {
+            lastStatus = call(url, method, body);
+            if (lastStatus == status) {
+                return true;
             }
+            TimeUnit.MILLISECONDS.sleep(RETRY_INTERVAL_MS);
         }
-    }
-
-    private static boolean until(String url, String method, String body, int status) throws InterruptedException {
-        HttpClient http =
-                HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(1)).build();
-        long endNs = System.nanoTime() + WAIT_MS * 1_000_000L;
-        int last = 0;
-        while (System.nanoTime() < endNs) {
-            try {
-                HttpRequest r = HttpRequest.newBuilder(URI.create(url))
-                        .timeout(Duration.ofSeconds(3))
-                        .header("If-Match", "0")
-                        .header("Attempt-Id", "t1")
-                        .header("Deadline-Ms", "2000")
-                        .method(method, HttpRequest.BodyPublishers.ofString(body))
-                        .build();
-                last = http.send(r, HttpResponse.BodyHandlers.discarding()).statusCode();
-                if (last == status) {
-                    return true;
-                }
-            } catch (IOException x) {
-                last = -1;
-            }
-            Thread.sleep(50);
-        }
-        LOG.atSevere().log("self-test: %s %s gave %s, not %s", method, url, last, status);
+        LOG.atSevere().log("self-test: %s %s gave %s, not %s", method, url, lastStatus, status);
         return false;
     }
 
-    private static int[] ports(int n) throws IOException {
-        ServerSocket[] s = new ServerSocket[n];
-        int[] out = new int[n];
-        for (int i = 0; i < n; i++) {
-            s[i] = new ServerSocket(0);
-            out[i] = s[i].getLocalPort();
+    /** The status that a call gives, -1 if the connection fails. */
+    private int call(String url, String method, String body) throws InterruptedException {
+        HttpRequest request = HttpRequest.newBuilder(URI.create(url))
+                .timeout(CALL_TIMEOUT)
+                .header("If-Match", "0")
+                .header("Attempt-Id", "t1")
+                .header("Deadline-Ms", "2000")
+                .method(method, HttpRequest.BodyPublishers.ofString(body))
+                .build();
+        try {
+            return http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
+        } catch (IOException unreached) {
+            return -1;
         }
-        for (ServerSocket x : s) {
-            x.close();
-        }
-        return out;
     }
 
-    /** Two free ports that follow each other. */
-    private static int innerPorts() throws IOException {
-        while (true) {
-            try (ServerSocket a = new ServerSocket(0);
-                    ServerSocket b = new ServerSocket(a.getLocalPort() + 1)) {
-                return a.getLocalPort();
-            } catch (IOException | IllegalArgumentException x) {
-                // the neighbour is taken
-            }
-        }
-    }
-
-    private static void remove(Path folder) {
+    private static void delete(Path folder) {
         if (folder == null) {
             return;
         }
-        try (java.util.stream.Stream<Path> all = Files.walk(folder)) {
-            all.sorted(Comparator.reverseOrder()).forEach(f -> f.toFile().delete());
-        } catch (IOException x) {
-            LOG.atFine().withCause(x).log("cannot remove %s", folder);
+        try (Stream<Path> files = Files.walk(folder)) {
+            for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+                Files.delete(file);
+            }
+        } catch (IOException failure) {
+            LOG.atFine().withCause(failure).log("cannot remove %s", folder);
         }
     }
 }
--- a/src/test/java/ringspindle/MainTest.java
+++ b/src/test/java/ringspindle/MainTest.java
@@ -16,6 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import ringspindle.cli.ExitCode;
 
 /** Help texts, and the refusal of command lines that cannot be understood. */
 @Timeout(60)
@@ -49,12 +50,12 @@
         return FLEET_COMMANDS.stream();
     }
 
-    private int run(String... words) {
+    private ExitCode run(String... words) {
         return Main.run(words);
     }
 
     private void assertRefused(String message, String usageStart, String... words) {
-        assertEquals(Main.USAGE, run(words), () -> String.join(" ", words));
+        assertEquals(ExitCode.USAGE, run(words), () -> String.join(" ", words));
         List<String> lines = err.toString(UTF_8).lines().toList();
         assertEquals(2, lines.size(), lines::toString);
         assertTrue(lines.get(0).contains(message), lines::toString);
@@ -65,7 +66,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"--help", "-h", "--help status"})
     void helpOnTheProgramListsAllCommands(String line) {
-        assertEquals(0, run(line.split(" ")));
+        assertEquals(ExitCode.OK, run(line.split(" ")));
         commands().forEach(c -> assertTrue(out.toString(UTF_8).contains(c), c));
         assertEquals("", err.toString(UTF_8));
     }
@@ -73,8 +74,8 @@
     @ParameterizedTest
     @MethodSource("commands")
     void helpOnACommandEndsWithZero(String command) {
-        assertEquals(0, run(command, "--help"));
-        assertEquals(0, run(command, "-h"));
+        assertEquals(ExitCode.OK, run(command, "--help"));
+        assertEquals(ExitCode.OK, run(command, "-h"));
         assertTrue(out.toString(UTF_8).contains("Usage: " + command), out.toString(UTF_8));
         assertEquals("", err.toString(UTF_8));
     }
--- a/src/test/java/ringspindle/cli/CliTest.java
+++ b/src/test/java/ringspindle/cli/CliTest.java
@@ -38,10 +38,10 @@
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
-    private int run(String... args) {
+    private ExitCode run(String... args) {
         out.reset();
         err.reset();
-        Cli cli = Cli.create(new PrintStream(out, true, UTF_8), new PrintStream(err, true, UTF_8));
+        Cli cli = new Cli(new PrintStream(out, true, UTF_8), new PrintStream(err, true, UTF_8));
         JCommander parser = JCommander.newBuilder().build();
         cli.addTo(parser);
         parser.parse(args);
@@ -93,75 +93,88 @@
 
     @Test
     void takenRefusedAndNotReachedAreToldApart() throws Exception {
-        assertEquals(Cli.OK, run("evacuate", "z", "-c", control(200, "")));
+        assertEquals(ExitCode.OK, run("evacuate", "z", "-c", control(200, "")));
         assertEquals("done\n", out.toString(UTF_8));
-        assertEquals(Cli.REFUSED, run("evacuate", "z", "-c", control(404, "{\"error\":\"NO_SUCH\",\"text\":\"\"}")));
+        assertEquals(
+                ExitCode.REFUSED, run("evacuate", "z", "-c", control(404, "{\"error\":\"NO_SUCH\",\"text\":\"\"}")));
         assertTrue(err.toString(UTF_8).contains("NO_SUCH"));
-        assertEquals(Cli.NOT_REACHED, run("evacuate", "z", "-c", control(503, "")));
-        assertEquals(Cli.USAGE, run("evacuate", "-c", control(200, "")));
-        assertEquals(Cli.USAGE, run("status", "-c", "nonsense"));
+        assertEquals(ExitCode.NOT_REACHED, run("evacuate", "z", "-c", control(503, "")));
+        assertEquals(ExitCode.USAGE, run("evacuate", "-c", control(200, "")));
+        assertEquals(ExitCode.USAGE, run("status", "-c", "nonsense"));
     }
 
     @Test
     void nextNodeIsAskedWhenOneGivesNoClearAnswer() throws Exception {
-        assertEquals(Cli.OK, run("restore", "z", "-c", control(503, "") + "," + control(200, "")));
+        assertEquals(ExitCode.OK, run("restore", "z", "-c", control(503, "") + "," + control(200, "")));
         assertEquals(2, asked.size());
     }
 
     @Test
     void configurationsBuildOnWhatIsInForce() throws Exception {
         String node = control(200, "");
-        assertEquals(Cli.OK, run("config", "put", file(CONFIG.replace(":4,", ":9,")), "-c", node));
+        assertEquals(ExitCode.OK, run("config", "put", file(CONFIG.replace(":4,", ":9,")), "-c", node));
         assertEquals("PUT /ringspindle/configuration HTTP/1.1 4", asked.get(asked.size() - 1));
-        assertEquals(Cli.OK, run("config", "patch", file("{\"revision\":9}"), "--base", "3", "-c", node));
+        assertEquals(ExitCode.OK, run("config", "patch", file("{\"revision\":9}"), "--base", "3", "-c", node));
         assertEquals("PATCH /ringspindle/configuration HTTP/1.1 3", asked.get(asked.size() - 1));
         assertEquals(
-                Cli.OK, run("config", "diff", file(CONFIG.replace("/c/", "/d/").replace(":4,", ":9,")), "-c", node));
+                ExitCode.OK,
+                run("config", "diff", file(CONFIG.replace("/c/", "/d/").replace(":4,", ":9,")), "-c", node));
         assertTrue(out.toString(UTF_8).contains("~ routes c"), out.toString(UTF_8));
-        assertEquals(Cli.OK, run("mappings", "-c", node));
+        assertEquals(ExitCode.OK, run("mappings", "-c", node));
         assertTrue(out.toString(UTF_8).contains("/c/"), out.toString(UTF_8));
     }
 
     @Test
     void checkWorksOfflineWithTheControlPlanesOwnChecks() throws Exception {
-        assertEquals(Cli.OK, run("config", "check", file(CONFIG)));
-        assertEquals(Cli.REFUSED, run("config", "check", file(CONFIG.replace("\"deadlineMs\":1", "\"deadlineMs\":0"))));
+        assertEquals(ExitCode.OK, run("config", "check", file(CONFIG)));
+        assertEquals(
+                ExitCode.REFUSED, run("config", "check", file(CONFIG.replace("\"deadlineMs\":1", "\"deadlineMs\":0"))));
         assertTrue(err.toString(UTF_8).contains("deadlineMs of route c is 0"), err.toString(UTF_8));
-        assertEquals(Cli.USAGE, run("config", "check", folder.resolve("none").toString()));
+        assertEquals(
+                ExitCode.USAGE, run("config", "check", folder.resolve("none").toString()));
     }
 
     @Test
     void rolloutsAreOrdered() throws Exception {
         String node = control(200, "{\"rollouts\":[]}");
-        assertEquals(Cli.OK, run("rollout", "start", "s", "--target", "8", "--floor", "0.5", "-c", node));
+        assertEquals(ExitCode.OK, run("rollout", "start", "s", "--target", "8", "--floor", "0.5", "-c", node));
         assertEquals("POST /ringspindle/rollouts/s HTTP/1.1 ", asked.get(asked.size() - 1));
-        assertEquals(Cli.USAGE, run("rollout", "start", "s", "-c", node));
-        assertEquals(Cli.USAGE, run("rollout", "dance", "s", "-c", node));
-        assertEquals(Cli.OK, run("rollout", "-c", node));
+        assertEquals(ExitCode.USAGE, run("rollout", "start", "s", "-c", node));
+        assertEquals(ExitCode.USAGE, run("rollout", "dance", "s", "-c", node));
+        assertEquals(ExitCode.OK, run("rollout", "-c", node));
     }
 
     @Test
     void programRefusesBadCommandsAndSettings() throws Exception {
-        assertEquals(2, Main.run(new String[] {}));
-        assertEquals(2, Main.run(new String[] {"dance"}));
-        assertEquals(2, Main.run(new String[] {
+        assertEquals(ExitCode.USAGE, Main.run(new String[] {}));
+        assertEquals(ExitCode.USAGE, Main.run(new String[] {"dance"}));
+        assertEquals(ExitCode.USAGE, Main.run(new String[] {
             "data-plane", "--settings", folder.resolve("none").toString()
         }));
-        assertEquals(2, Main.run(new String[] {"control-plane", "--settings", file("node.name=x")}));
-        assertEquals(0, Main.run(new String[] {"rollout", "--help"}));
+        assertEquals(ExitCode.USAGE, Main.run(new String[] {"control-plane", "--settings", file("node.name=x")}));
+        assertEquals(ExitCode.OK, Main.run(new String[] {"rollout", "--help"}));
     }
 
     private static final String RULES =
             "{\"revision\":3,\"rules\":[{\"name\":\"digests\",\"match\":{\"prompt\":{\"from\":5000}},"
                     + "\"class\":{\"rank\":2,\"waitMs\":900},\"affinity\":{\"by\":\"prompt\",\"parts\":1},\"busy\":[{\"to\":\"next\",\"waitMs\":100}]}]}";
 
+    @Test
+    void exitCodesKeepTheirNumbers() {
+        assertEquals(0, ExitCode.OK.value());
+        assertEquals(1, ExitCode.FAILED.value());
+        assertEquals(2, ExitCode.USAGE.value());
+        assertEquals(3, ExitCode.REFUSED.value());
+        assertEquals(4, ExitCode.NOT_REACHED.value());
+    }
+
     @Test
     void rulesAreCheckedOfflineExplainedAndCompared() throws Exception {
-        assertEquals(Cli.OK, run("rules", "check", file(RULES)));
-        assertEquals(Cli.REFUSED, run("rules", "check", file(RULES.replace("next", "moon"))));
+        assertEquals(ExitCode.OK, run("rules", "check", file(RULES)));
+        assertEquals(ExitCode.REFUSED, run("rules", "check", file(RULES.replace("next", "moon"))));
         assertTrue(err.toString(UTF_8).contains("rules[0].busy[0].to is moon"), err.toString(UTF_8));
         assertEquals(
-                Cli.REFUSED,
+                ExitCode.REFUSED,
                 run(
                         "rules",
                         "check",
@@ -169,20 +182,21 @@
                         "--config",
                         file(CONFIG)));
         assertTrue(err.toString(UTF_8).contains("rules[0].match.route names none"), err.toString(UTF_8));
-        assertEquals(Cli.USAGE, run("rules", "check"));
+        assertEquals(ExitCode.USAGE, run("rules", "check"));
         assertEquals(
-                Cli.OK,
+                ExitCode.OK,
                 run("rules", "explain", "--file", file(RULES), "--prompt", "17000", "--prefix", "aa:13000,bb:4000"));
         assertTrue(out.toString(UTF_8).contains("digests of revision 3"), out.toString(UTF_8));
         assertTrue(out.toString(UTF_8).contains("after 100 ms next"), out.toString(UTF_8));
         String node = control(200, RULES);
         assertEquals(
-                Cli.OK, run("rules", "diff", file(RULES.replace(":3,", ":4,").replace("900", "800")), "-c", node));
+                ExitCode.OK,
+                run("rules", "diff", file(RULES.replace(":3,", ":4,").replace("900", "800")), "-c", node));
         assertTrue(out.toString(UTF_8).contains("~ digests"), out.toString(UTF_8));
-        assertEquals(Cli.OK, run("rules", "put", file(RULES.replace(":3,", ":4,")), "-c", node));
+        assertEquals(ExitCode.OK, run("rules", "put", file(RULES.replace(":3,", ":4,")), "-c", node));
         assertEquals("PUT /ringspindle/rules HTTP/1.1 3", asked.get(asked.size() - 1));
         assertEquals(
-                Cli.REFUSED,
+                ExitCode.REFUSED,
                 run(
                         "rules",
                         "put",
@@ -191,8 +205,8 @@
                         "1",
                         "-c",
                         control(412, "{\"error\":\"OTHER_VERSION\",\"text\":\"\"}")));
-        assertEquals(Cli.NOT_REACHED, run("rules", "get", "-c", control(503, "")));
-        assertEquals(Cli.USAGE, run("rules", "dance", "-c", node));
+        assertEquals(ExitCode.NOT_REACHED, run("rules", "get", "-c", control(503, "")));
+        assertEquals(ExitCode.USAGE, run("rules", "dance", "-c", node));
     }
 
     @Test
@@ -205,11 +219,11 @@
                 + row + "]}";
         String good = "{\"sessions\":[],\"revision\":3,\"digest\":\"d\",\"idle\":[],\"nodes\":[" + node
                 + "],\"ledgers\":[" + life + "]}";
-        assertEquals(Cli.OK, run("rules", "status", "-c", control(200, good)));
+        assertEquals(ExitCode.OK, run("rules", "status", "-c", control(200, good)));
         assertTrue(out.toString(UTF_8).contains("every node in touch follows them"), out.toString(UTF_8));
-        assertEquals(Cli.OK, run("ledger", "-c", control(200, good)));
+        assertEquals(ExitCode.OK, run("ledger", "-c", control(200, good)));
         assertEquals(
-                Cli.FAILED,
+                ExitCode.FAILED,
                 run(
                         "rules",
                         "status",
@@ -220,12 +234,13 @@
                                         "\"revision\":3,\"digest\":\"d\",\"broken\"",
                                         "\"revision\":2,\"digest\":\"d\",\"broken\""))));
         assertTrue(out.toString(UTF_8).contains("a at 2"), out.toString(UTF_8));
-        assertEquals(Cli.FAILED, run("ledger", "-c", control(200, good.replace("\"completed\":4", "\"completed\":3"))));
+        assertEquals(
+                ExitCode.FAILED, run("ledger", "-c", control(200, good.replace("\"completed\":4", "\"completed\":3"))));
         assertTrue(err.toString(UTF_8).contains("broken law: SUM"), err.toString(UTF_8));
         assertEquals(
-                Cli.FAILED,
+                ExitCode.FAILED,
                 run("rules", "status", "-c", control(200, good) + "," + "127.0.0.1:1"),
                 "a control node that is not reached");
-        assertEquals(Cli.NOT_REACHED, run("ledger", "-c", control(503, "")));
+        assertEquals(ExitCode.NOT_REACHED, run("ledger", "-c", control(503, "")));
     }
 }
--- a/src/test/java/ringspindle/cli/FleetLedgerTest.java
+++ b/src/test/java/ringspindle/cli/FleetLedgerTest.java
@@ -8,7 +8,6 @@
 import jakarta.json.JsonObject;
 import java.io.StringReader;
 import java.util.List;
-import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 /** Answers of several control nodes put together: each life once, nothing claimed that was not reported. */
@@ -37,51 +36,52 @@
 
     @Test
     void eachLifeCountsOnceByItsNewestReport() {
-        FleetLedger l = new FleetLedger()
+        FleetLedger ledger = new FleetLedger()
                 .add(answer(3, node("a", "ahd", 1, true), life("a", 1, 9, 3, 100, 2, 98)))
                 .add(answer(3, node("a", "ahd", 1, true), life("a", 1, 4, 3, 50, 1, 49)));
-        assertEquals(100, l.lines().get(0).counts().get("admitted"));
-        assertEquals(2, l.lines().get(0).counts().get("inProgress"));
-        assertEquals(List.of(), l.broken());
-        assertTrue(l.all());
+        assertEquals(100, ledger.totals().get(0).count(LedgerCounter.ADMITTED));
+        assertEquals(2, ledger.totals().get(0).count(LedgerCounter.IN_PROGRESS));
+        assertEquals(List.of(), ledger.brokenLaws());
+        assertTrue(ledger.allFollow());
     }
 
     @Test
     void actionsOfANodeThatDiedAreUnknownNeverAnswered() {
-        FleetLedger l = new FleetLedger()
+        FleetLedger ledger = new FleetLedger()
                 .add(answer(
                         3,
                         node("a", "ahd", 2, true) + "," + node("b", "srt", 1, false),
                         life("a", 1, 9, 3, 100, 5, 95) + "," + life("a", 2, 1, 3, 10, 1, 9) + ","
                                 + life("b", 1, 3, 3, 7, 3, 4)));
-        Map<String, Long> c = l.lines().get(0).counts();
-        assertEquals(1, c.get("inProgress"));
-        assertEquals(8, c.get("unknown"));
-        assertEquals(108, c.get("completed"));
-        assertEquals(List.of(), l.broken());
-        assertEquals(List.of("b"), l.regions().get(1).notInTouch());
+        FleetLedger.ClassTotals totals = ledger.totals().get(0);
+        assertEquals(1, totals.count(LedgerCounter.IN_PROGRESS));
+        assertEquals(8, totals.count(LedgerCounter.UNKNOWN));
+        assertEquals(108, totals.count(LedgerCounter.COMPLETED));
+        assertEquals(List.of(), ledger.brokenLaws());
+        assertEquals(List.of("b"), ledger.regions().get(1).notInTouch());
     }
 
     @Test
     void nobodyIsSaidToFollowWhoHasNotSaidSo() {
         FleetLedger other = new FleetLedger().add(answer(4, node("a", "ahd", 1, true), life("a", 1, 9, 3, 1, 0, 1)));
-        assertFalse(other.all());
+        assertFalse(other.allFollow());
         assertEquals(List.of("a at 3"), other.regions().get(0).other());
         FleetLedger unheard = new FleetLedger().add(answer(4, node("a", "ahd", 1, true), ""));
-        assertFalse(unheard.all());
+        assertFalse(unheard.allFollow());
         assertEquals(List.of("a"), unheard.regions().get(0).unheard());
         FleetLedger earlier = new FleetLedger().add(answer(4, node("a", "ahd", 2, true), life("a", 1, 9, 4, 1, 0, 1)));
-        assertFalse(earlier.all(), "what an earlier life said says nothing of this one");
+        assertFalse(earlier.allFollow(), "what an earlier life said says nothing of this one");
         FleetLedger mixed = new FleetLedger()
                 .add(answer(3, "", ""))
                 .add(answer(4, node("a", "ahd", 1, true), life("a", 1, 9, 4, 1, 0, 1)));
         assertEquals(4, mixed.revision());
-        assertTrue(mixed.all());
+        assertTrue(mixed.allFollow());
     }
 
     @Test
     void lostAnswersShow() {
-        FleetLedger l = new FleetLedger().add(answer(3, node("a", "ahd", 1, true), life("a", 1, 9, 3, 100, 2, 90)));
-        assertEquals(List.of("SUM over all nodes of c at 3"), l.broken());
+        FleetLedger ledger =
+                new FleetLedger().add(answer(3, node("a", "ahd", 1, true), life("a", 1, 9, 3, 100, 2, 90)));
+        assertEquals(List.of("SUM over all nodes of c at 3"), ledger.brokenLaws());
     }
 }
