--- a/src/main/java/ringspindle/controlplane/ControlApiHandler.java
+++ b/src/main/java/ringspindle/controlplane/ControlApiHandler.java
@@ -28,7 +28,7 @@
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.NodeId;
 import ringspindle.proxy.BoundedBody;
-import ringspindle.replication.ReplicatedState;
+import ringspindle.replication.CallKind;
 import ringspindle.routing.ServingRules;
 
 /** The calls of engines, operators and consumers on a control node. */
@@ -62,16 +62,16 @@
                 return resolve(request, response, callback);
             case CONFIG_GET:
                 control.call(
-                        ReplicatedState.READ,
+                        CallKind.READ,
                         0,
                         "",
                         NONE,
                         (o, body) -> end(response, callback, o, o == Outcome.TAKEN ? FleetConfig.unpack(body) : NONE));
                 return true;
             case CONFIG_PUT:
-                return configuration(request, response, callback, ReplicatedState.PUT);
+                return configuration(request, response, callback, CallKind.PUT);
             case CONFIG_PATCH:
-                return configuration(request, response, callback, ReplicatedState.PATCH);
+                return configuration(request, response, callback, CallKind.PATCH);
             case EVACUATE:
             case RESTORE:
                 if (!control.inTouch()) {
@@ -81,7 +81,7 @@
                     return end(response, callback, Outcome.NO_SUCH, NONE);
                 }
                 control.call(
-                        what == Operation.EVACUATE ? ReplicatedState.EVACUATE : ReplicatedState.RESTORE,
+                        what == Operation.EVACUATE ? CallKind.EVACUATE : CallKind.RESTORE,
                         0,
                         arg,
                         NONE,
@@ -90,13 +90,13 @@
             case BEAT:
                 return instance(request, response, callback, arg);
             case GONE:
-                control.call(ReplicatedState.GONE, 0, arg, NONE, (o, body) -> end(response, callback, o, NONE));
+                control.call(CallKind.GONE, 0, arg, NONE, (o, body) -> end(response, callback, o, NONE));
                 return true;
             case RULES_GET:
                 control.call(
-                        ReplicatedState.READ,
+                        CallKind.READ,
                         0,
-                        ReplicatedState.READ_RULES,
+                        CallKind.RULES_ARGUMENT,
                         NONE,
                         (o, body) -> end(response, callback, o, o == Outcome.TAKEN ? body : NONE));
                 return true;
@@ -158,7 +158,7 @@
         return f == null ? "" : f.getValue();
     }
 
-    private boolean configuration(Request request, Response response, Callback callback, int kind) {
+    private boolean configuration(Request request, Response response, Callback callback, CallKind kind) {
         long base = base(request);
         if (base < 0) {
             return end(response, callback, Outcome.MALFORMED, NONE);
@@ -213,7 +213,7 @@
                                 .getBytes(UTF_8));
                 return;
             }
-            control.call(ReplicatedState.RULES, base, "", b, (o, text) -> end(response, callback, o, text));
+            control.call(CallKind.RULES, base, "", b, (o, text) -> end(response, callback, o, text));
         });
         return true;
     }
@@ -281,7 +281,7 @@
                 return;
             }
             control.call(
-                    ReplicatedState.DRAIN,
+                    CallKind.DRAIN,
                     0,
                     id,
                     NONE,
@@ -322,7 +322,7 @@
                             .getBytes(UTF_8);
                 }
             }
-            control.call(ReplicatedState.ROLLOUT, 0, service, order, (o, text) -> end(response, callback, o, text));
+            control.call(CallKind.ROLLOUT, 0, service, order, (o, text) -> end(response, callback, o, text));
         });
         return true;
     }
--- a/src/main/java/ringspindle/controlplane/ControlNode.java
+++ b/src/main/java/ringspindle/controlplane/ControlNode.java
@@ -24,7 +24,6 @@
 import ringspindle.protocol.Codec;
 import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message;
-import ringspindle.protocol.Message.Call;
 import ringspindle.protocol.Message.Digest;
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.Message.Fact;
@@ -38,6 +37,8 @@
 import ringspindle.protocol.Message.State;
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
+import ringspindle.replication.CallKind;
+import ringspindle.replication.MarkKind;
 import ringspindle.replication.ReplicatedState;
 import ringspindle.replication.Rollout;
 import ringspindle.telemetry.LoadSummary;
@@ -129,8 +130,7 @@
         news = new FactDissemination(mesh, meet, knowledge);
         leases = new QuotaLeaseIssuer(me, knowledge, frontends);
         rollouts = new RolloutController(
-                reports,
-                (service, body, then) -> call(ReplicatedState.ROLLOUT, 0, service, body, (o, text) -> then.run()));
+                reports, (service, body, then) -> call(CallKind.ROLLOUT, 0, service, body, (o, text) -> then.run()));
         List<NodeId> seeds = config.seeds().stream()
                 .map(s -> s.at(config.innerPort()))
                 .sorted()
@@ -168,13 +168,13 @@
      * Passes a call to the chain, which holds it for a moment while this node is just starting; otherwise the answer is
      * UNCLEAR at once unless a majority is proven to be in touch.
      */
-    void call(int kind, long base, String arg, byte[] body, PendingCalls.Answered then) {
+    void call(CallKind kind, long base, String arg, byte[] body, PendingCalls.Answered then) {
         long fromMs = clock.nowMs();
         synchronized (chainLock) {
             long nowMs = clock.nowMs();
             if (proof.inTouch(nowMs) || proof.starting(nowMs)) {
                 long id = calls.open(kind, fromMs, then);
-                carryOut(chain.call(new Call(id, kind, base, arg, body), nowMs));
+                carryOut(chain.call(kind.call(id, base, arg, body), nowMs));
                 return;
             }
         }
@@ -246,7 +246,7 @@
         boolean blank;
         boolean founding;
         synchronized (chainLock) {
-            blank = chain.blank();
+            blank = chain.relearning();
             founding = chain.founding(nowMs);
         }
         if (blank) {
@@ -393,7 +393,7 @@
             }
         } else {
             synchronized (chainLock) {
-                carryOut(chain.on(from, m, nowMs));
+                carryOut(chain.receive(from, m, nowMs));
             }
         }
     }
@@ -468,7 +468,7 @@
     private void carryOut(List<ReplicatedState.Out> outs) {
         for (ReplicatedState.Out o : outs) {
             if (o instanceof ReplicatedState.Out.Send s) {
-                mesh.send(s.to(), s.m());
+                mesh.send(s.to(), s.message());
             } else if (o instanceof ReplicatedState.Out.Store s) {
                 storage.take(s);
             } else if (o instanceof ReplicatedState.Out.Answer a) {
@@ -496,10 +496,10 @@
         }
         for (Mark m : s.marks()) {
             FactKind kind =
-                    switch (m.kind()) {
-                        case ReplicatedState.MARK_EVACUATED -> FactKind.EVACUATED;
-                        case ReplicatedState.MARK_LEAVING -> FactKind.LEAVING;
-                        case ReplicatedState.MARK_RULES -> FactKind.RULES;
+                    switch (MarkKind.of(m)) {
+                        case EVACUATED -> FactKind.EVACUATED;
+                        case LEAVING -> FactKind.LEAVING;
+                        case RULES -> FactKind.RULES;
                         default -> FactKind.ROLLOUT;
                     };
             items.add(new Fact(kind, m.key(), 0, m.version(), m.value().getBytes(UTF_8)));
@@ -540,10 +540,10 @@
         View view;
         boolean blank;
         synchronized (chainLock) {
-            carryOut(chain.beat(nowMs, new LiveConnectivity(live)));
+            carryOut(chain.tick(nowMs, new LiveConnectivity(live)));
             view = chain.view();
             current = chain.current(nowMs);
-            blank = chain.blank();
+            blank = chain.relearning();
         }
         synchronized (bookLock) {
             proof.renew(nowMs, me, blank ? null : view, this::contact);
@@ -651,7 +651,7 @@
         synchronized (chainLock) {
             state = chain.committed();
             view = chain.view();
-            blank = chain.blank();
+            blank = chain.relearning();
         }
         int flags = (quorate() ? Heartbeat.QUORATE : 0)
                 | (leaving ? Heartbeat.LEAVING : Heartbeat.READY)
--- a/src/main/java/ringspindle/controlplane/FleetStatus.java
+++ b/src/main/java/ringspindle/controlplane/FleetStatus.java
@@ -22,7 +22,7 @@
 import ringspindle.protocol.Message.State;
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
-import ringspindle.replication.ReplicatedState;
+import ringspindle.replication.MarkKind;
 import ringspindle.routing.RequestLedger;
 import ringspindle.routing.ServingRules;
 import ringspindle.telemetry.AttemptCounts;
@@ -71,7 +71,7 @@
             out.add("revision", s.revision());
             JsonArrayBuilder evacuated = JSON.createArrayBuilder();
             for (Mark m : s.marks()) {
-                if (m.kind() == ReplicatedState.MARK_EVACUATED && m.value().equals("on")) {
+                if (MarkKind.EVACUATED.marks(m) && m.value().equals("on")) {
                     evacuated.add(m.key());
                 }
             }
@@ -110,10 +110,7 @@
         State s = c.committed();
         Mark m = s == null
                 ? null
-                : s.marks().stream()
-                        .filter(x -> x.kind() == ReplicatedState.MARK_RULES)
-                        .findFirst()
-                        .orElse(null);
+                : s.marks().stream().filter(MarkKind.RULES::marks).findFirst().orElse(null);
         ServingRules rules =
                 m != null && ServingRules.read(m.value().getBytes(UTF_8)) instanceof Validated.Valid<ServingRules> good
                         ? good.value()
--- a/src/main/java/ringspindle/controlplane/GroupCommitWriter.java
+++ b/src/main/java/ringspindle/controlplane/GroupCommitWriter.java
@@ -107,7 +107,7 @@
     /** Index of the last image: all before it need not be written. */
     private int lastImage() {
         int last = backlog.size() - 1;
-        while (last >= 0 && !backlog.get(last).image()) {
+        while (last >= 0 && !backlog.get(last).snapshot()) {
             last--;
         }
         return last;
--- a/src/main/java/ringspindle/controlplane/PendingCalls.java
+++ b/src/main/java/ringspindle/controlplane/PendingCalls.java
@@ -5,6 +5,7 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.atomic.AtomicLong;
 import ringspindle.api.Outcome;
+import ringspindle.replication.CallKind;
 import ringspindle.replication.ReplicatedState;
 import ringspindle.time.MonotonicClock;
 
@@ -36,10 +37,9 @@
     }
 
     /** The number of a call that came in at that time. */
-    long open(int kind, long fromMs, Answered then) {
+    long open(CallKind kind, long fromMs, Answered then) {
         long number = numbers.incrementAndGet();
-        boolean config = kind == ReplicatedState.PUT || kind == ReplicatedState.PATCH;
-        open.put(number, new Open(fromMs + (config ? ANSWER_CONFIG_MS : ANSWER_MS), then));
+        open.put(number, new Open(fromMs + (kind.changesConfiguration() ? ANSWER_CONFIG_MS : ANSWER_MS), then));
         return number;
     }
 
--- a/src/main/java/ringspindle/replication/ChainReplicatedState.java
+++ b/src/main/java/ringspindle/replication/ChainReplicatedState.java
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public boolean blank() {
+    public boolean relearning() {
         return replica.relearning() || replica.view() == null;
     }
 
@@ -120,10 +120,10 @@
     // ---- inputs
 
     @Override
-    public List<Out> on(NodeId from, Message message, long nowMs) {
+    public List<Out> receive(NodeId from, Message message, long nowMs) {
         replica.advanceTo(nowMs);
         announce();
-        receive(from, message);
+        dispatch(from, message);
         return finish();
     }
 
@@ -153,12 +153,12 @@
     }
 
     @Override
-    public List<Out> beat(long nowMs, Connectivity connectivity) {
+    public List<Out> tick(long nowMs, Connectivity connectivity) {
         consensus.observe(nowMs, connectivity);
         announce();
         orders.tick();
         consensus.askPeers();
-        if (!blank()) {
+        if (!relearning()) {
             orders.goOn();
             replication.tick();
             consensus.proposeIfDue();
@@ -168,14 +168,14 @@
 
     private List<Out> finish() {
         for (Message message = outputs.pollSelf(); message != null; message = outputs.pollSelf()) {
-            receive(replica.self(), message);
+            dispatch(replica.self(), message);
         }
         return outputs.takeOutputs();
     }
 
     /** The first view and state go to disk before anything else is said or written. */
     private void announce() {
-        if (announced || blank()) {
+        if (announced || relearning()) {
             return;
         }
         announced = true;
@@ -183,7 +183,7 @@
         replication.writeFirst();
     }
 
-    private void receive(NodeId from, Message message) {
+    private void dispatch(NodeId from, Message message) {
         if (consensus.receive(from, message)) {
             return;
         }
--- a/src/main/java/ringspindle/replication/Content.java
+++ b/src/main/java/ringspindle/replication/Content.java
@@ -1,18 +1,6 @@
 package ringspindle.replication;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static ringspindle.replication.ReplicatedState.DRAIN;
-import static ringspindle.replication.ReplicatedState.EVACUATE;
-import static ringspindle.replication.ReplicatedState.GONE;
-import static ringspindle.replication.ReplicatedState.MARK_EVACUATED;
-import static ringspindle.replication.ReplicatedState.MARK_LEAVING;
-import static ringspindle.replication.ReplicatedState.MARK_ROLLOUT;
-import static ringspindle.replication.ReplicatedState.MARK_RULES;
-import static ringspindle.replication.ReplicatedState.PATCH;
-import static ringspindle.replication.ReplicatedState.PUT;
-import static ringspindle.replication.ReplicatedState.RESTORE;
-import static ringspindle.replication.ReplicatedState.ROLLOUT;
-import static ringspindle.replication.ReplicatedState.RULES;
 
 import com.google.common.hash.Hashing;
 import java.util.ArrayList;
@@ -43,22 +31,22 @@
     private FleetConfig parsed;
 
     Decision decide(State s, Call c) {
-        switch (c.kind()) {
+        switch (CallKind.of(c.kind())) {
             case PUT:
             case PATCH:
                 return decideConfig(s, c);
             case EVACUATE:
             case RESTORE: {
-                boolean on = c.kind() == EVACUATE;
-                Mark m = mark(s, MARK_EVACUATED, c.arg());
+                boolean on = c.kind() == CallKind.EVACUATE.code();
+                Mark m = mark(s, MarkKind.EVACUATED, c.arg());
                 boolean same = (m != null && m.value().equals("on")) == on;
                 // written also if it is so already: the newer mark fences an opposite order that is still on its way
                 return !same && overtaken(c, m) ? outcome(Outcome.UNCLEAR) : op(c, 0, 0, c.body());
             }
             case DRAIN:
             case GONE: {
-                Mark m = mark(s, MARK_LEAVING, c.arg());
-                if (m != null && (m.value().equals("gone") || c.kind() == DRAIN)) {
+                Mark m = mark(s, MarkKind.LEAVING, c.arg());
+                if (m != null && (m.value().equals("gone") || c.kind() == CallKind.DRAIN.code())) {
                     return outcome(Outcome.TAKEN);
                 }
                 return op(c, 0, 0, c.body());
@@ -91,7 +79,7 @@
             return outcome(Outcome.TAKEN);
         }
         Validated<FleetConfig> checked;
-        if (c.kind() == PUT) {
+        if (c.kind() == CallKind.PUT.code()) {
             checked = FleetConfig.read(c.body());
         } else {
             Validated<jakarta.json.JsonObject> patch = FleetConfig.json(c.body());
@@ -170,7 +158,7 @@
             return invalid(bad.problems());
         }
         ServingRules next = ((Validated.Valid<ServingRules>) checked).value();
-        Mark m = mark(s, MARK_RULES, "");
+        Mark m = mark(s, MarkKind.RULES, "");
         ServingRules now = m == null
                 ? null
                 : ((Validated.Valid<ServingRules>) ServingRules.read(m.value().getBytes(UTF_8))).value();
@@ -201,9 +189,9 @@
         return new Decision(null, Outcome.INVALID, b.toString().getBytes(UTF_8));
     }
 
-    static Mark mark(State s, int kind, String key) {
+    static Mark mark(State s, MarkKind kind, String key) {
         for (Mark m : s.marks()) {
-            if (m.kind() == kind && m.key().equals(key)) {
+            if (kind.marks(m) && m.key().equals(key)) {
                 return m;
             }
         }
@@ -217,7 +205,7 @@
         List<Mark> marks = s.marks();
         byte[] config = s.config();
         long revision = s.revision();
-        switch (op.kind()) {
+        switch (CallKind.of(op.kind())) {
             case PUT:
             case PATCH:
                 past = remember(past, op.revision(), op.digest());
@@ -225,23 +213,23 @@
                 revision = op.revision();
                 break;
             case EVACUATE:
-                marks = marked(marks, new Mark(MARK_EVACUATED, op.arg(), seq, "on"));
+                marks = marked(marks, new Mark(MarkKind.EVACUATED.code(), op.arg(), seq, "on"));
                 break;
             case RESTORE:
-                marks = marked(marks, new Mark(MARK_EVACUATED, op.arg(), seq, "off"));
+                marks = marked(marks, new Mark(MarkKind.EVACUATED.code(), op.arg(), seq, "off"));
                 break;
             case DRAIN:
-                marks = marked(marks, new Mark(MARK_LEAVING, op.arg(), seq, "draining"));
+                marks = marked(marks, new Mark(MarkKind.LEAVING.code(), op.arg(), seq, "draining"));
                 break;
             case GONE:
-                marks = marked(marks, new Mark(MARK_LEAVING, op.arg(), seq, "gone"));
+                marks = marked(marks, new Mark(MarkKind.LEAVING.code(), op.arg(), seq, "gone"));
                 break;
             case ROLLOUT:
-                marks = marked(marks, new Mark(MARK_ROLLOUT, op.arg(), seq, new String(op.body(), UTF_8)));
+                marks = marked(marks, new Mark(MarkKind.ROLLOUT.code(), op.arg(), seq, new String(op.body(), UTF_8)));
                 break;
             case RULES:
                 past = remember(past, NO_REVISION, op.digest());
-                marks = marked(marks, new Mark(MARK_RULES, "", seq, new String(op.body(), UTF_8)));
+                marks = marked(marks, new Mark(MarkKind.RULES.code(), "", seq, new String(op.body(), UTF_8)));
                 break;
             default:
                 break;
@@ -255,12 +243,12 @@
         for (Mark o : marks) {
             if (o.kind() != m.kind() || !o.key().equals(m.key())) {
                 out.add(o);
-                leaving += o.kind() == MARK_LEAVING ? 1 : 0;
+                leaving += MarkKind.LEAVING.marks(o) ? 1 : 0;
             }
         }
         out.add(m);
         for (int i = 0; leaving > LEAVING_MAX && i < out.size(); ) {
-            if (out.get(i).kind() == MARK_LEAVING) {
+            if (MarkKind.LEAVING.marks(out.get(i))) {
                 out.remove(i);
                 leaving--;
             } else {
--- /dev/null
+++ b/src/main/java/ringspindle/replication/MarkKind.java
@@ -0,0 +1,41 @@
+package ringspindle.replication;
+
+import ringspindle.protocol.Message.Mark;
+
+/** What a mark of the control state is about, as {@link Mark#kind} numbers it. */
+public enum MarkKind {
+    /** A kind of a newer program; never written. */
+    UNKNOWN(0),
+    /** A zone or region; the value is {@code on} while it is out of service, else {@code off}. */
+    EVACUATED(1),
+    /** An engine that is {@code draining} or {@code gone}. */
+    LEAVING(2),
+    /** A service's roll-out, as {@link Rollout#write} writes it. */
+    ROLLOUT(3),
+    /** The serving rules; the key is empty. */
+    RULES(4);
+
+    private static final MarkKind[] BY_CODE = values();
+
+    private final int code;
+
+    MarkKind(int code) {
+        this.code = code;
+    }
+
+    /** The number of the kind in messages and on disk. */
+    public int code() {
+        return code;
+    }
+
+    /** The kind of that mark, {@link #UNKNOWN} if this program does not know it. */
+    public static MarkKind of(Mark mark) {
+        int code = mark.kind();
+        return code > 0 && code < BY_CODE.length ? BY_CODE[code] : UNKNOWN;
+    }
+
+    /** True if the mark is of this kind. */
+    public boolean marks(Mark mark) {
+        return mark.kind() == code;
+    }
+}
--- a/src/main/java/ringspindle/replication/Orders.java
+++ b/src/main/java/ringspindle/replication/Orders.java
@@ -1,16 +1,6 @@
 package ringspindle.replication;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static ringspindle.replication.ReplicatedState.EVACUATE;
-import static ringspindle.replication.ReplicatedState.MARK_EVACUATED;
-import static ringspindle.replication.ReplicatedState.MARK_ROLLOUT;
-import static ringspindle.replication.ReplicatedState.MARK_RULES;
-import static ringspindle.replication.ReplicatedState.PATCH;
-import static ringspindle.replication.ReplicatedState.PUT;
-import static ringspindle.replication.ReplicatedState.READ;
-import static ringspindle.replication.ReplicatedState.READ_RULES;
-import static ringspindle.replication.ReplicatedState.RESTORE;
-import static ringspindle.replication.ReplicatedState.ROLLOUT;
 
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.longs.Long2ObjectMap;
@@ -107,9 +97,9 @@
     /** How new what a caller's order may replace is, as far as this node knows; orders on revisions name theirs. */
     private long knownVersion(Call call) {
         Mark mark =
-                switch (call.kind()) {
-                    case EVACUATE, RESTORE -> Content.mark(replication.last(), MARK_EVACUATED, call.arg());
-                    case ROLLOUT -> Content.mark(replication.last(), MARK_ROLLOUT, call.arg());
+                switch (CallKind.of(call.kind())) {
+                    case EVACUATE, RESTORE -> Content.mark(replication.last(), MarkKind.EVACUATED, call.arg());
+                    case ROLLOUT -> Content.mark(replication.last(), MarkKind.ROLLOUT, call.arg());
                     default -> null;
                 };
         return mark == null ? call.base() : Math.max(call.base(), mark.version());
@@ -123,7 +113,9 @@
     }
 
     private NodeId target(Call call) {
-        return call.kind() == READ ? replica.view().tail() : replica.view().head();
+        return call.kind() == CallKind.READ.code()
+                ? replica.view().tail()
+                : replica.view().head();
     }
 
     private void hold(NodeId origin, Call call) {
@@ -178,7 +170,7 @@
             }
             return;
         }
-        boolean reading = call.call.kind() == READ;
+        boolean reading = call.call.kind() == CallKind.READ.code();
         if (replication.established() && (reading || takesOrders.getAsBoolean())) {
             call.sentEpoch = replica.epoch();
             if (reading) {
@@ -197,7 +189,7 @@
     }
 
     private boolean overdue(Held call) {
-        boolean config = call.call.kind() == PUT || call.call.kind() == PATCH;
+        boolean config = CallKind.of(call.call.kind()).changesConfiguration();
         return replica.nowMs() - call.sinceMs >= (config ? HELD_CONFIG_MS : HELD_MS);
     }
 
@@ -261,8 +253,8 @@
 
     private void answerReading(Held reading) {
         byte[] found = replication.committed().config();
-        if (reading.call.arg().equals(READ_RULES)) {
-            Mark rules = Content.mark(replication.committed(), MARK_RULES, "");
+        if (reading.call.arg().equals(CallKind.RULES_ARGUMENT)) {
+            Mark rules = Content.mark(replication.committed(), MarkKind.RULES, "");
             found = rules == null ? NONE : rules.value().getBytes(UTF_8);
         }
         answer(reading, found.length == 0 ? Outcome.NO_SUCH : Outcome.TAKEN, found);
--- a/src/main/java/ringspindle/replication/ReplicatedState.java
+++ b/src/main/java/ringspindle/replication/ReplicatedState.java
@@ -15,10 +15,10 @@
     /** What the owner is to do. */
     sealed interface Out {
         /** Send the message to the node. */
-        record Send(NodeId to, Message m) implements Out {}
+        record Send(NodeId to, Message message) implements Out {}
 
         /** Write and sync in order, then call {@link ReplicatedState#stored}. */
-        record Store(long token, List<Message> records, boolean image) implements Out {}
+        record Store(long token, List<Message> records, boolean snapshot) implements Out {}
 
         /** The answer to a call that came in at this node. */
         record Answer(long call, Outcome outcome, byte[] body) implements Out {}
@@ -30,38 +30,17 @@
         record Viewed(View view) implements Out {}
     }
 
-    /** Kinds of calls and ops. */
-    int PUT = 1;
-
-    int PATCH = 2;
-    int EVACUATE = 3;
-    int RESTORE = 4;
-    int DRAIN = 5;
-    int GONE = 6;
-    int READ = 7;
-    int ROLLOUT = 8;
-    int RULES = 9;
-
-    /** Kinds of marks. */
-    int MARK_EVACUATED = 1;
-
-    int MARK_LEAVING = 2;
-    int MARK_ROLLOUT = 3;
-    int MARK_RULES = 4;
-    /** What a READ asks for beside the configuration. */
-    String READ_RULES = "rules";
-
     /** A message came. */
-    List<Out> on(NodeId from, Message m, long nowMs);
+    List<Out> receive(NodeId from, Message message, long nowMs);
 
     /** A new wire to that node stands; what was sent on an older one may be lost. */
     List<Out> opened(NodeId peer, long nowMs);
 
     /** Time went on. */
-    List<Out> beat(long nowMs, Connectivity connectivity);
+    List<Out> tick(long nowMs, Connectivity connectivity);
 
     /** A call came in at this node; the answer comes as {@link Out.Answer} with its id. */
-    List<Out> call(Call c, long nowMs);
+    List<Out> call(Call call, long nowMs);
 
     /** The records of that token are synced. */
     List<Out> stored(long token, long nowMs);
@@ -79,7 +58,7 @@
     boolean founding(long nowMs);
 
     /** True while this node has not relearned what was promised; it can neither vote nor hold state. */
-    boolean blank();
+    boolean relearning();
 
     /** All that must not be forgotten, for an image of the disk. */
     List<Message> durable();
--- a/src/main/java/ringspindle/replication/Rollouts.java
+++ b/src/main/java/ringspindle/replication/Rollouts.java
@@ -1,7 +1,6 @@
 package ringspindle.replication;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static ringspindle.replication.ReplicatedState.MARK_ROLLOUT;
 
 import jakarta.json.JsonNumber;
 import jakarta.json.JsonObject;
@@ -28,7 +27,7 @@
             return refused("not a whole JSON object");
         }
         JsonObject o = good.value();
-        Mark m = Content.mark(s, MARK_ROLLOUT, c.arg());
+        Mark m = Content.mark(s, MarkKind.ROLLOUT, c.arg());
         Rollout now = m == null ? null : Rollout.read(m.value());
         try {
             return decide(s, c, o, now);
@@ -42,7 +41,7 @@
         Content.Decision decision = decide(s, c, o, now, order);
         // an operator's order that was held up must not undo a newer one; the duty's own orders name their epoch
         boolean operators = !o.containsKey("epoch");
-        return operators && decision.op() != null && Content.overtaken(c, Content.mark(s, MARK_ROLLOUT, c.arg()))
+        return operators && decision.op() != null && Content.overtaken(c, Content.mark(s, MarkKind.ROLLOUT, c.arg()))
                 ? Content.outcome(Outcome.UNCLEAR)
                 : decision;
     }
--- a/src/test/java/ringspindle/controlplane/HollowControlNode.java
+++ b/src/test/java/ringspindle/controlplane/HollowControlNode.java
@@ -14,6 +14,7 @@
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.Message.Fact;
 import ringspindle.protocol.NodeId;
+import ringspindle.replication.CallKind;
 import ringspindle.replication.ReplicatedState;
 import ringspindle.transport.NodeEnvironment;
 
@@ -84,16 +85,16 @@
 
     /** Puts a configuration that builds on a revision. */
     public void put(long base, byte[] body, Consumer<Outcome> then) {
-        control.call(ReplicatedState.PUT, base, "", body, (o, b) -> then.accept(o));
+        control.call(CallKind.PUT, base, "", body, (o, b) -> then.accept(o));
     }
 
     /** Puts serving rules that build on a revision. */
     public void rules(long base, byte[] body, Consumer<Outcome> then) {
-        control.call(ReplicatedState.RULES, base, "", body, (o, b) -> then.accept(o));
+        control.call(CallKind.RULES, base, "", body, (o, b) -> then.accept(o));
     }
 
     /** Calls the replicated state, as an operator's request of that kind does. */
-    public void call(int kind, String argument, byte[] body, Consumer<Outcome> then) {
+    public void call(CallKind kind, String argument, byte[] body, Consumer<Outcome> then) {
         control.call(kind, 0, argument, body, (outcome, text) -> then.accept(outcome));
     }
 
--- a/src/test/java/ringspindle/controlplane/StoredDataTest.java
+++ b/src/test/java/ringspindle/controlplane/StoredDataTest.java
@@ -147,7 +147,7 @@
     void nodeStartsWithWhatItPromisedAndHeld() throws Exception {
         // as a first start with other seeds would: the records count, not the settings
         ReplicatedState node = ReplicatedState.create(A, List.of(A), true, load(), 7, 1);
-        assertFalse(node.blank());
+        assertFalse(node.relearning());
         assertEquals(VIEW, node.view());
         assertNull(node.committed(), "not before a view confirms it");
         assertEquals(2, node.durable().size());
--- a/src/test/java/ringspindle/replication/ChainReplicatedStateTest.java
+++ b/src/test/java/ringspindle/replication/ChainReplicatedStateTest.java
@@ -53,12 +53,10 @@
     };
 
     private static Call put(long id, long base, long revision) {
-        return new Call(
-                id, PUT, base, "", ("{\"revision\":" + revision + ",\"routes\":[],\"services\":[]}").getBytes(UTF_8));
+        return CallKind.PUT.call(
+                id, base, "", ("{\"revision\":" + revision + ",\"routes\":[],\"services\":[]}").getBytes(UTF_8));
     }
 
-    private static final int PUT = ReplicatedState.PUT;
-
     /** Syncs everything that is to be written, and what follows from it. */
     private static List<Out> synced(ReplicatedState c, List<Out> outs) {
         List<Out> all = new ArrayList<>(outs);
@@ -80,7 +78,7 @@
     private static List<Message> sent(List<Out> outs, Class<?> type) {
         return outs.stream()
                 .filter(o -> o instanceof Out.Send)
-                .map(o -> ((Out.Send) o).m())
+                .map(o -> ((Out.Send) o).message())
                 .filter(type::isInstance)
                 .toList();
     }
@@ -90,7 +88,7 @@
         List<Out> all = new ArrayList<>();
         for (Message m : sent(outs, Confirm.class)) {
             Confirm asked = (Confirm) m;
-            all.addAll(c.on(B, new Confirmed(asked.epoch(), asked.id(), true), 10));
+            all.addAll(c.receive(B, new Confirmed(asked.epoch(), asked.id(), true), 10));
         }
         return all;
     }
@@ -105,9 +103,9 @@
     /** A head whose followers have synced the first image. */
     private static ReplicatedState head() {
         ReplicatedState a = ReplicatedState.create(A, ALL, true, List.of(), 1, 1);
-        List<Out> outs = synced(a, a.beat(0, TOUCH));
+        List<Out> outs = synced(a, a.tick(0, TOUCH));
         assertEquals(1, sent(outs, Install.class).size());
-        a.on(B, new Synced(1, 0), 20);
+        a.receive(B, new Synced(1, 0), 20);
         assertTrue(a.current(20));
         return a;
     }
@@ -120,7 +118,7 @@
         outs = synced(a, outs);
         assertEquals(1, sent(outs, Entry.class).size());
         assertEquals(List.of(), answers(outs));
-        assertEquals(List.of(Outcome.TAKEN), answers(a.on(B, new Synced(1, 1), 40)));
+        assertEquals(List.of(Outcome.TAKEN), answers(a.receive(B, new Synced(1, 1), 40)));
         assertEquals(3, a.committed().revision());
     }
 
@@ -131,16 +129,16 @@
         List<Out> refused = synced(a, a.call(put(2, 0, 5), 31));
         assertEquals(List.of(), answers(refused), "final though the winner may yet be lost");
         assertEquals(List.of(), answers(confirmed(a, refused)), "final though the winner may yet be lost");
-        assertEquals(List.of(Outcome.TAKEN, Outcome.OTHER_VERSION), answers(a.on(B, new Synced(1, 1), 40)));
+        assertEquals(List.of(Outcome.TAKEN, Outcome.OTHER_VERSION), answers(a.receive(B, new Synced(1, 1), 40)));
     }
 
     @Test
     void orderSentAgainIsKnownByItsDigest() {
         ReplicatedState a = head();
         synced(a, a.call(put(1, 0, 3), 30));
-        a.on(B, new Synced(1, 1), 40);
+        a.receive(B, new Synced(1, 1), 40);
         synced(a, a.call(put(2, 3, 7), 50));
-        a.on(B, new Synced(1, 2), 60);
+        a.receive(B, new Synced(1, 2), 60);
         assertEquals(List.of(Outcome.TAKEN), answersOnceConfirmed(a, put(3, 0, 3), 70), "the very one that was taken");
         assertEquals(List.of(Outcome.OTHER_VERSION), answersOnceConfirmed(a, put(4, 0, 9), 70));
         assertEquals(
@@ -153,15 +151,15 @@
     void deposedHeadAnswersNothing() {
         ReplicatedState a = head();
         synced(a, a.call(put(1, 0, 3), 30));
-        a.on(B, new Synced(1, 1), 40);
+        a.receive(B, new Synced(1, 1), 40);
         for (Call c : List.of(put(2, 0, 3), put(3, 0, 9), put(4, 3, 2))) {
             List<Out> outs = a.call(c, 50);
             for (Message m : sent(outs, Confirm.class)) {
                 Confirm asked = (Confirm) m;
-                assertEquals(List.of(), answers(a.on(B, new Confirmed(1, asked.id(), false), 60)));
+                assertEquals(List.of(), answers(a.receive(B, new Confirmed(1, asked.id(), false), 60)));
                 assertEquals(
                         List.of(),
-                        answers(a.on(C, new Confirmed(1, asked.id() + 1, true), 60)),
+                        answers(a.receive(C, new Confirmed(1, asked.id() + 1, true), 60)),
                         "another's confirmation");
             }
         }
@@ -171,17 +169,17 @@
     @Test
     void orderFromBeforeANewerOneIsNotActedUpon() {
         ReplicatedState a = head();
-        Call held = new Call(1, ReplicatedState.EVACUATE, 0, "z", new byte[0]);
-        synced(a, a.call(new Call(2, ReplicatedState.EVACUATE, 0, "z", new byte[0]), 30));
-        synced(a, a.call(new Call(3, ReplicatedState.RESTORE, 0, "z", new byte[0]), 40));
-        a.on(B, new Synced(1, 2), 50);
-        List<Out> late = a.on(C, held, 60);
+        Call held = CallKind.EVACUATE.call(1, 0, "z", new byte[0]);
+        synced(a, a.call(CallKind.EVACUATE.call(2, 0, "z", new byte[0]), 30));
+        synced(a, a.call(CallKind.RESTORE.call(3, 0, "z", new byte[0]), 40));
+        a.receive(B, new Synced(1, 2), 50);
+        List<Out> late = a.receive(C, held, 60);
         assertEquals(List.of(), sent(synced(a, late), Entry.class));
         Reply reply = (Reply) sent(confirmed(a, late), Reply.class).get(0);
         assertEquals(Outcome.UNCLEAR.ordinal(), reply.outcome());
         assertEquals("off", a.committed().marks().get(0).value());
-        synced(a, a.call(new Call(4, ReplicatedState.EVACUATE, 0, "z", new byte[0]), 70));
-        a.on(B, new Synced(1, 3), 80);
+        synced(a, a.call(CallKind.EVACUATE.call(4, 0, "z", new byte[0]), 70));
+        a.receive(B, new Synced(1, 3), 80);
         assertEquals("on", a.committed().marks().get(0).value(), "an order taken later counts");
     }
 
@@ -189,10 +187,10 @@
     @Test
     void withdrawalFencesTheOrderThatItTakesBack() {
         ReplicatedState a = head();
-        Call held = new Call(1, ReplicatedState.EVACUATE, 0, "z", new byte[0]);
-        synced(a, a.call(new Call(2, ReplicatedState.RESTORE, 0, "z", new byte[0]), 30));
-        assertEquals(List.of(Outcome.TAKEN), answers(a.on(B, new Synced(1, 1), 40)));
-        List<Out> late = a.on(C, held, 50);
+        Call held = CallKind.EVACUATE.call(1, 0, "z", new byte[0]);
+        synced(a, a.call(CallKind.RESTORE.call(2, 0, "z", new byte[0]), 30));
+        assertEquals(List.of(Outcome.TAKEN), answers(a.receive(B, new Synced(1, 1), 40)));
+        List<Out> late = a.receive(C, held, 50);
         assertEquals(List.of(), sent(synced(a, late), Entry.class));
         Reply reply = (Reply) sent(confirmed(a, late), Reply.class).get(0);
         assertEquals(Outcome.UNCLEAR.ordinal(), reply.outcome());
@@ -205,7 +203,7 @@
         int changes = Content.PAST_MAX + 10;
         for (int i = 1; i <= changes; i++) {
             synced(a, a.call(put(i, i - 1, i), 100 + i));
-            a.on(B, new Synced(1, i), 100 + i);
+            a.receive(B, new Synced(1, i), 100 + i);
         }
         assertEquals(changes, a.committed().revision());
         assertEquals(List.of(Outcome.UNCLEAR), answersOnceConfirmed(a, put(5000, 0, 1), 9000));
@@ -221,12 +219,12 @@
     @Test
     void tailCommitsTheSnapshotThatItConfirms() {
         ReplicatedState c = ReplicatedState.create(C, ALL, true, List.of(), 1, 1);
-        synced(c, c.beat(0, TOUCH));
-        synced(c, c.on(B, new Install(1, 0, Codec.encode(new State(1, 0, 0, List.of(), List.of(), new byte[0]))), 5));
+        synced(c, c.tick(0, TOUCH));
+        synced(c, c.receive(B, new Install(1, 0, Codec.encode(new State(1, 0, 0, List.of(), List.of(), new byte[0]))), 5));
         List<Out> first =
-                c.on(B, new Install(1, 1, Codec.encode(new State(1, 1, 3, List.of(), List.of(), new byte[] {1}))), 10);
+                c.receive(B, new Install(1, 1, Codec.encode(new State(1, 1, 3, List.of(), List.of(), new byte[] {1}))), 10);
         List<Out> second =
-                c.on(B, new Install(1, 2, Codec.encode(new State(1, 2, 5, List.of(), List.of(), new byte[] {2}))), 11);
+                c.receive(B, new Install(1, 2, Codec.encode(new State(1, 2, 5, List.of(), List.of(), new byte[] {2}))), 11);
         assertEquals(List.of(new Synced(1, 1)), sent(synced(c, first), Synced.class));
         assertEquals(3, c.committed().revision(), "a reading now must hold what was confirmed up the chain");
         assertEquals(List.of(new Synced(1, 2)), sent(synced(c, second), Synced.class));
@@ -237,9 +235,9 @@
     @Test
     void staleMemberOfTheChainDoesNotDecideWhatWasTaken() {
         ReplicatedState c = ReplicatedState.create(C, ALL, true, List.of(), 1, 3);
-        synced(c, c.beat(0, TOUCH));
+        synced(c, c.tick(0, TOUCH));
         View two = new View(2, ALL, List.of(A, C), new Position(1, 5));
-        synced(c, c.on(A, new Decided(two), 5));
+        synced(c, c.receive(A, new Decided(two), 5));
         Connectivity withB = new Connectivity() {
             @Override
             public boolean linked(NodeId a, NodeId b) {
@@ -253,12 +251,12 @@
         };
         List<Message> accepts = new ArrayList<>();
         for (long nowMs = 100; nowMs < 4000; nowMs += 100) {
-            List<Out> outs = synced(c, c.beat(nowMs, withB));
+            List<Out> outs = synced(c, c.tick(nowMs, withB));
             for (Message m : sent(outs, Prepare.class)) {
                 Prepare p = (Prepare) m;
                 // B, too, holds less than the base of the view: both of them together may lack what A acknowledged
                 Pledge pledge = new Pledge(p.epoch(), p.ballot(), true, p.ballot(), 0, 1, 4, null, two);
-                accepts.addAll(sent(synced(c, c.on(B, pledge, nowMs)), Accept.class));
+                accepts.addAll(sent(synced(c, c.receive(B, pledge, nowMs)), Accept.class));
             }
         }
         assertEquals(List.of(), accepts);
@@ -267,24 +265,24 @@
     @Test
     void fencedVoterRefusesTheOldEpochAndAnOlderBallot() {
         ReplicatedState b = ReplicatedState.create(B, ALL, true, List.of(), 1, 1);
-        synced(b, b.beat(0, TOUCH));
+        synced(b, b.tick(0, TOUCH));
         View one = b.view();
-        synced(b, b.on(A, new Install(1, 0, Codec.encode(new State(1, 0, 0, List.of(), List.of(), new byte[0]))), 5));
-        List<Out> outs = synced(b, b.on(C, new Prepare(2, 2049, one), 10));
+        synced(b, b.receive(A, new Install(1, 0, Codec.encode(new State(1, 0, 0, List.of(), List.of(), new byte[0]))), 5));
+        List<Out> outs = synced(b, b.receive(C, new Prepare(2, 2049, one), 10));
         Pledge p = (Pledge) sent(outs, Pledge.class).get(0);
         assertTrue(p.granted());
-        byte[] op = Codec.encode(new Op(ReplicatedState.EVACUATE, 0, 0, 0, "z", new byte[0]));
+        byte[] op = Codec.encode(new Op(CallKind.EVACUATE.code(), 0, 0, 0, "z", new byte[0]));
         assertEquals(
-                List.of(), b.on(A, new Entry(1, 1, op), 20), "an entry of the old epoch is taken after the pledge");
-        assertFalse(((Pledge) sent(synced(b, b.on(A, new Prepare(2, 1025, one), 30)), Pledge.class)
+                List.of(), b.receive(A, new Entry(1, 1, op), 20), "an entry of the old epoch is taken after the pledge");
+        assertFalse(((Pledge) sent(synced(b, b.receive(A, new Prepare(2, 1025, one), 30)), Pledge.class)
                         .get(0))
                 .granted());
         assertFalse(
-                ((Pledge) sent(synced(b, b.on(C, new Prepare(2, 2049, one), 30)), Pledge.class)
+                ((Pledge) sent(synced(b, b.receive(C, new Prepare(2, 2049, one), 30)), Pledge.class)
                                 .get(0))
                         .granted(),
                 "a ballot is granted twice");
-        assertFalse(((Accepted) sent(synced(b, b.on(A, new Accept(2, 1025, one), 40)), Accepted.class)
+        assertFalse(((Accepted) sent(synced(b, b.receive(A, new Accept(2, 1025, one), 40)), Accepted.class)
                         .get(0))
                 .granted());
     }
@@ -292,8 +290,8 @@
     @Test
     void pledgeIsToldOnlyOnceItIsSynced() {
         ReplicatedState b = ReplicatedState.create(B, ALL, true, List.of(), 1, 1);
-        synced(b, b.beat(0, TOUCH));
-        List<Out> outs = b.on(C, new Prepare(2, 2049, b.view()), 10);
+        synced(b, b.tick(0, TOUCH));
+        List<Out> outs = b.receive(C, new Prepare(2, 2049, b.view()), 10);
         assertEquals(List.of(), sent(outs, Pledge.class));
         assertEquals(1, sent(synced(b, outs), Pledge.class).size());
     }
@@ -302,16 +300,16 @@
     void wipedNodeSaysNothingBeforeAMajorityToldIt() {
         ReplicatedState c = ReplicatedState.create(C, ALL, false, List.of(), 1, 1);
         View one = new View(1, ALL, ALL);
-        assertEquals(2, sent(c.beat(0, TOUCH), Relearn.class).size());
-        assertEquals(List.of(), sent(synced(c, c.on(A, new Prepare(2, 1025, one), 5)), Pledge.class));
-        synced(c, c.on(A, new Relearned(1, 2, 3073, 0, null, one), 10));
+        assertEquals(2, sent(c.tick(0, TOUCH), Relearn.class).size());
+        assertEquals(List.of(), sent(synced(c, c.receive(A, new Prepare(2, 1025, one), 5)), Pledge.class));
+        synced(c, c.receive(A, new Relearned(1, 2, 3073, 0, null, one), 10));
         assertEquals(
-                List.of(), sent(synced(c, c.on(A, new Prepare(2, 4097, one), 15)), Pledge.class), "one is no majority");
-        synced(c, c.on(B, new Relearned(2, 0, 0, 0, null, one), 20));
-        Pledge p = (Pledge) sent(synced(c, c.on(A, new Prepare(2, 2049, one), 25)), Pledge.class)
+                List.of(), sent(synced(c, c.receive(A, new Prepare(2, 4097, one), 15)), Pledge.class), "one is no majority");
+        synced(c, c.receive(B, new Relearned(2, 0, 0, 0, null, one), 20));
+        Pledge p = (Pledge) sent(synced(c, c.receive(A, new Prepare(2, 2049, one), 25)), Pledge.class)
                 .get(0);
         assertFalse(p.granted(), "a pledge made before the disk was lost is broken");
-        Pledge q = (Pledge) sent(synced(c, c.on(A, new Prepare(2, 4097, one), 30)), Pledge.class)
+        Pledge q = (Pledge) sent(synced(c, c.receive(A, new Prepare(2, 4097, one), 30)), Pledge.class)
                 .get(0);
         assertTrue(q.granted());
         assertEquals(-1, q.lineage(), "it claims a state that it lost");
@@ -320,10 +318,10 @@
     @Test
     void restartedNodeGoesOnFromItsDiskWhateverBootstrapSays() {
         ReplicatedState a = ReplicatedState.create(A, List.of(A), true, List.of(), 1, 1);
-        synced(a, a.beat(0, TOUCH));
+        synced(a, a.tick(0, TOUCH));
         assertEquals(List.of(Outcome.TAKEN), answers(synced(a, a.call(put(1, 0, 3), 30))));
         ReplicatedState again = ReplicatedState.create(A, List.of(A), true, a.durable(), 2, 1);
-        synced(again, again.beat(0, TOUCH));
+        synced(again, again.tick(0, TOUCH));
         assertEquals(3, again.committed().revision());
         List<Out> outs = again.call(put(2, 0, 5), 40);
         assertEquals(List.of(Outcome.OTHER_VERSION), answers(outs), "its own word is the majority of one voter");
--- a/src/test/java/ringspindle/replication/ChainSimulation.java
+++ b/src/test/java/ringspindle/replication/ChainSimulation.java
@@ -21,7 +21,6 @@
 import ringspindle.consensus.Connectivity;
 import ringspindle.protocol.Codec;
 import ringspindle.protocol.Message;
-import ringspindle.protocol.Message.Call;
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
 
@@ -65,13 +64,13 @@
                 newest = Math.max(newest, a.revision());
             }
             evacuations.forEach((zone, value) -> {
-                if (!value.equals(marksAtEnd.get(ReplicatedState.MARK_EVACUATED + zone))) {
-                    out.add("zone " + zone + " ends as " + marksAtEnd.get(ReplicatedState.MARK_EVACUATED + zone)
+                if (!value.equals(marksAtEnd.get(MarkKind.EVACUATED + zone))) {
+                    out.add("zone " + zone + " ends as " + marksAtEnd.get(MarkKind.EVACUATED + zone)
                             + ", acknowledged was " + value);
                 }
             });
             if (rules > 0) {
-                String m = marksAtEnd.get(ReplicatedState.MARK_RULES + "");
+                String m = marksAtEnd.get(MarkKind.RULES + "");
                 if (m == null
                         || !(ringspindle.routing.ServingRules.read(m.getBytes(UTF_8))
                                 instanceof Validated.Valid<ringspindle.routing.ServingRules> g)
@@ -80,7 +79,7 @@
                 }
             }
             if (rollTarget >= 0) {
-                String m = marksAtEnd.get(ReplicatedState.MARK_ROLLOUT + "s");
+                String m = marksAtEnd.get(MarkKind.ROLLOUT + "s");
                 Rollout r = m == null ? null : Rollout.read(m);
                 if (r == null
                         || r.target() != rollTarget
@@ -89,7 +88,7 @@
                 }
             }
             for (String id : leaving) {
-                if (!marksAtEnd.containsKey(ReplicatedState.MARK_LEAVING + id)) {
+                if (!marksAtEnd.containsKey(MarkKind.LEAVING + id)) {
                     out.add("that " + id + " leaves was acknowledged and is forgotten");
                 }
             }
@@ -123,7 +122,7 @@
 
     private record Event(long atMs, long order, Runnable run) {}
 
-    private record Order(int kind, long base, long revision, String body) {}
+    private record Order(CallKind kind, long base, long revision, String body) {}
 
     private final Random luck;
     private final List<Node> nodes = new ArrayList<>();
@@ -311,7 +310,7 @@
             return;
         }
         if (n.frozenUntilMs <= nowMs) {
-            carry(n, n.machine.beat(nowMs, new Connectivity() {
+            carry(n, n.machine.tick(nowMs, new Connectivity() {
                 @Override
                 public boolean linked(NodeId a, NodeId b) {
                     return a.equals(b) || ChainSimulation.this.linked(a, b);
@@ -336,7 +335,7 @@
                 @Override
                 public boolean relearning(NodeId o) {
                     Node peer = byId.get(o);
-                    return up(peer) && peer.machine.blank();
+                    return up(peer) && peer.machine.relearning();
                 }
 
                 @Override
@@ -351,7 +350,7 @@
     private void carry(Node n, List<ReplicatedState.Out> outs) {
         for (ReplicatedState.Out o : outs) {
             if (o instanceof ReplicatedState.Out.Send s) {
-                send(n, s.to(), s.m());
+                send(n, s.to(), s.message());
             } else if (o instanceof ReplicatedState.Out.Store s) {
                 n.inbox.add(s);
                 int life = n.life;
@@ -384,7 +383,7 @@
             return;
         }
         n.inbox.remove(s);
-        if (s.image()) {
+        if (s.snapshot()) {
             n.disk = new ArrayList<>(s.records());
         } else {
             n.disk.addAll(s.records());
@@ -413,7 +412,7 @@
             at(to.frozenUntilMs - nowMs, () -> deliver(from, to, life, bytes));
             return;
         }
-        carry(to, to.machine.on(from, Codec.decode(bytes), nowMs));
+        carry(to, to.machine.receive(from, Codec.decode(bytes), nowMs));
     }
 
     private View newest() {
@@ -477,7 +476,7 @@
         String body = "{\"revision\":" + revision
                 + ",\"routes\":[],\"services\":[{\"name\":\"s\"}],\"limits\":{\"maxBodyBytes\":"
                 + (1000 + luck.nextInt(100000)) + "}}";
-        attempt(new Order(ReplicatedState.PUT, base, revision, body), 0);
+        attempt(new Order(CallKind.PUT, base, revision, body), 0);
     }
 
     private void attempt(Order o, int n) {
@@ -517,9 +516,7 @@
             }
         });
         maybe.add(o);
-        carry(
-                via,
-                via.machine.call(new Call(id, o.kind(), o.base(), "", o.body().getBytes(UTF_8)), nowMs));
+        carry(via, via.machine.call(o.kind().call(id, o.base(), "", o.body().getBytes(UTF_8)), nowMs));
         at(3000, () -> {
             if (!done[0]) {
                 done[0] = true;
@@ -533,11 +530,11 @@
     }
 
     /** Sends an order to any node until it is taken. */
-    private void insist(int kind, String arg, Acked then) {
+    private void insist(CallKind kind, String arg, Acked then) {
         insist(kind, arg, new byte[0], then);
     }
 
-    private void insist(int kind, String arg, byte[] body, Acked then) {
+    private void insist(CallKind kind, String arg, byte[] body, Acked then) {
         Node via = nodes.get(luck.nextInt(nodes.size()));
         if (!up(via) || via.frozenUntilMs > nowMs) {
             at(150, () -> insist(kind, arg, body, then));
@@ -555,7 +552,7 @@
                 }
             }
         });
-        carry(via, via.machine.call(new Call(id, kind, 0, arg, body), nowMs));
+        carry(via, via.machine.call(kind.call(id, 0, arg, body), nowMs));
         at(1500, () -> {
             if (!done[0]) {
                 done[0] = true;
@@ -568,7 +565,7 @@
     private void evacuate(int n) {
         if (stress) {
             boolean on = n % 2 == 0;
-            insist(on ? ReplicatedState.EVACUATE : ReplicatedState.RESTORE, "z", () -> {
+            insist(on ? CallKind.EVACUATE : CallKind.RESTORE, "z", () -> {
                 history.evacuations.put("z", on ? "on" : "off");
                 at(200 + luck.nextInt(1200), () -> evacuate(n + 1));
             });
@@ -581,7 +578,7 @@
             long target = n / 2 + 2;
             boolean start = n % 2 == 0;
             String order = start ? "{\"order\":\"start\",\"target\":" + target + "}" : "{\"order\":\"abort\"}";
-            insist(ReplicatedState.ROLLOUT, "s", order.getBytes(UTF_8), () -> {
+            insist(CallKind.ROLLOUT, "s", order.getBytes(UTF_8), () -> {
                 history.rollTarget = target;
                 history.rollAborted = !start;
                 at(400 + luck.nextInt(1500), () -> rollOut(n + 1));
@@ -629,7 +626,7 @@
                 at(100 + luck.nextInt(300), () -> rules(history.rules));
             }
         });
-        carry(via, via.machine.call(new Call(id, ReplicatedState.RULES, base, "", body.getBytes(UTF_8)), nowMs));
+        carry(via, via.machine.call(CallKind.RULES.call(id, base, "", body.getBytes(UTF_8)), nowMs));
         at(1500, () -> {
             if (!done[0]) {
                 done[0] = true;
@@ -640,7 +637,7 @@
 
     private void leave(int n) {
         if (stress) {
-            insist(n % 3 == 2 ? ReplicatedState.GONE : ReplicatedState.DRAIN, "i-" + n, () -> {
+            insist(n % 3 == 2 ? CallKind.GONE : CallKind.DRAIN, "i-" + n, () -> {
                 history.leaving.add("i-" + n);
                 at(300 + luck.nextInt(900), () -> leave(n + 1));
             });
@@ -697,7 +694,7 @@
                 at(150, () -> read(then, n + 1));
             }
         });
-        carry(via, via.machine.call(new Call(id, ReplicatedState.READ, 0, "", new byte[0]), nowMs));
+        carry(via, via.machine.call(CallKind.READ.call(id, 0, "", new byte[0]), nowMs));
     }
 
     private void readBack() {
@@ -708,7 +705,7 @@
                             x.machine
                                     .committed()
                                     .marks()
-                                    .forEach(m -> history.marksAtEnd.put(m.kind() + m.key(), m.value()));
+                                    .forEach(m -> history.marksAtEnd.put(MarkKind.of(m) + m.key(), m.value()));
                         }
                     }
                     history.readBack = revision;
--- a/src/test/java/ringspindle/replication/ModelExplorer.java
+++ b/src/test/java/ringspindle/replication/ModelExplorer.java
@@ -15,7 +15,6 @@
 import ringspindle.api.Outcome;
 import ringspindle.config.FleetConfig;
 import ringspindle.config.Validated;
-import ringspindle.protocol.Message.Call;
 
 /**
  * Exhaustive search on small cases: three nodes, two configuration orders on one base, an evacuation and its withdrawal.
@@ -213,7 +212,7 @@
             List<Later> due = later.stream().filter(l -> l.tick() <= tick).toList();
             later.removeAll(due);
             due.forEach(l -> l.run().run());
-            world.nodes.values().stream().filter(ModelNode::running).forEach(world::beat);
+            world.nodes.values().stream().filter(ModelNode::running).forEach(world::tick);
         }
 
         private void inTicks(int n, Object about, Runnable run) {
@@ -513,7 +512,7 @@
         }
 
         /** Calls through that node, or the next one that runs. */
-        private void call(int preferred, int kind, long base, String arg, byte[] body, Reply reply) {
+        private void call(int preferred, CallKind kind, long base, String arg, byte[] body, Reply reply) {
             int count = world.nodes.size();
             ModelNode node = world.nodes.get(preferred % count);
             for (int i = 1; i < count && !node.running(); i++) {
@@ -531,11 +530,11 @@
                     late.take(null, new byte[0]);
                 }
             });
-            world.call(node, new Call(id, kind, base, arg, body));
+            world.call(node, kind.call(id, base, arg, body));
         }
 
         private void put(ModelHistory.Write write, int via, int attempt) {
-            call(via, ReplicatedState.PUT, write.base, "", write.body.getBytes(UTF_8), (outcome, body) -> {
+            call(via, CallKind.PUT, write.base, "", write.body.getBytes(UTF_8), (outcome, body) -> {
                 if (outcome == Outcome.TAKEN) {
                     acknowledged++;
                     history.acknowledge(write);
@@ -552,7 +551,7 @@
 
         private void mark(boolean on, int via) {
             world.monitor.evacuationInvoked("z");
-            call(via, on ? ReplicatedState.EVACUATE : ReplicatedState.RESTORE, 0, "z", new byte[0], (outcome, body) -> {
+            call(via, on ? CallKind.EVACUATE : CallKind.RESTORE, 0, "z", new byte[0], (outcome, body) -> {
                 if (outcome != Outcome.TAKEN) {
                     mark(on, via + 1);
                     return;
@@ -567,7 +566,7 @@
 
         private void read(int via) {
             long invoked = history.tick();
-            call(via, ReplicatedState.READ, 0, "", new byte[0], (outcome, body) -> {
+            call(via, CallKind.READ, 0, "", new byte[0], (outcome, body) -> {
                 if (outcome == Outcome.TAKEN) {
                     Validated<FleetConfig> found = FleetConfig.read(FleetConfig.unpack(body));
                     history.answerRead(
@@ -588,7 +587,7 @@
         private void insist(int via) {
             if (!world.monitor.acknowledged(LAST_ZONE)) {
                 inTicks(2, "insist", () -> insist(via + 1));
-                call(via, ReplicatedState.EVACUATE, 0, LAST_ZONE, new byte[0], (outcome, body) -> {
+                call(via, CallKind.EVACUATE, 0, LAST_ZONE, new byte[0], (outcome, body) -> {
                     if (outcome == Outcome.TAKEN) {
                         world.monitor.evacuationAcknowledged(LAST_ZONE, true);
                         read(via);
--- a/src/test/java/ringspindle/replication/ModelNode.java
+++ b/src/test/java/ringspindle/replication/ModelNode.java
@@ -54,7 +54,7 @@
     /** Makes the first write durable and returns it. */
     ReplicatedState.Out.Store syncFirst() {
         ReplicatedState.Out.Store store = writes.poll();
-        if (store.image()) {
+        if (store.snapshot()) {
             disk = new ArrayList<>(store.records());
         } else {
             disk.addAll(store.records());
@@ -68,7 +68,7 @@
             syncFirst();
         }
         ReplicatedState.Out.Store torn = writes.poll();
-        if (torn != null && !torn.image()) {
+        if (torn != null && !torn.snapshot()) {
             disk.addAll(
                     torn.records().subList(0, Math.min(records, torn.records().size())));
         }
--- a/src/test/java/ringspindle/replication/ModelOperators.java
+++ b/src/test/java/ringspindle/replication/ModelOperators.java
@@ -7,7 +7,6 @@
 import java.util.Map;
 import ringspindle.api.Outcome;
 import ringspindle.config.FleetConfig;
-import ringspindle.protocol.Message.Call;
 import ringspindle.protocol.Message.State;
 
 /**
@@ -71,7 +70,7 @@
         return up.isEmpty() ? null : up.get(random.below(up.size()));
     }
 
-    private void call(ModelRandom random, int kind, long base, String arg, byte[] body, Reply reply) {
+    private void call(ModelRandom random, CallKind kind, long base, String arg, byte[] body, Reply reply) {
         ModelNode node = anyNode(random);
         if (node == null) {
             walk.in(100, () -> reply.take(null, EMPTY));
@@ -85,12 +84,12 @@
                 late.take(null, EMPTY);
             }
         });
-        world.call(node, new Call(id, kind, base, arg, body));
+        world.call(node, kind.call(id, base, arg, body));
     }
 
     private void read(ModelRandom random, ReadReply reply) {
         long invoked = history.tick();
-        call(random, ReplicatedState.READ, 0, "", EMPTY, (outcome, body) -> {
+        call(random, CallKind.READ, 0, "", EMPTY, (outcome, body) -> {
             if (outcome == Outcome.TAKEN) {
                 String text = new String(FleetConfig.unpack(body), UTF_8);
                 noteRead(revisionOf(text), text, invoked);
@@ -151,7 +150,7 @@
                 return;
             }
             boolean answerLost = random.oneIn(8);
-            call(random, ReplicatedState.PUT, write.base, "", write.body.getBytes(UTF_8), (outcome, body) -> {
+            call(random, CallKind.PUT, write.base, "", write.body.getBytes(UTF_8), (outcome, body) -> {
                 if (outcome == Outcome.TAKEN && !answerLost) {
                     acknowledged(write);
                 } else if (outcome == null || outcome == Outcome.UNCLEAR || answerLost) {
@@ -177,7 +176,7 @@
 
         /** An order that was acknowledged is sent once more: it must never be refused. */
         private void sendAgain(ModelHistory.Write write) {
-            call(random, ReplicatedState.PUT, write.base, "", write.body.getBytes(UTF_8), (outcome, body) -> {
+            call(random, CallKind.PUT, write.base, "", write.body.getBytes(UTF_8), (outcome, body) -> {
                 if (outcome != null && outcome != Outcome.TAKEN && outcome != Outcome.UNCLEAR) {
                     world.monitor.report(
                             ModelViolation.Kind.REFUSED_AGAIN,
@@ -218,7 +217,7 @@
         private void send(int attempt) {
             world.monitor.evacuationInvoked(zone);
             boolean answerLost = random.oneIn(8);
-            call(random, on ? ReplicatedState.EVACUATE : ReplicatedState.RESTORE, 0, zone, EMPTY, (outcome, body) -> {
+            call(random, on ? CallKind.EVACUATE : CallKind.RESTORE, 0, zone, EMPTY, (outcome, body) -> {
                 if (outcome == Outcome.TAKEN && !answerLost) {
                     world.monitor.evacuationAcknowledged(zone, on);
                     walk.acknowledged();
@@ -269,13 +268,7 @@
         }
         // every operator may reach a node that is cut off, so several are asked side by side
         walk.in(150, () -> insist(zone, random, untilMs, acknowledged));
-        call(
-                random,
-                ReplicatedState.EVACUATE,
-                0,
-                zone,
-                EMPTY,
-                (outcome, body) -> acknowledged[0] |= outcome == Outcome.TAKEN);
+        call(random, CallKind.EVACUATE, 0, zone, EMPTY, (outcome, body) -> acknowledged[0] |= outcome == Outcome.TAKEN);
     }
 
     /** Operators stop; the configuration is read back, and the newest committed marks are looked at. */
--- a/src/test/java/ringspindle/replication/ModelPlanted.java
+++ b/src/test/java/ringspindle/replication/ModelPlanted.java
@@ -153,8 +153,8 @@
         }
 
         @Override
-        public List<Out> on(NodeId from, Message m, long nowMs) {
-            return synced(super.on(from, m, nowMs), nowMs);
+        public List<Out> receive(NodeId from, Message m, long nowMs) {
+            return synced(super.receive(from, m, nowMs), nowMs);
         }
 
         @Override
@@ -163,8 +163,8 @@
         }
 
         @Override
-        public List<Out> beat(long nowMs, Connectivity connectivity) {
-            return synced(super.beat(nowMs, connectivity), nowMs);
+        public List<Out> tick(long nowMs, Connectivity connectivity) {
+            return synced(super.tick(nowMs, connectivity), nowMs);
         }
 
         @Override
@@ -197,14 +197,14 @@
         }
 
         @Override
-        public List<Out> on(NodeId from, Message m, long nowMs) {
+        public List<Out> receive(NodeId from, Message m, long nowMs) {
             if (m instanceof Confirm confirm) {
                 return List.of(new Out.Send(from, new Confirmed(confirm.epoch(), confirm.id(), true)));
             }
             if (m instanceof Decided decided && !decided.view().chain().contains(me)) {
                 return List.of();
             }
-            return super.on(from, view() == null ? m : ofThisView(m, view().epoch()), nowMs);
+            return super.receive(from, view() == null ? m : ofThisView(m, view().epoch()), nowMs);
         }
 
         private static Message ofThisView(Message m, long epoch) {
@@ -233,7 +233,7 @@
             if (out instanceof Out.Store store) {
                 List<Message> records =
                         store.records().stream().map(LostPromise::forget).toList();
-                return new Out.Store(store.token(), records, store.image());
+                return new Out.Store(store.token(), records, store.snapshot());
             }
             return out;
         }
@@ -243,13 +243,13 @@
         }
 
         @Override
-        public List<Out> on(NodeId from, Message m, long nowMs) {
-            return forget(super.on(from, m, nowMs));
+        public List<Out> receive(NodeId from, Message m, long nowMs) {
+            return forget(super.receive(from, m, nowMs));
         }
 
         @Override
-        public List<Out> beat(long nowMs, Connectivity connectivity) {
-            return forget(super.beat(nowMs, connectivity));
+        public List<Out> tick(long nowMs, Connectivity connectivity) {
+            return forget(super.tick(nowMs, connectivity));
         }
 
         @Override
@@ -267,17 +267,17 @@
         }
 
         @Override
-        public List<Out> beat(long nowMs, Connectivity connectivity) {
+        public List<Out> tick(long nowMs, Connectivity connectivity) {
             View view = view();
             if (view != null && view.voters().contains(me)) {
                 List<NodeId> linked = view.voters().stream()
                         .filter(v -> v.equals(me) || connectivity.linked(me, v))
                         .toList();
                 if (linked.size() < view.voters().size()) {
-                    super.on(me, new Decided(ModelViews.next(view, linked, linked)), nowMs);
+                    super.receive(me, new Decided(ModelViews.next(view, linked, linked)), nowMs);
                 }
             }
-            return super.beat(nowMs, connectivity);
+            return super.tick(nowMs, connectivity);
         }
     }
 
@@ -289,7 +289,7 @@
         @Override
         public List<Out> call(Call c, long nowMs) {
             State state = committed();
-            if (c.kind() == READ && state != null && state.config().length > 0) {
+            if (c.kind() == CallKind.READ.code() && state != null && state.config().length > 0) {
                 return List.of(new Out.Answer(c.id(), Outcome.TAKEN, state.config()));
             }
             return super.call(c, nowMs);
@@ -307,7 +307,7 @@
         @Override
         public List<Out> call(Call c, long nowMs) {
             State state = committed();
-            if (c.kind() == PUT && state != null) {
+            if (c.kind() == CallKind.PUT.code() && state != null) {
                 // the same when it is sent again, so that only the first comparison is left out
                 long base = bases.computeIfAbsent(new String(c.body(), UTF_8), k -> state.revision());
                 return super.call(new Call(c.id(), c.kind(), base, c.arg(), c.body()), nowMs);
@@ -322,13 +322,13 @@
         }
 
         @Override
-        public List<Out> on(NodeId from, Message m, long nowMs) {
+        public List<Out> receive(NodeId from, Message m, long nowMs) {
             if (m instanceof Install install) {
                 State s = (State) Codec.decode(install.image());
                 State less = new State(s.lineage(), s.seq(), s.revision(), List.of(), s.marks(), s.config());
-                return super.on(from, new Install(install.epoch(), install.seq(), Codec.encode(less)), nowMs);
+                return super.receive(from, new Install(install.epoch(), install.seq(), Codec.encode(less)), nowMs);
             }
-            return super.on(from, m, nowMs);
+            return super.receive(from, m, nowMs);
         }
     }
 
@@ -344,21 +344,21 @@
         }
 
         @Override
-        public List<Out> on(NodeId from, Message m, long nowMs) {
-            if (m instanceof Call call && call.kind() == EVACUATE) {
+        public List<Out> receive(NodeId from, Message m, long nowMs) {
+            if (m instanceof Call call && call.kind() == CallKind.EVACUATE.code()) {
                 late.add(new Late(from, call.since(Long.MAX_VALUE), nowMs + DELAY_MS));
             }
-            return super.on(from, m, nowMs);
+            return super.receive(from, m, nowMs);
         }
 
         @Override
-        public List<Out> beat(long nowMs, Connectivity connectivity) {
+        public List<Out> tick(long nowMs, Connectivity connectivity) {
             List<Out> outs = new ArrayList<>();
             while (!late.isEmpty() && late.peek().dueMs() <= nowMs) {
                 Late next = late.poll();
-                outs.addAll(super.on(next.from(), next.call(), nowMs));
+                outs.addAll(super.receive(next.from(), next.call(), nowMs));
             }
-            outs.addAll(super.beat(nowMs, connectivity));
+            outs.addAll(super.tick(nowMs, connectivity));
             return outs;
         }
     }
@@ -373,17 +373,17 @@
         }
 
         @Override
-        public List<Out> on(NodeId from, Message m, long nowMs) {
+        public List<Out> receive(NodeId from, Message m, long nowMs) {
             if (tampers
                     && m instanceof Entry entry
                     && Codec.decode(entry.op()) instanceof Op op
-                    && op.kind() == EVACUATE) {
+                    && op.kind() == CallKind.EVACUATE.code()) {
                 Op other = new Op(op.kind(), op.base(), op.revision(), op.digest(), op.arg() + "-other", op.body());
                 Entry tampered = changed.computeIfAbsent(
                         entry.seq(), k -> new Entry(entry.epoch(), entry.seq(), Codec.encode(other)));
-                return super.on(from, tampered, nowMs);
+                return super.receive(from, tampered, nowMs);
             }
-            return super.on(from, m, nowMs);
+            return super.receive(from, m, nowMs);
         }
     }
 
@@ -393,8 +393,8 @@
         }
 
         @Override
-        public List<Out> on(NodeId from, Message m, long nowMs) {
-            return m instanceof Prepare ? List.of() : super.on(from, m, nowMs);
+        public List<Out> receive(NodeId from, Message m, long nowMs) {
+            return m instanceof Prepare ? List.of() : super.receive(from, m, nowMs);
         }
     }
 }
--- a/src/test/java/ringspindle/replication/ModelTamper.java
+++ b/src/test/java/ringspindle/replication/ModelTamper.java
@@ -25,8 +25,8 @@
     }
 
     @Override
-    public List<Out> on(NodeId from, Message m, long nowMs) {
-        return inner.on(from, m, nowMs);
+    public List<Out> receive(NodeId from, Message m, long nowMs) {
+        return inner.receive(from, m, nowMs);
     }
 
     @Override
@@ -35,8 +35,8 @@
     }
 
     @Override
-    public List<Out> beat(long nowMs, Connectivity connectivity) {
-        return inner.beat(nowMs, connectivity);
+    public List<Out> tick(long nowMs, Connectivity connectivity) {
+        return inner.tick(nowMs, connectivity);
     }
 
     @Override
@@ -55,8 +55,8 @@
     }
 
     @Override
-    public boolean blank() {
-        return inner.blank();
+    public boolean relearning() {
+        return inner.relearning();
     }
 
     @Override
--- a/src/test/java/ringspindle/replication/ModelWalk.java
+++ b/src/test/java/ringspindle/replication/ModelWalk.java
@@ -135,7 +135,7 @@
     private void beat(ModelNode node, int life) {
         if (node.life == life && node.up()) {
             if (!node.frozen) {
-                world.beat(node);
+                world.tick(node);
             }
             in(BEAT_MS, () -> beat(node, life));
         }
--- a/src/test/java/ringspindle/replication/ModelWorld.java
+++ b/src/test/java/ringspindle/replication/ModelWorld.java
@@ -186,13 +186,13 @@
 
     // ---- steps
 
-    void beat(ModelNode node) {
-        step(node, () -> node.chain.beat(nowMs, new ModelReach(node)));
+    void tick(ModelNode node) {
+        step(node, () -> node.chain.tick(nowMs, new ModelReach(node)));
     }
 
     void deliver(Envelope envelope) {
         ModelNode to = envelope.to();
-        step(to, () -> to.chain.on(envelope.from().id, Codec.decode(envelope.bytes()), nowMs));
+        step(to, () -> to.chain.receive(envelope.from().id, Codec.decode(envelope.bytes()), nowMs));
     }
 
     /** True if the receiver still lives in the life that the message was sent to. */
@@ -241,7 +241,7 @@
         if (out instanceof ReplicatedState.Out.Send send) {
             ModelNode to = byId.get(send.to());
             if (to != null) {
-                driver.sent(new Envelope(envelopes++, node, to, to.life, Codec.encode(send.m())));
+                driver.sent(new Envelope(envelopes++, node, to, to.life, Codec.encode(send.message())));
             }
         } else if (out instanceof ReplicatedState.Out.Store store) {
             node.writes.add(store);
@@ -332,7 +332,7 @@
         @Override
         public boolean relearning(NodeId node) {
             ReplicatedState chain = byId.get(node).chain;
-            return chain != null && chain.blank();
+            return chain != null && chain.relearning();
         }
     }
 }
--- a/src/test/java/ringspindle/replication/RolloutSimulation.java
+++ b/src/test/java/ringspindle/replication/RolloutSimulation.java
@@ -152,14 +152,14 @@
     }
 
     Rollout rollout() {
-        Mark m = Content.mark(state, ReplicatedState.MARK_ROLLOUT, "s");
+        Mark m = Content.mark(state, MarkKind.ROLLOUT, "s");
         return m == null ? null : Rollout.read(m.value());
     }
 
     /** Sends an order; a stale epoch must be refused. */
     Outcome order(String json) {
         // whoever takes the order knows of all that came before it
-        Call call = new Call(1, ReplicatedState.ROLLOUT, 0, "s", json.getBytes(UTF_8)).since(state.seq());
+        Call call = CallKind.ROLLOUT.call(1, 0, "s", json.getBytes(UTF_8)).since(state.seq());
         Content.Decision d = content.decide(state, call);
         if (d.op() == null) {
             return d.outcome();
--- a/src/test/java/ringspindle/replication/RolloutTest.java
+++ b/src/test/java/ringspindle/replication/RolloutTest.java
@@ -11,7 +11,6 @@
 import org.junit.jupiter.api.Test;
 import ringspindle.api.Outcome;
 import ringspindle.membership.RolloutPlanner;
-import ringspindle.protocol.Message.Call;
 import ringspindle.protocol.Message.State;
 
 /** Roll-outs under load with crashes, a lost duty holder and a burst: once, whole, one checkpoint an answer. */
@@ -78,7 +77,7 @@
         Content.Decision unknown = new Content()
                 .decide(
                         new State(1, 1, 0, List.of(), List.of(), new byte[0]),
-                        new Call(1, ReplicatedState.ROLLOUT, 0, "other", start.getBytes(UTF_8)));
+                        CallKind.ROLLOUT.call(1, 0, "other", start.getBytes(UTF_8)));
         assertEquals(Outcome.INVALID, unknown.outcome());
     }
 
--- a/src/test/java/ringspindle/scale/OperatorPagesTest.java
+++ b/src/test/java/ringspindle/scale/OperatorPagesTest.java
@@ -13,7 +13,7 @@
 import ringspindle.controlplane.HollowControlNode;
 import ringspindle.dataplane.HollowDataNode;
 import ringspindle.protocol.Message.Engine;
-import ringspindle.replication.ReplicatedState;
+import ringspindle.replication.CallKind;
 
 /** The operators' JSON pages of a small fleet in virtual time, byte for byte: tools of others read them. */
 class OperatorPagesTest {
@@ -53,7 +53,7 @@
         every(ENGINE_HEARTBEAT_MS, () -> control.heartbeat(id, engine, ++sequence[0]));
     }
 
-    private void call(int kind, String argument, String body) {
+    private void call(CallKind kind, String argument, String body) {
         control.call(kind, argument, body.getBytes(UTF_8), outcome -> assertEquals(Outcome.TAKEN, outcome));
         network.runFor(100);
     }
@@ -71,14 +71,11 @@
         engine("i-1", "10.2.0.1:80", "z0", "v1");
         engine("i-2", "10.2.0.2:80", "z1", "v2");
         network.runFor(1500);
-        call(
-                ReplicatedState.PUT,
-                "",
-                "{\"revision\":1,\"routes\":[],\"services\":[{\"name\":\"s\",\"maxConnections\":9}]}");
-        call(ReplicatedState.RULES, "", "{\"revision\":1,\"default\":{\"class\":{\"waitMs\":9}}}");
-        call(ReplicatedState.EVACUATE, "z1", "");
-        call(ReplicatedState.DRAIN, "i-2", "");
-        call(ReplicatedState.ROLLOUT, "s", "{\"order\":\"start\",\"target\":8,\"floor\":0.9,\"from\":7}");
+        call(CallKind.PUT, "", "{\"revision\":1,\"routes\":[],\"services\":[{\"name\":\"s\",\"maxConnections\":9}]}");
+        call(CallKind.RULES, "", "{\"revision\":1,\"default\":{\"class\":{\"waitMs\":9}}}");
+        call(CallKind.EVACUATE, "z1", "");
+        call(CallKind.DRAIN, "i-2", "");
+        call(CallKind.ROLLOUT, "s", "{\"order\":\"start\",\"target\":8,\"floor\":0.9,\"from\":7}");
         network.runFor(4300);
     }
 
