--- a/src/main/java/ringspindle/loadbalancing/AttemptWindow.java
+++ b/src/main/java/ringspindle/loadbalancing/AttemptWindow.java
@@ -5,86 +5,110 @@
 import ringspindle.telemetry.AttemptCounts;
 import ringspindle.telemetry.RequestKind;
 
-/** What this node saw of one engine lately, by kind of request: four buckets of steady time, used in turn. */
+/**
+ * Attempts of this node at one engine, by kind of request: what runs now, and how attempts ended in the last {@value
+ * #BUCKETS} buckets of {@value #BUCKET_MS} ms of steady time.
+ *
+ * <p>Counts lie in one array, as there is a window for each engine and each attempt goes through it. Confined to the lock of
+ * {@link EngineTableLoadBalancer}.
+ */
 final class AttemptWindow {
     private static final int BUCKETS = 4;
     private static final int BUCKET_MS = 500;
+    private static final int KINDS = RequestKind.values().length;
+    private static final long UNSET = Long.MIN_VALUE;
+
+    /** Columns of the array; the latencies are one column for each of {@link AttemptCounts#BUCKET_MS}. */
     private static final int ANSWERED = 0;
+
     private static final int NOT_RUN = 1;
     private static final int FAILED = 2;
-    private static final int FIRSTS = 3;
-    private static final int WIDTH = FIRSTS + AttemptCounts.BUCKET_MS.length;
-    private static final int KINDS = RequestKind.values().length;
+    private static final int LATENCIES = 3;
+    private static final int COLUMNS = LATENCIES + AttemptCounts.BUCKET_MS.length;
 
-    private final int[] counts = new int[BUCKETS * KINDS * WIDTH];
+    private final int[] counts = new int[BUCKETS * KINDS * COLUMNS];
     private final int[] running = new int[KINDS];
     private final long[] tokens = new long[KINDS];
-    private long bucket = Long.MIN_VALUE;
-
-    private void move(long nowMs) {
-        long now = Math.floorDiv(nowMs, BUCKET_MS);
-        if (bucket == Long.MIN_VALUE || now - bucket >= BUCKETS) {
-            Arrays.fill(counts, 0);
-        } else {
-            for (long b = bucket + 1; b <= now; b++) {
-                int at = (int) Math.floorMod(b, BUCKETS) * KINDS * WIDTH;
-                Arrays.fill(counts, at, at + KINDS * WIDTH, 0);
-            }
-        }
-        bucket = Math.max(bucket, now);
-    }
-
-    private int at(long b, RequestKind k) {
-        return ((int) Math.floorMod(b, BUCKETS) * KINDS + k.ordinal()) * WIDTH;
-    }
+    private long bucket = UNSET;
 
-    void began(RequestKind k, long weight, long nowMs) {
-        move(nowMs);
-        running[k.ordinal()]++;
-        tokens[k.ordinal()] += weight;
+    /** An attempt starts. */
+    void start(RequestKind kind, long attemptTokens, long nowMs) {
+        advance(nowMs);
+        running[kind.ordinal()]++;
+        tokens[kind.ordinal()] += attemptTokens;
     }
 
-    void ended(RequestKind k, long weight, AttemptOutcome end, long firstMs, long nowMs) {
-        move(nowMs);
-        int i = k.ordinal();
-        running[i] = Math.max(0, running[i] - 1);
-        tokens[i] = running[i] == 0 ? 0 : Math.max(0, tokens[i] - weight);
-        int at = at(bucket, k);
-        if (end == AttemptOutcome.ANSWERED) {
-            counts[at + ANSWERED]++;
+    /**
+     * An attempt ends.
+     *
+     * @param firstMs time to the first byte, in ms; below 0 if none came
+     */
+    void end(RequestKind kind, long attemptTokens, AttemptOutcome outcome, long firstMs, long nowMs) {
+        advance(nowMs);
+        int k = kind.ordinal();
+        running[k] = Math.max(0, running[k] - 1);
+        // without attempts there are no tokens, whatever was counted
+        tokens[k] = running[k] == 0 ? 0 : Math.max(0, tokens[k] - attemptTokens);
+        int row = row(bucket, kind);
+        if (outcome == AttemptOutcome.ANSWERED) {
+            counts[row + ANSWERED]++;
             if (firstMs >= 0) {
-                counts[at + FIRSTS + AttemptCounts.bucket(firstMs)]++;
+                counts[row + LATENCIES + AttemptCounts.bucket(firstMs)]++;
             }
-        } else if (end == AttemptOutcome.NOT_RUN) {
-            counts[at + NOT_RUN]++;
-        } else if (end.againstEngine()) {
-            counts[at + FAILED]++;
+        } else if (outcome == AttemptOutcome.NOT_RUN) {
+            counts[row + NOT_RUN]++;
+        } else if (outcome.againstEngine()) {
+            counts[row + FAILED]++;
         }
     }
 
-    AttemptCounts tally(RequestKind k, long nowMs) {
-        move(nowMs);
-        int[] sum = new int[WIDTH];
-        for (long b = bucket - BUCKETS + 1; b <= bucket; b++) {
-            int at = at(b, k);
-            for (int i = 0; i < WIDTH; i++) {
-                sum[i] += counts[at + i];
+    /** What the window holds of one kind. */
+    AttemptCounts counts(RequestKind kind, long nowMs) {
+        advance(nowMs);
+        int[] sum = new int[COLUMNS];
+        for (long summed = bucket - BUCKETS + 1; summed <= bucket; summed++) {
+            int row = row(summed, kind);
+            for (int column = 0; column < COLUMNS; column++) {
+                sum[column] += counts[row + column];
             }
         }
         return new AttemptCounts(
                 sum[ANSWERED],
                 sum[NOT_RUN],
                 sum[FAILED],
-                running[k.ordinal()],
-                tokens[k.ordinal()],
-                Arrays.copyOfRange(sum, FIRSTS, WIDTH));
+                running[kind.ordinal()],
+                tokens[kind.ordinal()],
+                Arrays.copyOfRange(sum, LATENCIES, COLUMNS));
     }
 
-    AttemptCounts all(long nowMs) {
-        AttemptCounts out = AttemptCounts.NONE;
-        for (RequestKind k : RequestKind.values()) {
-            out = out.merge(tally(k, nowMs));
+    /** What the window holds of all kinds together. */
+    AttemptCounts countsOfAllKinds(long nowMs) {
+        AttemptCounts sum = AttemptCounts.NONE;
+        for (RequestKind kind : RequestKind.values()) {
+            sum = sum.merge(counts(kind, nowMs));
         }
-        return out;
+        return sum;
+    }
+
+    /** Moves on to now and clears the buckets that are entered; time never goes back. */
+    private void advance(long nowMs) {
+        long now = Math.floorDiv(nowMs, BUCKET_MS);
+        if (bucket == UNSET || now - bucket >= BUCKETS) {
+            Arrays.fill(counts, 0);
+        } else {
+            for (long entered = bucket + 1; entered <= now; entered++) {
+                int from = bucketStart(entered);
+                Arrays.fill(counts, from, from + KINDS * COLUMNS, 0);
+            }
+        }
+        bucket = Math.max(bucket, now);
+    }
+
+    private static int bucketStart(long bucket) {
+        return (int) Math.floorMod(bucket, BUCKETS) * KINDS * COLUMNS;
+    }
+
+    private static int row(long bucket, RequestKind kind) {
+        return bucketStart(bucket) + kind.ordinal() * COLUMNS;
     }
 }
--- a/src/main/java/ringspindle/loadbalancing/LoadBalancer.java
+++ b/src/main/java/ringspindle/loadbalancing/LoadBalancer.java
@@ -12,8 +12,22 @@
 import ringspindle.retry.AttemptOutcome;
 import ringspindle.routing.FallbackTarget;
 import ringspindle.telemetry.LoadSummary;
-
-/** Chooses engines: who may be asked, who is near, who has the prompt's head, who has room. Thread safe. */
+import ringspindle.telemetry.RequestKind;
+
+/**
+ * Selects the engine that serves a request: by who may serve it, what it costs there, who has the prompt's prefix in its
+ * cache, and who has capacity. It learns of engines from the control plane, and from the events of this node's own
+ * requests. Thread safe; no method blocks.
+ *
+ * <pre>{@code
+ * Selection selection = loadBalancer.select(request, nowMs);
+ * if (selection instanceof SelectedEngine engine) {
+ *     loadBalancer.onRequestSent(engine.id(), nowMs);
+ *     ...
+ *     loadBalancer.onAttemptEnded(engine.id(), request, AttemptOutcome.ANSWERED, firstMs, nowMs);
+ * }
+ * }</pre>
+ */
 public interface LoadBalancer {
     /** Value of a time to first byte in {@link #onAttemptEnded}: an idle connection had been closed by the peer. */
     long STALE_MS = -2;
@@ -66,6 +80,16 @@
                     random,
                     null);
         }
+
+        /** Tokens that count as in flight at the engine while the request runs there. */
+        int tokensInFlight() {
+            return uncachedTokens + outputTokens;
+        }
+
+        /** The kind that load summaries count the request under. */
+        RequestKind kind() {
+            return RequestKind.of(uncachedTokens + sharedPrefixTokens, sharedPrefixTokens);
+        }
     }
 
     /**
@@ -106,37 +130,45 @@
     record HealthProbe(String id, NodeId address, String healthPath) {}
 
     /** Takes over a configuration. */
-    void updateConfiguration(FleetConfig c);
+    void updateConfiguration(FleetConfig configuration);
 
     /** This node's own settings changed. */
-    void updateSettings(NodeConfig c);
+    void updateSettings(NodeConfig settings);
 
-    /** An engine spoke; seen at nowMs. */
-    void updateEngine(String id, Engine e, long version, long nowMs);
+    /**
+     * An engine reported of itself. A version that is not newer than the last one is ignored.
+     *
+     * @param nowMs steady time of this node, in ms; as in all methods, it may not go back
+     */
+    void updateEngine(String id, Engine report, long version, long nowMs);
 
-    /** An engine said that it leaves, or is gone. */
-    void markDraining(String id, boolean gone, long nowMs);
+    /**
+     * An engine drains: it gets nothing new, and never will.
+     *
+     * @param removed whether it is gone for good, so that it is forgotten when its last request here has ended
+     */
+    void markDraining(String id, boolean removed, long nowMs);
 
-    /** A zone was evacuated, or its evacuation was taken back. */
-    void setZoneEvacuated(String zone, boolean on, long nowMs);
+    /** A zone was evacuated, or its evacuation was taken back, after which its engines warm up. */
+    void setZoneEvacuated(String zone, boolean evacuated, long nowMs);
 
     /** Control nodes have not heard an engine's heartbeat for a while, or hear it again. */
-    void setHeartbeatMissing(String id, boolean on, long nowMs);
+    void setHeartbeatMissing(String id, boolean missing, long nowMs);
 
     /** Takes a lease from the control plane: how many nodes share the retry budget. */
-    void updateLease(Lease l, long nowMs);
+    void updateLease(Lease lease, long nowMs);
 
-    /** What all nodes of the region saw, summed; {@code loadBalancer.updateRegionLoad(load, nowMs)} every now and then, or never. */
-    void updateRegionLoad(Load l, long nowMs);
+    /** Takes what all nodes of the region saw, summed; it may come at any time, or never. */
+    void updateRegionLoad(Load load, long nowMs);
 
-    /** What this node saw of engines in its window, and what runs now; {@code loadBalancer.summarizeLoad(nowMs).report(life, seq)}. */
+    /** What this node saw of engines in its window, and what runs now. */
     LoadSummary summarizeLoad(long nowMs);
 
-    /** The engines of a service whose turn it is in a roll-out: they get nothing new, and are cold when they return. */
+    /** The engines of a service whose turn it is in a rollout: they get nothing new, and warm up when they return. */
     void setRolloutTurn(String service, Set<String> ids, long nowMs);
 
-    /** Picks and, on success, counts the request as running there: {@link #ended} must follow. */
-    Selection select(SelectionRequest ask, long nowMs);
+    /** Selects an engine and counts the request as running there: {@link #onAttemptEnded} must follow. */
+    Selection select(SelectionRequest request, long nowMs);
 
     /** The request went out to the engine. */
     void onRequestSent(String id, long nowMs);
@@ -145,28 +177,36 @@
     void onResponseBytes(String id, long nowMs);
 
     /**
-     * The attempt is over; firstMs is the time to the first byte, below 0 if none came, and {@link #STALE_MS} if nothing
-     * came because an idle connection had been forgotten, which says nothing of the engine.
+     * The attempt at an engine that {@link #select} returned is over.
+     *
+     * @param request the request as it was given to {@link #select}
+     * @param firstMs time to the first byte, in ms; below 0 if none came, and {@link #STALE_MS} if none came because an idle
+     *     connection had been closed by the peer, which says nothing of the engine
      */
-    void onAttemptEnded(String id, SelectionRequest ask, AttemptOutcome end, long firstMs, long nowMs);
+    void onAttemptEnded(String id, SelectionRequest request, AttemptOutcome outcome, long firstMs, long nowMs);
 
-    /** A consumer's request for a service, of which further tries are earned. */
+    /** A client's request for a service came in, which earns a part of a retry. */
     void onRequestReceived(String service, long nowMs);
 
-    /** True if one further arrival at the service is within this node's share; takes it. */
+    /** Takes one retry of the service's budget on this node; false if none is left. */
     boolean tryAcquireRetry(String service, long nowMs);
 
-    /** Engines that seem to be silent or broken and are due for a question. */
+    /** Health probes of ejected engines that are due; each is due again after a gap that grows. */
     List<HealthProbe> dueHealthProbes(long nowMs);
 
-    /** What a probe came to. */
-    void onHealthProbeResult(String id, boolean well, int coldMs, long nowMs);
+    /**
+     * A health probe ended.
+     *
+     * @param healthy whether the engine answered that it serves
+     * @param coldMs for how long the engine says it will warm up, in ms; 0 if it does not
+     */
+    void onHealthProbeResult(String id, boolean healthy, int coldMs, long nowMs);
 
-    /** Ids of engines that are known, for cutting wires of those that are gone. */
+    /** Ids of the engines that are known, for closing connections to all others. */
     Set<String> knownEngineIds();
 
-    /** {@code LoadBalancer.create(config)} knows no engines yet. */
-    static LoadBalancer create(NodeConfig config) {
-        return new EngineTableLoadBalancer(config);
+    /** A load balancer that knows no engines yet. */
+    static LoadBalancer create(NodeConfig settings) {
+        return new EngineTableLoadBalancer(settings);
     }
 }
