--- a/src/main/java/ringspindle/gossip/VersionedFactStore.java
+++ b/src/main/java/ringspindle/gossip/VersionedFactStore.java
@@ -32,16 +32,16 @@
     private final long[] ranges = new long[RANGES];
     private long stamp;
 
-    private static String id(int kindNumber, String key) {
-        return kindNumber + " " + key;
+    private static String id(int kindCode, String key) {
+        return kindCode + " " + key;
     }
 
     private static String id(FactKind kind, String key) {
-        return id(kind.number(), key);
+        return id(kind.code(), key);
     }
 
     private static String id(Fact fact) {
-        return id(fact.kindNumber(), fact.key());
+        return id(fact.kindCode(), fact.key());
     }
 
     @Override
@@ -99,7 +99,7 @@
     public Collection<Fact> all(FactKind kind) {
         List<Fact> out = new ArrayList<>();
         for (Row r : byStamp.values()) {
-            if (r.item.kindNumber() == kind.number()) {
+            if (r.item.kindCode() == kind.code()) {
                 out.add(r.item);
             }
         }
--- a/src/main/java/ringspindle/membership/FactValidator.java
+++ b/src/main/java/ringspindle/membership/FactValidator.java
@@ -19,12 +19,12 @@
     private static void check(Fact item) {
         try {
             if (!readable(item)) {
-                throw new FrameException(FrameException.Reason.GARBLED, "fact of kind " + item.kindNumber());
+                throw new FrameException(FrameException.Reason.GARBLED, "fact of kind " + item.kindCode());
             }
         } catch (FrameException x) {
             throw x;
         } catch (RuntimeException x) {
-            throw new FrameException(FrameException.Reason.GARBLED, "fact of kind " + item.kindNumber(), x);
+            throw new FrameException(FrameException.Reason.GARBLED, "fact of kind " + item.kindCode(), x);
         }
     }
 
--- a/src/main/java/ringspindle/protocol/FactKind.java
+++ b/src/main/java/ringspindle/protocol/FactKind.java
@@ -25,21 +25,21 @@
     /** The operators' serving rules. */
     RULES(10);
 
-    private static final WireNumbers<FactKind> NUMBERS = new WireNumbers<>(values(), FactKind::number, UNKNOWN);
+    private static final FactKind[] BY_CODE = values();
 
-    private final int number;
+    private final int code;
 
-    FactKind(int number) {
-        this.number = number;
+    FactKind(int code) {
+        this.code = code;
     }
 
-    /** The kind's number in messages. */
-    public int number() {
-        return number;
+    /** The number of the kind in messages. */
+    public int code() {
+        return code;
     }
 
     /** The kind of that number, {@link #UNKNOWN} if this program knows none. */
-    public static FactKind of(int number) {
-        return NUMBERS.of(number);
+    public static FactKind of(int code) {
+        return code > 0 && code < BY_CODE.length ? BY_CODE[code] : UNKNOWN;
     }
 }
--- a/src/main/java/ringspindle/protocol/GossipCodec.java
+++ b/src/main/java/ringspindle/protocol/GossipCodec.java
@@ -62,7 +62,7 @@
                 new NewsEncoder().wrapAndApplyHeader(buffer, 0, header).full(flag(message.full()));
         NewsEncoder.ItemsEncoder items = encoder.itemsCount(message.items().size());
         for (Fact fact : message.items()) {
-            items.next().kind((short) fact.kindNumber()).life(fact.life()).version(fact.version());
+            items.next().kind((short) fact.kindCode()).life(fact.life()).version(fact.version());
             putText(fact.key(), items::putKey);
             putBytes(fact.value(), items::putValue);
         }
--- a/src/main/java/ringspindle/protocol/Message.java
+++ b/src/main/java/ringspindle/protocol/Message.java
@@ -130,17 +130,17 @@
     /**
      * One fact of the replicated fleet facts; the newer (life, version) wins.
      *
-     * @param kindNumber the number of its {@link FactKind}, or one that this program does not know
+     * @param kindCode the number of its {@link FactKind}, or one that this program does not know
      */
-    record Fact(int kindNumber, String key, long life, long version, byte[] value) {
+    record Fact(int kindCode, String key, long life, long version, byte[] value) {
         /** A fact of a known kind. */
         public Fact(FactKind kind, String key, long life, long version, byte[] value) {
-            this(kind.number(), key, life, version, value);
+            this(kind.code(), key, life, version, value);
         }
 
         /** What the fact is about. */
         public FactKind kind() {
-            return FactKind.of(kindNumber);
+            return FactKind.of(kindCode);
         }
     }
 
--- a/src/test/java/ringspindle/controlplane/StoredDataTest.java
+++ b/src/test/java/ringspindle/controlplane/StoredDataTest.java
@@ -239,7 +239,7 @@
     }
 
     private static void assertEngine(Fact fact, String key, long life, long version, Engine engine) {
-        assertEquals(4, fact.kindNumber());
+        assertEquals(4, fact.kindCode());
         assertEquals(key, fact.key());
         assertEquals(life, fact.life());
         assertEquals(version, fact.version());
--- /dev/null
+++ b/src/test/java/ringspindle/protocol/KindCodesTest.java
@@ -0,0 +1,69 @@
+package ringspindle.protocol;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Function;
+import java.util.function.IntFunction;
+import org.junit.jupiter.api.Test;
+import ringspindle.replication.CallKind;
+import ringspindle.replication.MarkKind;
+
+/** The codes of kinds in messages and on disk never change; unknown codes have a constant of their own. */
+class KindCodesTest {
+    private static <E extends Enum<E>> void assertCodes(
+            List<String> expected, E[] constants, Function<E, Integer> codeOf, IntFunction<E> of) {
+        Map<String, Integer> byName = new LinkedHashMap<>();
+        for (int i = 0; i < expected.size(); i++) {
+            byName.put(expected.get(i), i);
+        }
+        assertEquals(expected.size(), constants.length);
+        for (E constant : constants) {
+            assertEquals(byName.get(constant.name()), codeOf.apply(constant), constant.name());
+            assertEquals(constant, of.apply(codeOf.apply(constant)));
+        }
+        for (int code : new int[] {-1, expected.size(), 255, Integer.MAX_VALUE, Integer.MIN_VALUE}) {
+            assertEquals("UNKNOWN", of.apply(code).name(), "code " + code);
+        }
+    }
+
+    @Test
+    void callKinds() {
+        assertCodes(
+                List.of("UNKNOWN", "PUT", "PATCH", "EVACUATE", "RESTORE", "DRAIN", "GONE", "READ", "ROLLOUT", "RULES"),
+                CallKind.values(),
+                CallKind::code,
+                CallKind::of);
+    }
+
+    @Test
+    void markKinds() {
+        assertCodes(
+                List.of("UNKNOWN", "EVACUATED", "LEAVING", "ROLLOUT", "RULES"),
+                MarkKind.values(),
+                MarkKind::code,
+                code -> MarkKind.of(new Message.Mark(code, "", 0, "")));
+    }
+
+    @Test
+    void factKinds() {
+        assertCodes(
+                List.of(
+                        "UNKNOWN",
+                        "CONFIG",
+                        "EVACUATED",
+                        "LEAVING",
+                        "ENGINE",
+                        "NODE",
+                        "LEASE",
+                        "ROLLOUT",
+                        "TURN",
+                        "SILENT",
+                        "RULES"),
+                FactKind.values(),
+                FactKind::code,
+                FactKind::of);
+    }
+}
--- a/src/test/java/ringspindle/replication/ChainReplicatedStateTest.java
+++ b/src/test/java/ringspindle/replication/ChainReplicatedStateTest.java
@@ -220,11 +220,14 @@
     void tailCommitsTheSnapshotThatItConfirms() {
         ReplicatedState c = ReplicatedState.create(C, ALL, true, List.of(), 1, 1);
         synced(c, c.tick(0, TOUCH));
-        synced(c, c.receive(B, new Install(1, 0, Codec.encode(new State(1, 0, 0, List.of(), List.of(), new byte[0]))), 5));
-        List<Out> first =
-                c.receive(B, new Install(1, 1, Codec.encode(new State(1, 1, 3, List.of(), List.of(), new byte[] {1}))), 10);
-        List<Out> second =
-                c.receive(B, new Install(1, 2, Codec.encode(new State(1, 2, 5, List.of(), List.of(), new byte[] {2}))), 11);
+        synced(
+                c,
+                c.receive(
+                        B, new Install(1, 0, Codec.encode(new State(1, 0, 0, List.of(), List.of(), new byte[0]))), 5));
+        List<Out> first = c.receive(
+                B, new Install(1, 1, Codec.encode(new State(1, 1, 3, List.of(), List.of(), new byte[] {1}))), 10);
+        List<Out> second = c.receive(
+                B, new Install(1, 2, Codec.encode(new State(1, 2, 5, List.of(), List.of(), new byte[] {2}))), 11);
         assertEquals(List.of(new Synced(1, 1)), sent(synced(c, first), Synced.class));
         assertEquals(3, c.committed().revision(), "a reading now must hold what was confirmed up the chain");
         assertEquals(List.of(new Synced(1, 2)), sent(synced(c, second), Synced.class));
@@ -267,13 +270,18 @@
         ReplicatedState b = ReplicatedState.create(B, ALL, true, List.of(), 1, 1);
         synced(b, b.tick(0, TOUCH));
         View one = b.view();
-        synced(b, b.receive(A, new Install(1, 0, Codec.encode(new State(1, 0, 0, List.of(), List.of(), new byte[0]))), 5));
+        synced(
+                b,
+                b.receive(
+                        A, new Install(1, 0, Codec.encode(new State(1, 0, 0, List.of(), List.of(), new byte[0]))), 5));
         List<Out> outs = synced(b, b.receive(C, new Prepare(2, 2049, one), 10));
         Pledge p = (Pledge) sent(outs, Pledge.class).get(0);
         assertTrue(p.granted());
         byte[] op = Codec.encode(new Op(CallKind.EVACUATE.code(), 0, 0, 0, "z", new byte[0]));
         assertEquals(
-                List.of(), b.receive(A, new Entry(1, 1, op), 20), "an entry of the old epoch is taken after the pledge");
+                List.of(),
+                b.receive(A, new Entry(1, 1, op), 20),
+                "an entry of the old epoch is taken after the pledge");
         assertFalse(((Pledge) sent(synced(b, b.receive(A, new Prepare(2, 1025, one), 30)), Pledge.class)
                         .get(0))
                 .granted());
@@ -304,7 +312,9 @@
         assertEquals(List.of(), sent(synced(c, c.receive(A, new Prepare(2, 1025, one), 5)), Pledge.class));
         synced(c, c.receive(A, new Relearned(1, 2, 3073, 0, null, one), 10));
         assertEquals(
-                List.of(), sent(synced(c, c.receive(A, new Prepare(2, 4097, one), 15)), Pledge.class), "one is no majority");
+                List.of(),
+                sent(synced(c, c.receive(A, new Prepare(2, 4097, one), 15)), Pledge.class),
+                "one is no majority");
         synced(c, c.receive(B, new Relearned(2, 0, 0, 0, null, one), 20));
         Pledge p = (Pledge) sent(synced(c, c.receive(A, new Prepare(2, 2049, one), 25)), Pledge.class)
                 .get(0);
