--- a/src/main/java/ringspindle/controlplane/ControlNode.java
+++ b/src/main/java/ringspindle/controlplane/ControlNode.java
@@ -36,7 +36,9 @@
 import ringspindle.protocol.Message.Report;
 import ringspindle.protocol.Message.State;
 import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeFlags;
 import ringspindle.protocol.NodeId;
+import ringspindle.protocol.NodeKind;
 import ringspindle.replication.CallKind;
 import ringspindle.replication.MarkKind;
 import ringspindle.replication.ReplicatedState;
@@ -231,9 +233,12 @@
             meet.advance(clock.nowMs());
             for (SessionTable.Peer p : meet.peers()) {
                 Heartbeat newest = p.heartbeat();
-                if (p.hello().kind() == 0 && p.linked()) {
+                if (p.hello().kind() == NodeKind.CONTROL && p.linked()) {
                     holders.add(new ShutdownHandover.Holder(
-                            p.hello().node(), newest.epoch(), newest.seq(), (newest.flags() & Heartbeat.BLANK) != 0));
+                            p.hello().node(),
+                            newest.epoch(),
+                            newest.seq(),
+                            newest.flags().has(NodeFlags.RELEARNING)));
                 }
             }
         }
@@ -356,7 +361,7 @@
             sums.opened(peer);
             news.opened(peer.node());
         }
-        if (peer.kind() == 0) {
+        if (peer.kind() == NodeKind.CONTROL) {
             synchronized (chainLock) {
                 carryOut(chain.opened(peer.node(), nowMs));
             }
@@ -403,7 +408,7 @@
             FactStore book = knowledge.book();
             meet.heard(from, heartbeat, nowMs);
             SessionTable.Peer peer = meet.peer(from);
-            if (peer != null && peer.hello().kind() == 1) {
+            if (peer != null && peer.hello().kind() == NodeKind.DATA) {
                 frontends.heard(peer, heartbeat);
             }
             boolean differs = heartbeat.digest() != 0 && heartbeat.digest() != book.digest();
@@ -421,7 +426,7 @@
     public void closed(NodeId peer) {
         synchronized (bookLock) {
             SessionTable.Peer p = meet.peer(peer);
-            if (p != null && p.hello().kind() == 1 && p.heartbeat().n() > 0) {
+            if (p != null && p.hello().kind() == NodeKind.DATA && p.heartbeat().n() > 0) {
                 frontends.closed(p);
                 sums.closed(peer);
             }
@@ -526,13 +531,13 @@
                 pool.execute(() -> mesh.drop(n));
             }
             for (SessionTable.Peer p : meet.peers()) {
-                if (p.hello().kind() == 0) {
+                if (p.hello().kind() == NodeKind.CONTROL) {
                     if (p.linked()) {
                         live.add(p.hello().node());
                     }
                     wanted.addAll(p.heartbeat().heard());
                 }
-                if (ticks % (p.hello().kind() == 1 ? DATA_TICKS : CONTROL_TICKS) == 0 || leaving) {
+                if (ticks % (p.hello().kind() == NodeKind.DATA ? DATA_TICKS : CONTROL_TICKS) == 0 || leaving) {
                     heartbeatTo.add(p.hello().node());
                 }
             }
@@ -603,18 +608,18 @@
 
         @Override
         public boolean leaving(NodeId n) {
-            return n.equals(me) ? leaving : says(n, Heartbeat.LEAVING);
+            return n.equals(me) ? leaving : says(n, NodeFlags.LEAVING);
         }
 
         @Override
         public boolean relearning(NodeId n) {
-            return !n.equals(me) && says(n, Heartbeat.BLANK);
+            return !n.equals(me) && says(n, NodeFlags.RELEARNING);
         }
 
-        private boolean says(NodeId n, int flag) {
+        private boolean says(NodeId n, NodeFlags flag) {
             synchronized (bookLock) {
                 SessionTable.Peer p = meet.peer(n);
-                return p != null && (p.heartbeat().flags() & flag) != 0;
+                return p != null && p.heartbeat().flags().has(flag);
             }
         }
 
@@ -636,7 +641,8 @@
             return null;
         }
         Heartbeat newest = p.heartbeat();
-        return new QuorumTracker.Contact(p.contactMs(), newest.epoch(), (newest.flags() & Heartbeat.BLANK) != 0);
+        return new QuorumTracker.Contact(
+                p.contactMs(), newest.epoch(), newest.flags().has(NodeFlags.RELEARNING));
     }
 
     /** True once engines had the time to be heard here: a node that was out of touch refused their heartbeats. */
@@ -653,9 +659,9 @@
             view = chain.view();
             blank = chain.relearning();
         }
-        int flags = (quorate() ? Heartbeat.QUORATE : 0)
-                | (leaving ? Heartbeat.LEAVING : Heartbeat.READY)
-                | (blank ? Heartbeat.BLANK : 0);
+        NodeFlags flags = (leaving ? NodeFlags.LEAVING : NodeFlags.READY)
+                .and(NodeFlags.QUORATE.when(quorate()))
+                .and(NodeFlags.RELEARNING.when(blank));
         long epoch = view == null ? 0 : view.epoch();
         long seq = state == null ? -1 : state.seq();
         synchronized (bookLock) {
@@ -716,12 +722,16 @@
             for (SessionTable.Peer p : meet.peers()) {
                 Map<String, Object> row = new LinkedHashMap<>();
                 row.put("name", p.hello().name());
-                row.put("kind", p.hello().kind() == 0 ? "control" : "data");
+                row.put("kind", p.hello().kind() == NodeKind.CONTROL ? "control" : "data");
                 row.put("node", p.hello().node().toString());
                 row.put("zone", p.hello().zone());
                 row.put("linked", p.linked());
-                row.put("control", p.hello().kind() == 0 ? new NodeId(p.hello().front()).toString() : "");
-                row.put("ready", (p.heartbeat().flags() & Heartbeat.READY) != 0);
+                row.put(
+                        "control",
+                        p.hello().kind() == NodeKind.CONTROL
+                                ? new NodeId(p.hello().front()).toString()
+                                : "");
+                row.put("ready", p.heartbeat().flags().has(NodeFlags.READY));
                 out.add(row);
             }
         }
--- a/src/main/java/ringspindle/controlplane/DataNodeDirectory.java
+++ b/src/main/java/ringspindle/controlplane/DataNodeDirectory.java
@@ -11,6 +11,7 @@
 import ringspindle.protocol.Message.Fact;
 import ringspindle.protocol.Message.Heartbeat;
 import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.NodeFlags;
 import ringspindle.protocol.NodeId;
 
 /** Data nodes as facts: told by the control node that holds the session, and good while that node is in touch. Guarded by its owner. */
@@ -49,11 +50,11 @@
 
     /** The session of a data node is gone. */
     void closed(SessionTable.Peer peer) {
-        knowledge.merge(List.of(item(peer, 0, peer.heartbeat().n() * 2 + 1)));
+        knowledge.merge(List.of(item(peer, NodeFlags.NONE, peer.heartbeat().n() * 2 + 1)));
     }
 
     /** A restart has a new life that must win, though the time of day that lives are drawn from may go back. */
-    private Fact item(SessionTable.Peer peer, int flags, long version) {
+    private Fact item(SessionTable.Peer peer, NodeFlags flags, long version) {
         Fact old = knowledge.book().get(FactKind.NODE, peer.hello().node().toString());
         long ownLife = peer.hello().life();
         long wasLife =
@@ -140,7 +141,9 @@
         int nodes = 0;
         for (Fact i : knowledge.book().all(FactKind.NODE)) {
             Long at = knowledge.seenMs(FactKind.NODE, i.key());
-            nodes += DataNodeFact.of(i.value()).flags() != 0 || at != null && nowMs - at < LOST_COUNTS_MS ? 1 : 0;
+            nodes += DataNodeFact.of(i.value()).flags() != NodeFlags.NONE || at != null && nowMs - at < LOST_COUNTS_MS
+                    ? 1
+                    : 0;
         }
         return nodes;
     }
--- a/src/main/java/ringspindle/controlplane/FactDissemination.java
+++ b/src/main/java/ringspindle/controlplane/FactDissemination.java
@@ -10,12 +10,12 @@
 import ringspindle.protocol.Message.Fact;
 import ringspindle.protocol.Message.News;
 import ringspindle.protocol.NodeId;
+import ringspindle.protocol.NodeKind;
 import ringspindle.transport.Mesh;
 
 /** Tells facts to peers: to control nodes all, to data nodes what they use. Guarded by its owner. */
 final class FactDissemination {
     private static final int ITEMS_MAX = 512;
-    private static final int CONTROL_KIND = 0;
 
     private final Mesh mesh;
     private final SessionTable meet;
@@ -40,7 +40,7 @@
 
     /** A data node acts on what it is told, so only a node that is proven to be up to date tells it anything. */
     private static boolean mayTell(SessionTable.Peer peer, boolean quorate) {
-        return peer.hello().kind() == CONTROL_KIND || quorate;
+        return peer.hello().kind() == NodeKind.CONTROL || quorate;
     }
 
     /** Answers a peer's digest with the facts that differ. */
@@ -67,7 +67,7 @@
 
     private void push(SessionTable.Peer p, boolean merged) {
         NodeId to = p.hello().node();
-        boolean toControl = p.hello().kind() == CONTROL_KIND;
+        boolean toControl = p.hello().kind() == NodeKind.CONTROL;
         String region = p.hello().region();
         List<Fact> items = toControl
                 ? knowledge.book().pending(to, ITEMS_MAX)
--- a/src/main/java/ringspindle/controlplane/FleetStatus.java
+++ b/src/main/java/ringspindle/controlplane/FleetStatus.java
@@ -14,13 +14,13 @@
 import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.Message.Fact;
-import ringspindle.protocol.Message.Heartbeat;
 import ringspindle.protocol.Message.Hello;
 import ringspindle.protocol.Message.LedgerReport;
 import ringspindle.protocol.Message.LedgerRow;
 import ringspindle.protocol.Message.Mark;
 import ringspindle.protocol.Message.State;
 import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeFlags;
 import ringspindle.protocol.NodeId;
 import ringspindle.replication.MarkKind;
 import ringspindle.routing.RequestLedger;
@@ -96,8 +96,8 @@
                     .add("name", h.name())
                     .add("zone", h.zone())
                     .add("frontend", new NodeId(h.front()).toString())
-                    .add("ready", (r.flags() & Heartbeat.READY) != 0)
-                    .add("leaving", (r.flags() & Heartbeat.LEAVING) != 0)
+                    .add("ready", r.flags().has(NodeFlags.READY))
+                    .add("leaving", r.flags().has(NodeFlags.LEAVING))
                     .add("via", r.via().toString()));
         }
         return out.add("nodes", nodes).build();
--- a/src/main/java/ringspindle/controlplane/LoadAggregator.java
+++ b/src/main/java/ringspindle/controlplane/LoadAggregator.java
@@ -13,6 +13,7 @@
 import ringspindle.protocol.Message.RegionLoad;
 import ringspindle.protocol.Message.Report;
 import ringspindle.protocol.NodeId;
+import ringspindle.protocol.NodeKind;
 import ringspindle.telemetry.LoadSummary;
 import ringspindle.telemetry.LoadTotals;
 import ringspindle.telemetry.ReportCollector;
@@ -26,8 +27,6 @@
     private static final int REPORT_TTL_MS = 2000;
 
     private static final int REGION_TTL_MS = 2500;
-    private static final int CONTROL_KIND = 0;
-    private static final int DATA_KIND = 1;
 
     private final NodeId me;
     private final long life;
@@ -71,13 +70,13 @@
         if (p == null || p.hello().life() != r.life()) {
             return;
         }
-        ReportCollector of = p.hello().kind() == DATA_KIND ? sources : peers;
+        ReportCollector of = p.hello().kind() == NodeKind.DATA ? sources : peers;
         ReportVerdict t = of.take(from, r, nowMs);
         if (t.refused()) {
             LOG.atWarning().log("report of %s is %s, %s so far", p.hello().name(), t, of.count(t));
             return;
         }
-        if (t == ReportVerdict.NEWEST && p.hello().kind() == CONTROL_KIND) {
+        if (t == ReportVerdict.NEWEST && p.hello().kind() == NodeKind.CONTROL) {
             knowledge.presence().peers(LoadSummary.of(r), nowMs);
             r.sources().forEach(s -> sources.leave(s.node(), s.life(), s.seq()));
         }
@@ -113,9 +112,9 @@
         Load back = new Load(life, seq, LoadTotals.engines(total), all);
         Set<NodeId> asking = sources.sources(nowMs);
         for (SessionTable.Peer p : meet.peers()) {
-            if (p.hello().kind() == DATA_KIND && asking.contains(p.hello().node())) {
+            if (p.hello().kind() == NodeKind.DATA && asking.contains(p.hello().node())) {
                 mesh.send(p.hello().node(), back);
-            } else if (p.hello().kind() == CONTROL_KIND
+            } else if (p.hello().kind() == NodeKind.CONTROL
                     && speaker.equals(me)
                     && !p.hello().region().equals(region)) {
                 mesh.send(p.hello().node(), new Load(life, seq, List.of(), mine));
@@ -129,7 +128,7 @@
                 life, seq, own.report(life, seq).tallies(), knowledge.presence().own(nowMs), sources.holds(nowMs));
         NodeId speaker = me;
         for (SessionTable.Peer p : meet.peers()) {
-            if (p.hello().kind() == CONTROL_KIND
+            if (p.hello().kind() == NodeKind.CONTROL
                     && p.linked()
                     && p.hello().region().equals(region)) {
                 mesh.send(p.hello().node(), report);
--- a/src/main/java/ringspindle/dataplane/DataNode.java
+++ b/src/main/java/ringspindle/dataplane/DataNode.java
@@ -30,7 +30,9 @@
 import ringspindle.protocol.Message.LedgerReport;
 import ringspindle.protocol.Message.Load;
 import ringspindle.protocol.Message.News;
+import ringspindle.protocol.NodeFlags;
 import ringspindle.protocol.NodeId;
+import ringspindle.protocol.NodeKind;
 import ringspindle.proxy.Proxy;
 import ringspindle.replication.Rollout;
 import ringspindle.routing.RequestLedger;
@@ -115,7 +117,7 @@
         synchronized (lock) {
             meet.opened(peer, clock.nowMs());
             book.reset(peer.node());
-            if (peer.kind() == 0) {
+            if (peer.kind() == NodeKind.CONTROL) {
                 controls.add(peer.node());
             }
             heartbeat(peer.node());
@@ -222,7 +224,7 @@
                 if (ticks % 4 == 0 || leaving) {
                     heartbeat(p.hello().node());
                 }
-                if (p.hello().kind() == 1) {
+                if (p.hello().kind() == NodeKind.DATA) {
                     List<Fact> items = book.pending(p.hello().node(), 256);
                     if (!items.isEmpty()) {
                         mesh.send(p.hello().node(), new News(false, items));
@@ -310,7 +312,7 @@
         NodeId first = null;
         for (Fact i : book.all(FactKind.NODE)) {
             DataNodeFact r = DataNodeFact.of(i.value());
-            if ((r.flags() & Heartbeat.READY) == 0 || !r.hello().region().equals(config.region())) {
+            if (!r.flags().has(NodeFlags.READY) || !r.hello().region().equals(config.region())) {
                 continue;
             }
             NodeId n = NodeId.of(i.key());
@@ -332,7 +334,7 @@
     }
 
     private void heartbeat(NodeId to) {
-        int flags = (front.ready() ? Heartbeat.READY : 0) | (leaving ? Heartbeat.LEAVING : 0);
+        NodeFlags flags = NodeFlags.READY.when(front.ready()).and(NodeFlags.LEAVING.when(leaving));
         mesh.send(to, meet.heartbeat(to, flags, 0, 0, book.digest(), clock.nowMs()));
     }
 }
--- a/src/main/java/ringspindle/membership/HeartbeatSessionTable.java
+++ b/src/main/java/ringspindle/membership/HeartbeatSessionTable.java
@@ -8,7 +8,9 @@
 import java.util.TreeMap;
 import ringspindle.protocol.Message.Heartbeat;
 import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.NodeFlags;
 import ringspindle.protocol.NodeId;
+import ringspindle.protocol.NodeKind;
 
 /**
  * Sessions in a table. Contact with a peer dates from when the newest own heartbeat that the peer echoed was sent: a
@@ -32,8 +34,7 @@
     static final int IN_FLIGHT_MAX = 64;
 
     private static final int HEARD_EVERY = 8;
-    private static final int CONTROL_KIND = 0;
-    private static final Heartbeat NONE = new Heartbeat(0, 0, 0, 0, 0, 0, List.of());
+    private static final Heartbeat NONE = new Heartbeat(0, 0, NodeFlags.NONE, 0, 0, 0, List.of());
 
     private record Sent(long number, long atMs) {}
 
@@ -50,7 +51,7 @@
 
         Row(Hello hello) {
             this.hello = hello;
-            contactLimitMs = data || hello.kind() != CONTROL_KIND ? DATA_CONTACT_MS : CONTROL_CONTACT_MS;
+            contactLimitMs = data || hello.kind() != NodeKind.CONTROL ? DATA_CONTACT_MS : CONTROL_CONTACT_MS;
             openedMs = nowMs;
             heardMs = nowMs;
         }
@@ -174,7 +175,7 @@
     }
 
     @Override
-    public Heartbeat heartbeat(NodeId to, int flags, long epoch, long seq, long digest, long atMs) {
+    public Heartbeat heartbeat(NodeId to, NodeFlags flags, long epoch, long seq, long digest, long atMs) {
         advance(atMs);
         Row r = rows.get(to);
         long n = ++sentN;
@@ -183,14 +184,14 @@
         }
         r.sent(n);
         // control nodes judge views by it; a data node only learns whom else it might dial
-        boolean names = r.hello.kind() == CONTROL_KIND || r.sent++ % HEARD_EVERY == 0;
+        boolean names = r.hello.kind() == NodeKind.CONTROL || r.sent++ % HEARD_EVERY == 0;
         return new Heartbeat(n, r.newest.n(), flags, epoch, seq, digest, names ? linkedControls() : List.of());
     }
 
     private List<NodeId> linkedControls() {
         List<NodeId> linked = new ArrayList<>();
         rows.forEach((id, r) -> {
-            if (r.hello.kind() == CONTROL_KIND && r.linked()) {
+            if (r.hello.kind() == NodeKind.CONTROL && r.linked()) {
                 linked.add(id);
             }
         });
--- a/src/main/java/ringspindle/membership/SessionTable.java
+++ b/src/main/java/ringspindle/membership/SessionTable.java
@@ -4,7 +4,9 @@
 import java.util.List;
 import ringspindle.protocol.Message.Heartbeat;
 import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.NodeFlags;
 import ringspindle.protocol.NodeId;
+import ringspindle.protocol.NodeKind;
 
 /**
  * Sessions of one node with others, told from their heartbeats. All times are of this node's steady clock. Pure; not
@@ -33,11 +35,11 @@
 
         /** True for a control node in touch that is in touch with a majority and does not leave. */
         default boolean serves() {
-            int flags = heartbeat().flags();
-            return hello().kind() == 0
+            NodeFlags flags = heartbeat().flags();
+            return hello().kind() == NodeKind.CONTROL
                     && linked()
-                    && (flags & Heartbeat.QUORATE) != 0
-                    && (flags & Heartbeat.LEAVING) == 0;
+                    && flags.has(NodeFlags.QUORATE)
+                    && !flags.has(NodeFlags.LEAVING);
         }
     }
 
@@ -63,7 +65,7 @@
     List<NodeId> beat(long nowMs);
 
     /** The heartbeat to send to a peer now; {@code mesh.send(p, meet.heartbeat(p, flags, epoch, seq, digest, nowMs))}. */
-    Heartbeat heartbeat(NodeId to, int flags, long epoch, long seq, long digest, long nowMs);
+    Heartbeat heartbeat(NodeId to, NodeFlags flags, long epoch, long seq, long digest, long nowMs);
 
     /** True while both heard each other, as far as this node can tell; {@code meet.linked(a, b)}. */
     boolean linked(NodeId a, NodeId b);
--- a/src/main/java/ringspindle/protocol/Message.java
+++ b/src/main/java/ringspindle/protocol/Message.java
@@ -4,23 +4,40 @@
 
 /** What nodes say to each other; the layout is in {@code wire.xml}. */
 public sealed interface Message {
-    /** First on every wire. kind 0 is a control node, 1 a data node. */
-    record Hello(NodeId node, long life, int kind, long front, String name, String zone, String region)
-            implements Message {}
-
-    /** Beat between two nodes; echo is the last n heard from the other side. */
-    record Heartbeat(long n, long echo, int flags, long epoch, long seq, long digest, List<NodeId> heard)
+    /**
+     * First on every connection: who opened it, or took it.
+     *
+     * @param node the inner address
+     * @param life the incarnation of the process; a later one is higher
+     * @param kindCode the code of its {@link NodeKind}, or one that this program does not know
+     * @param front the bits of the address that clients use
+     */
+    record Hello(NodeId node, long life, int kindCode, long front, String name, String zone, String region)
             implements Message {
-        /** The node takes requests. */
-        public static final int READY = 1;
-        /** The node is leaving. */
-        public static final int LEAVING = 2;
-        /** A control node that is in touch with more than half of the voters. */
-        public static final int QUORATE = 4;
-        /** A control node that has not relearned what was promised; it can neither vote nor hold state. */
-        public static final int BLANK = 8;
+        /** The greeting of a node of a known kind. */
+        public Hello(NodeId node, long life, NodeKind kind, long front, String name, String zone, String region) {
+            this(node, life, kind.code(), front, name, zone, region);
+        }
+
+        /** Which part of the system the node is. */
+        public NodeKind kind() {
+            return NodeKind.of(kindCode);
+        }
     }
 
+    /**
+     * Heartbeat between two nodes.
+     *
+     * @param n the number of this heartbeat
+     * @param echo the number of the last one that came from the other side, 0 if none did
+     * @param epoch the epoch of the sender's view, 0 from a data node
+     * @param seq the number of the last operation that the sender knows to be committed
+     * @param digest of the sender's facts
+     * @param heard control nodes that the sender is in touch with; not in every heartbeat to a data node
+     */
+    record Heartbeat(long n, long echo, NodeFlags flags, long epoch, long seq, long digest, List<NodeId> heard)
+            implements Message {}
+
     /** How far a copy of the control state has come: the view it stems from, then the number of its last order. */
     record Position(long lineage, long seq) implements Comparable<Position> {
         /** Before every state: of a node that holds none. */
--- a/src/main/java/ringspindle/protocol/SessionCodec.java
+++ b/src/main/java/ringspindle/protocol/SessionCodec.java
@@ -39,7 +39,7 @@
                 .wrapAndApplyHeader(buffer, 0, header)
                 .node(message.node().bits())
                 .life(message.life())
-                .kind((short) message.kind())
+                .kind((short) message.kindCode())
                 .front(message.front());
         putText(message.name(), encoder::putName);
         putText(message.zone(), encoder::putZone);
@@ -64,7 +64,7 @@
                 .wrapAndApplyHeader(buffer, 0, header)
                 .n(message.n())
                 .echo(message.echo())
-                .flags((short) message.flags())
+                .flags((short) message.flags().bits())
                 .epoch(message.epoch())
                 .seq(message.seq())
                 .digest(message.digest());
@@ -80,6 +80,12 @@
             heard.add(new NodeId(row.node()));
         }
         return new Heartbeat(
-                decoder.n(), decoder.echo(), decoder.flags(), decoder.epoch(), decoder.seq(), decoder.digest(), heard);
+                decoder.n(),
+                decoder.echo(),
+                NodeFlags.of(decoder.flags()),
+                decoder.epoch(),
+                decoder.seq(),
+                decoder.digest(),
+                heard);
     }
 }
--- a/src/test/java/ringspindle/controlplane/CallIdsTest.java
+++ b/src/test/java/ringspindle/controlplane/CallIdsTest.java
@@ -15,6 +15,7 @@
 import ringspindle.protocol.Message.Heartbeat;
 import ringspindle.protocol.Message.Hello;
 import ringspindle.protocol.Message.Reply;
+import ringspindle.protocol.NodeFlags;
 import ringspindle.protocol.NodeId;
 import ringspindle.transport.Mesh;
 import ringspindle.transport.NodeEnvironment;
@@ -99,7 +100,7 @@
         for (NodeId n : List.of(HEAD, THIRD)) {
             mesh.ear.opened(new Hello(n, 1, 0, n.bits(), n.toString(), "z", "r"));
             // one heartbeat goes out when a connection opens
-            mesh.ear.heard(n, new Heartbeat(1, n.equals(HEAD) ? 1 : 2, Heartbeat.READY, 1, 0, 0, List.of()));
+            mesh.ear.heard(n, new Heartbeat(1, n.equals(HEAD) ? 1 : 2, NodeFlags.READY, 1, 0, 0, List.of()));
         }
         control.tick();
     }
--- a/src/test/java/ringspindle/membership/FactValidatorTest.java
+++ b/src/test/java/ringspindle/membership/FactValidatorTest.java
@@ -15,6 +15,7 @@
 import ringspindle.protocol.Message.Hello;
 import ringspindle.protocol.Message.Lease;
 import ringspindle.protocol.Message.Synced;
+import ringspindle.protocol.NodeFlags;
 import ringspindle.protocol.NodeId;
 
 /** Facts whose values cannot be read are refused before any of those that came with them is taken. */
@@ -33,7 +34,7 @@
                 FactKind.LEASE,
                 Codec.encode(new Lease(1, 2, 3000)),
                 FactKind.NODE,
-                new DataNodeFact(1, A, new Hello(A, 1, 1, A.bits(), "n", "z", "r")).value(),
+                new DataNodeFact(NodeFlags.READY, A, new Hello(A, 1, 1, A.bits(), "n", "z", "r")).value(),
                 FactKind.SILENT,
                 new byte[] {1});
     }
--- a/src/test/java/ringspindle/membership/SessionTableTest.java
+++ b/src/test/java/ringspindle/membership/SessionTableTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import ringspindle.protocol.Message.Heartbeat;
 import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.NodeFlags;
 import ringspindle.protocol.NodeId;
 
 /** In touch means that both sides heard each other, and contact dates from when the echoed heartbeat was sent. */
@@ -36,7 +37,7 @@
 
     /** What a peer says after it heard a heartbeat. */
     private static Heartbeat echo(long n, Heartbeat heard, NodeId... others) {
-        return new Heartbeat(n, heard.n(), 0, 0, 0, 0, List.of(others));
+        return new Heartbeat(n, heard.n(), NodeFlags.NONE, 0, 0, 0, List.of(others));
     }
 
     /** Two nodes in virtual time: heartbeats at a pace, a delay each way, cuts that hold up or lose what is sent. */
--- a/src/test/java/ringspindle/protocol/CodecTest.java
+++ b/src/test/java/ringspindle/protocol/CodecTest.java
@@ -50,7 +50,7 @@
     private static List<Message> all() {
         return List.of(
                 new Hello(A, 5, 1, B.bits(), "näme", "z", ""),
-                new Heartbeat(1, 2, 7, 3, -1, 9, List.of(A, B)),
+                new Heartbeat(1, 2, NodeFlags.of(7), 3, -1, 9, List.of(A, B)),
                 VIEW,
                 new Prepare(5, 1025, VIEW),
                 new Pledge(5, 1025, true, 6, 7, -1, 0, null, VIEW),
--- a/src/test/java/ringspindle/protocol/GoldenMessages.java
+++ b/src/test/java/ringspindle/protocol/GoldenMessages.java
@@ -103,9 +103,9 @@
                 new Hello(LAST, MAX, UINT8_MAX, MAX, TEXT, LONG_TEXT, TEXT),
                 new Hello(new NodeId(0), MIN, 0, MIN, "", "", ""));
         add(
-                new Heartbeat(41, 40, 5, 3, 17, -9, List.of(A, B)),
-                new Heartbeat(MAX, MAX, UINT8_MAX, MAX, MAX, MAX, nodes(300)),
-                new Heartbeat(0, -1, 0, MIN, MIN, MIN, List.of()));
+                new Heartbeat(41, 40, NodeFlags.of(5), 3, 17, -9, List.of(A, B)),
+                new Heartbeat(MAX, MAX, NodeFlags.of(UINT8_MAX), MAX, MAX, MAX, nodes(300)),
+                new Heartbeat(0, -1, NodeFlags.of(0), MIN, MIN, MIN, List.of()));
         add(new Lease(3, 9, 3000), new Lease(MAX, INT_MAX, INT_MAX), new Lease(MIN, INT_MIN, INT_MIN));
     }
 
--- a/src/test/java/ringspindle/protocol/KindCodesTest.java
+++ b/src/test/java/ringspindle/protocol/KindCodesTest.java
@@ -1,6 +1,9 @@
 package ringspindle.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -29,6 +32,32 @@
         }
     }
 
+    @Test
+    void nodeKinds() {
+        assertEquals(0, NodeKind.CONTROL.code());
+        assertEquals(1, NodeKind.DATA.code());
+        for (int code = 0; code < 256; code++) {
+            NodeKind expected = code == 0 ? NodeKind.CONTROL : code == 1 ? NodeKind.DATA : NodeKind.UNKNOWN;
+            assertEquals(expected, NodeKind.of(code));
+        }
+    }
+
+    @Test
+    void nodeFlags() {
+        assertEquals(0, NodeFlags.NONE.bits());
+        assertEquals(1, NodeFlags.READY.bits());
+        assertEquals(2, NodeFlags.LEAVING.bits());
+        assertEquals(4, NodeFlags.QUORATE.bits());
+        assertEquals(8, NodeFlags.RELEARNING.bits());
+        assertSame(NodeFlags.of(5), NodeFlags.READY.and(NodeFlags.QUORATE));
+        assertSame(NodeFlags.NONE, NodeFlags.READY.when(false));
+        assertTrue(NodeFlags.of(255).has(NodeFlags.of(9)));
+        assertFalse(NodeFlags.of(7).has(NodeFlags.RELEARNING));
+        for (int bits = 0; bits < 256; bits++) {
+            assertEquals(bits, NodeFlags.of(bits).bits());
+        }
+    }
+
     @Test
     void callKinds() {
         assertCodes(
--- a/src/test/java/ringspindle/transport/JettyMeshTest.java
+++ b/src/test/java/ringspindle/transport/JettyMeshTest.java
@@ -27,13 +27,14 @@
 import ringspindle.protocol.Message;
 import ringspindle.protocol.Message.Heartbeat;
 import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.NodeFlags;
 import ringspindle.protocol.NodeId;
 
 /** Bytes that are no message end their connection, are counted, and change nothing. */
 @Timeout(60)
 class JettyMeshTest {
     private static final NodeId PEER = NodeId.of("10.9.9.9:7000");
-    private static final Message BEAT = new Heartbeat(1, 0, 0, 0, 0, 0, List.of());
+    private static final Message BEAT = new Heartbeat(1, 0, NodeFlags.NONE, 0, 0, 0, List.of());
 
     private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
     private Threads threads;
@@ -119,7 +120,7 @@
     }
 
     static Stream<Arguments> bad() {
-        byte[] cut = Codec.encode(new Heartbeat(1, 0, 0, 0, 0, 0, List.of(PEER)));
+        byte[] cut = Codec.encode(new Heartbeat(1, 0, NodeFlags.NONE, 0, 0, 0, List.of(PEER)));
         return Stream.of(
                 Arguments.of("negative length", Reason.OVERSIZED, new byte[] {(byte) 0xff, 0, 0, 0}),
                 Arguments.of("huge length", Reason.OVERSIZED, new byte[] {0x7f, 0, 0, 0}),
