--- a/src/test/java/ringspindle/membership/SessionTableTest.java
+++ b/src/test/java/ringspindle/membership/SessionTableTest.java
@@ -32,7 +32,7 @@
     }
 
     private static Heartbeat sent(SessionTable from, NodeId to, long nowMs) {
-        return from.heartbeat(to, 0, 0, 0, 0, nowMs);
+        return from.heartbeat(to, NodeFlags.NONE, 0, 0, 0, nowMs);
     }
 
     /** What a peer says after it heard a heartbeat. */
