--- a/src/main/java/ringspindle/consensus/Acceptor.java
+++ b/src/main/java/ringspindle/consensus/Acceptor.java
@@ -22,11 +22,9 @@
     private final Replica replica;
     private final Effects effects;
     private final Supplier<Position> position;
-    private long promisedEpoch;
-    private long promised;
-    private long acceptedBallot;
-    private View accepted;
-    private long fencedMs;
+    private VoterState state = new VoterState.Free(0);
+    /** When the newest epoch was promised, as far as this process knows. */
+    private long fencedSinceMs;
 
     /**
      * @param position how far this node's copy of the control state has come
@@ -37,110 +35,134 @@
         this.position = position;
     }
 
+    // ---- transitions
+
     /** Takes over what is known to have been promised and accepted: from disk, or from a majority after a lost disk. */
-    void restore(long promisedEpoch, long promised, long acceptedBallot, View accepted) {
-        this.promisedEpoch = promisedEpoch;
-        this.promised = promised;
-        this.acceptedBallot = acceptedBallot;
-        this.accepted = accepted;
-        fencedMs = replica.nowMs();
+    void restore(VoterState known) {
+        state = known;
+        fencedSinceMs = replica.nowMs();
+    }
+
+    /** A newer view is in force: what was promised and accepted for it is settled. */
+    void settled(View view) {
+        if (state.epoch() <= view.epoch()) {
+            state = new VoterState.Free(state.epoch());
+        }
+    }
+
+    private void become(VoterState next) {
+        if (state.epoch() < next.epoch()) {
+            fencedSinceMs = replica.nowMs();
+        }
+        state = next;
     }
 
+    // ---- what others see
+
     /** The record of all that this voter must not forget. */
     Vote vote() {
-        return new Vote(promisedEpoch, promised, acceptedBallot, accepted, replica.view());
+        return state.toVote(replica.view());
     }
 
     boolean fenced() {
-        return replica.view() != null && promisedEpoch > replica.epoch();
+        return replica.view() != null && state.epoch() > replica.epoch();
     }
 
     boolean fencedFor(long ms) {
-        return fenced() && replica.nowMs() - fencedMs >= ms;
+        return fenced() && replica.nowMs() - fencedSinceMs >= ms;
     }
 
-    /** The ballot promised for that epoch, 0 if none was. */
-    long promisedBallot(long epoch) {
-        return promisedEpoch == epoch ? promised : 0;
+    /** The ballot promised for that epoch. */
+    Ballot promisedBallot(long epoch) {
+        return state.epoch() == epoch ? state.promised() : Ballot.NONE;
     }
 
-    /** A newer view is in force: what was promised and accepted for it is settled. */
-    void settled(View view) {
-        if (promisedEpoch <= view.epoch()) {
-            acceptedBallot = 0;
-            accepted = null;
-            promised = 0;
-        }
-    }
+    // ---- messages
 
     void onPrepare(NodeId from, Prepare prepare) {
-        if (replica.relearning() || replica.view() == null) {
-            return;
-        }
-        if (prepare.epoch() != replica.epoch() + 1) {
-            if (prepare.epoch() <= replica.epoch()) {
-                effects.send(from, new Decided(replica.view()));
-            }
+        if (!replica.participates()) {
             return;
         }
-        if (!replica.votes()) {
+        if (prepare.epoch() <= replica.epoch()) {
+            tellView(from);
             return;
         }
-        if (promisedEpoch > prepare.epoch() || promisedEpoch == prepare.epoch() && prepare.ballot() <= promised) {
-            effects.send(
-                    from,
-                    new Pledge(prepare.epoch(), prepare.ballot(), false, promised, 0, 0, 0, null, replica.view()));
+        if (prepare.epoch() != replica.epoch() + 1 || !replica.votes()) {
             return;
         }
-        if (promisedEpoch < prepare.epoch()) {
-            fencedMs = replica.nowMs();
-            acceptedBallot = 0;
-            accepted = null;
+        ProposalId proposal = new ProposalId(prepare.epoch(), new Ballot(prepare.ballot()));
+        if (mayPromise(proposal)) {
+            promise(from, proposal);
+        } else {
+            refuse(from, proposal);
         }
-        promisedEpoch = prepare.epoch();
-        promised = prepare.ballot();
-        Position at = position.get();
-        Pledge pledge = new Pledge(
-                prepare.epoch(),
-                prepare.ballot(),
+    }
+
+    private boolean mayPromise(ProposalId proposal) {
+        return state.epoch() < proposal.epoch()
+                || state.epoch() == proposal.epoch() && proposal.ballot().isHigherThan(state.promised());
+    }
+
+    private void promise(NodeId proposer, ProposalId proposal) {
+        become(state.promising(proposal));
+        Position held = position.get();
+        Pledge promise = new Pledge(
+                proposal.epoch(),
+                proposal.ballot().number(),
                 true,
-                promised,
-                acceptedBallot,
-                at.lineage(),
-                at.seq(),
-                accepted,
+                state.promised().number(),
+                state.acceptedBallot().number(),
+                held.lineage(),
+                held.seq(),
+                state.accepted(),
+                replica.view());
+        effects.append(List.of(vote()), () -> effects.send(proposer, promise));
+    }
+
+    private void refuse(NodeId proposer, ProposalId proposal) {
+        Pledge refusal = new Pledge(
+                proposal.epoch(),
+                proposal.ballot().number(),
+                false,
+                state.promised().number(),
+                0,
+                0,
+                0,
+                null,
                 replica.view());
-        effects.append(List.of(vote()), () -> effects.send(from, pledge));
+        effects.send(proposer, refusal);
     }
 
     void onAccept(NodeId from, Accept accept) {
-        if (replica.relearning()
-                || replica.view() == null
-                || accept.epoch() != replica.epoch() + 1
-                || !replica.votes()) {
-            if (replica.view() != null && accept.epoch() <= replica.epoch()) {
-                effects.send(from, new Decided(replica.view()));
-            }
+        if (replica.view() == null) {
+            return;
+        }
+        if (accept.epoch() <= replica.epoch()) {
+            tellView(from);
             return;
         }
-        if (promisedEpoch == accept.epoch() && accept.ballot() < promised) {
-            effects.send(from, new Accepted(accept.epoch(), accept.ballot(), false, promised));
+        if (!replica.participates() || accept.epoch() != replica.epoch() + 1 || !replica.votes()) {
             return;
         }
-        if (promisedEpoch < accept.epoch()) {
-            fencedMs = replica.nowMs();
+        Ballot ballot = new Ballot(accept.ballot());
+        if (promisedBallot(accept.epoch()).isHigherThan(ballot)) {
+            effects.send(
+                    from,
+                    new Accepted(
+                            accept.epoch(),
+                            accept.ballot(),
+                            false,
+                            state.promised().number()));
+            return;
         }
-        promisedEpoch = accept.epoch();
-        promised = accept.ballot();
-        acceptedBallot = accept.ballot();
-        accepted = accept.view();
+        become(new VoterState.Accepting(accept.epoch(), ballot, ballot, accept.view()));
         Accepted answer = new Accepted(accept.epoch(), accept.ballot(), true, accept.ballot());
         effects.append(List.of(vote()), () -> effects.send(from, answer));
     }
 
     /** Tells a node that lost its disk, or missed a view, what was promised here; on disk before it is told. */
     void onRelearn(NodeId from, Relearn relearn) {
-        if (replica.relearning() || replica.view() == null) {
+        if (!replica.participates()) {
             return;
         }
         Vote vote = vote();
@@ -154,8 +176,14 @@
         effects.append(List.of(vote), () -> effects.send(from, answer));
     }
 
+    /** Tells a proposer that the epoch it proposes for is decided. */
+    private void tellView(NodeId proposer) {
+        effects.send(proposer, new Decided(replica.view()));
+    }
+
     @Override
     public String toString() {
-        return "promised " + promisedEpoch + "/" + promised + " accepted " + acceptedBallot;
+        return "promised " + state.epoch() + "/" + state.promised().number() + " accepted "
+                + state.acceptedBallot().number();
     }
 }
--- /dev/null
+++ b/src/main/java/ringspindle/consensus/ChainPath.java
@@ -0,0 +1,47 @@
+package ringspindle.consensus;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.BiPredicate;
+import ringspindle.protocol.NodeId;
+
+/** Searches the longest chain over links that stand, within a bound on its steps. */
+final class ChainPath {
+    /** Steps that the search for a chain over broken links may take. */
+    private static final int STEPS_MAX = 4000;
+
+    private final BiPredicate<NodeId, NodeId> linked;
+    private int stepsLeft = STEPS_MAX;
+
+    private ChainPath(BiPredicate<NodeId, NodeId> linked) {
+        this.linked = linked;
+    }
+
+    /** The longest path from the head over links that stand, or the best that the bounded search finds. */
+    static List<NodeId> longest(NodeId head, List<NodeId> members, BiPredicate<NodeId, NodeId> linked) {
+        return new ChainPath(linked).from(head, members);
+    }
+
+    private List<NodeId> from(NodeId first, List<NodeId> rest) {
+        List<NodeId> best = List.of(first);
+        if (--stepsLeft < 0) {
+            return best;
+        }
+        for (NodeId next : rest) {
+            if (!linked.test(first, next)) {
+                continue;
+            }
+            List<NodeId> others = new ArrayList<>(rest);
+            others.remove(next);
+            List<NodeId> tail = from(next, others);
+            if (tail.size() + 1 > best.size()) {
+                best = new ArrayList<>(List.of(first));
+                best.addAll(tail);
+            }
+            if (best.size() == rest.size() + 1) {
+                return best;
+            }
+        }
+        return best;
+    }
+}
--- a/src/main/java/ringspindle/consensus/Proposer.java
+++ b/src/main/java/ringspindle/consensus/Proposer.java
@@ -1,11 +1,13 @@
 package ringspindle.consensus;
 
-import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
+import ringspindle.consensus.ProposalPhase.CollectingAcceptances;
+import ringspindle.consensus.ProposalPhase.CollectingPromises;
+import ringspindle.consensus.ProposalPhase.Idle;
+import ringspindle.consensus.ProposalPhase.Open;
 import ringspindle.protocol.Message.Accept;
 import ringspindle.protocol.Message.Accepted;
 import ringspindle.protocol.Message.Decided;
@@ -14,7 +16,10 @@
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
 
-/** The proposing side of the agreement on the next view: single-decree agreement among the voters of the view in force. */
+/**
+ * The proposing side of the agreement on the next view: single-decree agreement among the voters of the view in force. A
+ * proposal is begun in a tick only, so links are known throughout.
+ */
 final class Proposer {
     /** A proposal older than this is given up, also by a node that was paused meanwhile. */
     private static final long PROPOSAL_MS = 700;
@@ -23,25 +28,8 @@
 
     private static final long BACKOFF_MS = 150;
     private static final int BACKOFF_SPREAD_MS = 400;
+    /** For how long after a view came into force the next one is not proposed. */
     private static final long AFTER_VIEW_MS = 300;
-    /** Low bits of a ballot name the proposer, so that no two propose under one. */
-    private static final int PROPOSER_BITS = 10;
-
-    private static final class Proposal {
-        final long epoch;
-        final long ballot;
-        final long sinceMs;
-        final Map<NodeId, Pledge> promises = new TreeMap<>();
-        final Set<NodeId> accepts = new TreeSet<>();
-        /** What is to be accepted, null while promises are collected. */
-        View value;
-
-        Proposal(long epoch, long ballot, long sinceMs) {
-            this.epoch = epoch;
-            this.ballot = ballot;
-            this.sinceMs = sinceMs;
-        }
-    }
 
     private final Replica replica;
     private final Effects effects;
@@ -49,11 +37,12 @@
     private final Acceptor acceptor;
     private final ViewPlanner planner;
     private final Consumer<View> decided;
-    private Proposal proposal;
+    private ProposalPhase phase = new Idle(0);
+    /** The highest round that this node has proposed in or was outbid by. */
     private long round;
-    private long nextProposalMs;
 
     /**
+     * @param random spreads the pauses after a proposal that came to nothing
      * @param decided hears of the view that was decided
      */
     Proposer(
@@ -71,110 +60,114 @@
         this.decided = decided;
     }
 
+    // ---- transitions
+
     boolean proposing() {
-        return proposal != null;
+        return phase instanceof Open;
     }
 
     boolean mayPropose() {
-        return replica.nowMs() >= nextProposalMs;
+        return phase instanceof Idle idle && replica.nowMs() >= idle.notBeforeMs();
     }
 
     /** A new view is in force; the next one is not proposed at once. */
     void startView() {
-        proposal = null;
-        nextProposalMs = replica.nowMs() + AFTER_VIEW_MS;
+        phase = new Idle(replica.nowMs() + AFTER_VIEW_MS);
+    }
+
+    private void giveUp() {
+        phase = new Idle(replica.nowMs() + BACKOFF_MS + random.nextInt(BACKOFF_SPREAD_MS));
+    }
+
+    /** A voter has promised a higher ballot: the next proposal has to be above that. */
+    private void outbid(long promised) {
+        round = Math.max(round, new Ballot(promised).round());
+        giveUp();
     }
 
     void propose() {
         long epoch = replica.epoch() + 1;
-        round = Math.max(round, acceptor.promisedBallot(epoch) >> PROPOSER_BITS) + 1;
-        long ballot = round << PROPOSER_BITS | replica.view().voters().indexOf(replica.self()) + 1;
-        proposal = new Proposal(epoch, ballot, replica.nowMs());
+        round = Math.max(round, acceptor.promisedBallot(epoch).round()) + 1;
+        Ballot ballot = Ballot.of(round, replica.view().voters().indexOf(replica.self()));
+        phase = new CollectingPromises(new ProposalId(epoch, ballot), replica.nowMs());
         for (NodeId voter : replica.view().voters()) {
-            effects.send(voter, new Prepare(epoch, ballot, replica.view()));
+            effects.send(voter, new Prepare(epoch, ballot.number(), replica.view()));
         }
     }
 
     void tick() {
-        maybeAccept();
-        if (proposal != null && expired()) {
+        if (phase instanceof CollectingPromises collecting) {
+            proposeValueIfPromised(collecting);
+        }
+        if (phase instanceof Open proposal && expired(proposal)) {
             giveUp();
         }
     }
 
-    void onPromise(NodeId from, Pledge pledge) {
-        boolean awaited = proposal != null
-                && proposal.value == null
-                && proposal.epoch == pledge.epoch()
-                && proposal.ballot == pledge.ballot();
-        if (!awaited) {
+    /** A promise from before a pause of this node may be of a voter that has lost its disk since. */
+    private boolean expired(Open proposal) {
+        return replica.nowMs() - proposal.sinceMs() > PROPOSAL_MS;
+    }
+
+    // ---- promises
+
+    void onPromise(NodeId from, Pledge promise) {
+        if (!(phase instanceof CollectingPromises collecting)
+                || !collecting.id().matches(promise.epoch(), promise.ballot())) {
             return;
         }
-        if (expired()) {
+        if (expired(collecting)) {
             giveUp();
-        } else if (!pledge.granted()) {
-            outbid(pledge.promised());
+        } else if (!promise.granted()) {
+            outbid(promise.promised());
         } else {
-            proposal.promises.put(from, pledge);
-            maybeAccept();
+            collecting.promises().put(from, promise);
+            proposeValueIfPromised(collecting);
         }
     }
 
     /** Goes on once a majority promised; waits a little for the others that seem to be there. */
-    private void maybeAccept() {
-        if (proposal == null
-                || proposal.value != null
-                || proposal.promises.size() < replica.view().majority()
-                || expired()) {
+    private void proposeValueIfPromised(CollectingPromises collecting) {
+        if (collecting.promises().size() < replica.view().majority()
+                || expired(collecting)
+                || waitsForStragglers(collecting)) {
             return;
         }
-        long expected = replica.view().voters().stream()
-                .filter(v -> v.equals(replica.self()) || replica.linked(v))
-                .count();
-        if (proposal.promises.size() < expected && replica.nowMs() - proposal.sinceMs < STRAGGLERS_MS) {
-            return;
-        }
-        View accepted = highestAccepted();
-        View value = accepted != null ? accepted : planner.plan(proposal.epoch, proposal.promises);
+        View accepted = collecting.highestAccepted();
+        View value = accepted != null ? accepted : planner.plan(collecting.id().epoch(), collecting.promises());
         if (value == null) {
             giveUp();
             return;
         }
-        proposal.value = value;
+        phase = collecting.proposing(value);
+        ProposalId id = collecting.id();
         for (NodeId voter : replica.view().voters()) {
-            effects.send(voter, new Accept(proposal.epoch, proposal.ballot, value));
+            effects.send(voter, new Accept(id.epoch(), id.ballot().number(), value));
         }
     }
 
-    /** What may have been decided already, null if nothing was accepted. */
-    private View highestAccepted() {
-        View value = null;
-        long highest = 0;
-        for (Pledge pledge : proposal.promises.values()) {
-            if (pledge.accepted() != null && pledge.acceptedBallot() > highest) {
-                highest = pledge.acceptedBallot();
-                value = pledge.accepted();
-            }
-        }
-        return value;
+    private boolean waitsForStragglers(CollectingPromises collecting) {
+        long expected = replica.view().voters().stream()
+                .filter(voter -> voter.equals(replica.self()) || replica.linked(voter))
+                .count();
+        return collecting.promises().size() < expected && replica.nowMs() - collecting.sinceMs() < STRAGGLERS_MS;
     }
 
+    // ---- acceptances
+
     void onAccepted(NodeId from, Accepted answer) {
-        boolean awaited = proposal != null
-                && proposal.value != null
-                && proposal.epoch == answer.epoch()
-                && proposal.ballot == answer.ballot();
-        if (!awaited) {
+        if (!(phase instanceof CollectingAcceptances collecting)
+                || !collecting.id().matches(answer.epoch(), answer.ballot())) {
             return;
         }
-        if (expired()) {
+        if (expired(collecting)) {
             giveUp();
         } else if (!answer.granted()) {
             outbid(answer.promised());
         } else {
-            proposal.accepts.add(from);
-            if (proposal.accepts.size() >= replica.view().majority()) {
-                announce(proposal.value);
+            collecting.accepts().add(from);
+            if (collecting.accepts().size() >= replica.view().majority()) {
+                announce(collecting.value());
             }
         }
     }
@@ -182,27 +175,10 @@
     private void announce(View view) {
         Set<NodeId> all = new TreeSet<>(replica.view().voters());
         all.addAll(view.voters());
-        if (replica.connectivity() != null) {
-            // nodes without a vote, too, pass calls on to the head
-            all.addAll(replica.connectivity().live());
-        }
+        // nodes without a vote, too, pass calls on to the head
+        all.addAll(replica.connectivity().live());
         all.remove(replica.self());
         all.forEach(node -> effects.send(node, new Decided(view)));
         decided.accept(view);
     }
-
-    /** A promise from before a pause of this node may be of a voter that has lost its disk since. */
-    private boolean expired() {
-        return replica.nowMs() - proposal.sinceMs > PROPOSAL_MS;
-    }
-
-    private void outbid(long ballot) {
-        round = Math.max(round, ballot >> PROPOSER_BITS);
-        giveUp();
-    }
-
-    private void giveUp() {
-        proposal = null;
-        nextProposalMs = replica.nowMs() + BACKOFF_MS + random.nextInt(BACKOFF_SPREAD_MS);
-    }
 }
--- a/src/main/java/ringspindle/consensus/Relearning.java
+++ b/src/main/java/ringspindle/consensus/Relearning.java
@@ -1,5 +1,6 @@
 package ringspindle.consensus;
 
+import java.util.List;
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
@@ -25,6 +26,9 @@
     private final Map<NodeId, Relearned> answers = new TreeMap<>();
     private long nextAskMs;
 
+    /**
+     * @param random chooses whom a learner asks
+     */
     Relearning(Replica replica, Effects effects, Random random) {
         this.replica = replica;
         this.effects = effects;
@@ -35,7 +39,7 @@
         effects.send(peer, new Relearn(effects.nextId()));
     }
 
-    /** While blank: asks all that may know. */
+    /** While this node relearns: asks all that may know. */
     void askAll() {
         if (replica.nowMs() < nextAskMs) {
             return;
@@ -62,18 +66,20 @@
         ask(live[random.nextInt(live.length)]);
     }
 
-    /** Takes an answer; true once a majority of the newest view's voters has answered and the acceptor is restored. */
-    boolean onRelearned(NodeId from, Relearned answer, Acceptor acceptor) {
+    /** Takes an answer; what was promised, once a majority of the newest view's voters has answered, else null. */
+    VoterState onRelearned(NodeId from, Relearned answer) {
         answers.put(from, answer);
         View newest = newestView();
-        replica.view(newest);
-        long told = answers.keySet().stream().filter(newest.voters()::contains).count();
-        if (told < newest.majority()) {
-            return false;
+        replica.enter(newest);
+        List<Relearned> told = answers.entrySet().stream()
+                .filter(entry -> newest.voters().contains(entry.getKey()))
+                .map(Map.Entry::getValue)
+                .toList();
+        if (told.size() < newest.majority()) {
+            return null;
         }
-        restore(acceptor, newest);
         answers.clear();
-        return true;
+        return highest(told, newest.epoch());
     }
 
     private View newestView() {
@@ -86,30 +92,24 @@
         return newest;
     }
 
-    private void restore(Acceptor acceptor, View newest) {
-        long epoch = newest.epoch();
+    /** The highest promise for an epoch from the decided one on, and what was accepted under the highest ballot for it. */
+    private static VoterState highest(List<Relearned> told, long decidedEpoch) {
+        long epoch = decidedEpoch;
         long ballot = 0;
-        for (Map.Entry<NodeId, Relearned> entry : answers.entrySet()) {
-            Relearned answer = entry.getValue();
-            boolean higher =
-                    answer.promisedEpoch() > epoch || answer.promisedEpoch() == epoch && answer.promised() > ballot;
-            if (newest.voters().contains(entry.getKey()) && higher) {
+        for (Relearned answer : told) {
+            if (answer.promisedEpoch() > epoch || answer.promisedEpoch() == epoch && answer.promised() > ballot) {
                 epoch = answer.promisedEpoch();
                 ballot = answer.promised();
             }
         }
         long acceptedBallot = 0;
         View accepted = null;
-        for (Map.Entry<NodeId, Relearned> entry : answers.entrySet()) {
-            Relearned answer = entry.getValue();
-            if (newest.voters().contains(entry.getKey())
-                    && answer.promisedEpoch() == epoch
-                    && epoch > newest.epoch()
-                    && answer.acceptedBallot() > acceptedBallot) {
+        for (Relearned answer : told) {
+            if (answer.promisedEpoch() == epoch && epoch > decidedEpoch && answer.acceptedBallot() > acceptedBallot) {
                 acceptedBallot = answer.acceptedBallot();
                 accepted = answer.accepted();
             }
         }
-        acceptor.restore(epoch, ballot, acceptedBallot, accepted);
+        return VoterState.of(epoch, ballot, acceptedBallot, accepted);
     }
 }
--- a/src/main/java/ringspindle/consensus/Replica.java
+++ b/src/main/java/ringspindle/consensus/Replica.java
@@ -1,5 +1,6 @@
 package ringspindle.consensus;
 
+import java.util.ArrayList;
 import java.util.List;
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
@@ -16,8 +17,7 @@
 
     private final NodeId self;
     private final List<NodeId> seeds;
-    private View view;
-    private boolean relearning;
+    private MemberState state = new MemberState.Relearning(null);
     private Connectivity connectivity;
     private long nowMs;
     private long lastTickMs = NEVER;
@@ -90,53 +90,61 @@
 
     /** The newest view, null if unknown. */
     public View view() {
-        return view;
+        return state.view();
     }
 
-    void view(View newest) {
-        view = newest;
+    /** The node takes this newer view for the one in force. */
+    void enter(View newer) {
+        state = state.under(newer);
     }
 
-    /** Epoch of the newest view, which must be known. */
-    public long epoch() {
-        return view.epoch();
+    /** The node remembers what it promised, or has relearned it. */
+    void participate(View inForce) {
+        state = new MemberState.Participating(inForce);
     }
 
-    /** True while this node may have forgotten what it promised, and so takes no part. */
-    public boolean relearning() {
-        return relearning;
+    /** Epoch of the newest view, which must be known. */
+    public long epoch() {
+        return view().epoch();
     }
 
-    void relearning(boolean is) {
-        relearning = is;
+    /** False while this node may have forgotten what it promised, and so takes no part; if true, the view is known. */
+    public boolean participates() {
+        return state instanceof MemberState.Participating;
     }
 
     /** True if this node votes on the next view. */
     public boolean votes() {
-        return view.voters().contains(self);
+        return view().voters().contains(self);
     }
 
     /** True if this node is a member of the chain. */
     public boolean inChain() {
-        return view.chain().contains(self);
+        return view().chain().contains(self);
     }
 
     /** True if this node is first in the chain. */
     public boolean isHead() {
-        return view.head().equals(self);
+        return view().head().equals(self);
     }
 
     /** The next member of the chain, null if there is none. */
     public NodeId successor() {
-        int index = view.chain().indexOf(self);
-        return index < 0 || index + 1 >= view.chain().size()
-                ? null
-                : view.chain().get(index + 1);
+        List<NodeId> chain = view().chain();
+        int index = chain.indexOf(self);
+        return index < 0 || index + 1 >= chain.size() ? null : chain.get(index + 1);
     }
 
     /** The member before this one, null if there is none. */
     public NodeId predecessor() {
-        int index = view.chain().indexOf(self);
-        return index <= 0 ? null : view.chain().get(index - 1);
+        int index = view().chain().indexOf(self);
+        return index <= 0 ? null : view().chain().get(index - 1);
+    }
+
+    /** The voters of the view, members of the chain first and in its order. */
+    List<NodeId> votersInChainOrder() {
+        List<NodeId> order = new ArrayList<>(view().chain());
+        view().voters().stream().filter(voter -> !order.contains(voter)).forEach(order::add);
+        return order;
     }
 }
--- a/src/main/java/ringspindle/consensus/ViewConsensus.java
+++ b/src/main/java/ringspindle/consensus/ViewConsensus.java
@@ -47,7 +47,8 @@
     public record Settings(NodeId self, List<NodeId> seeds, boolean bootstrap, int leastVoters) {}
 
     /**
-     * A node without memory, until {@link #restore}, {@link #bootstrap} or a majority's answers give it one.
+     * A node without memory: until {@link #restore}, {@link #bootstrap} or the answers of a majority give it one, it neither
+     * votes nor holds state.
      *
      * @param copy is first called in an input, not in this constructor
      */
@@ -69,20 +70,17 @@
 
     // ---- the start
 
-    /** Takes over what was found on disk. */
+    /** Takes over what was found on disk; a vote without a view is one of a node that had not relearned anything yet. */
     public void restore(Vote vote) {
-        replica.view(vote.view());
-        acceptor.restore(vote.promisedEpoch(), vote.promised(), vote.acceptedBallot(), vote.accepted());
+        if (vote.view() != null) {
+            replica.participate(vote.view());
+        }
+        acceptor.restore(VoterState.of(vote.promisedEpoch(), vote.promised(), vote.acceptedBallot(), vote.accepted()));
     }
 
     /** The first start of a system: these nodes are the first voters and the first chain. */
     public void bootstrap(List<NodeId> founders) {
-        replica.view(new View(1, List.copyOf(founders), List.copyOf(founders), new Position(1, 0)));
-    }
-
-    /** A start with nothing: until a majority has told what was promised, this node neither votes nor holds state. */
-    public void startWithoutMemory() {
-        replica.relearning(true);
+        replica.participate(new View(1, List.copyOf(founders), List.copyOf(founders), new Position(1, 0)));
     }
 
     // ---- what others see
@@ -147,10 +145,10 @@
 
     /** A new connection to that node stands: whichever of the two missed a view learns it. */
     public void opened(NodeId peer) {
-        if (replica.relearning()) {
-            relearning.ask(peer);
-        } else if (replica.view() != null) {
+        if (replica.participates()) {
             effects.send(peer, new Decided(replica.view()));
+        } else {
+            relearning.ask(peer);
         }
     }
 
@@ -164,16 +162,16 @@
 
     /** The second step of a tick: asks peers for what this node may have forgotten or missed. */
     public void askPeers() {
-        if (replica.relearning()) {
-            relearning.askAll();
-        } else if (replica.view() != null) {
+        if (replica.participates()) {
             relearning.askOne();
+        } else {
+            relearning.askAll();
         }
     }
 
     /** The third step of a tick: goes on with a proposal, or begins one if the view in force no longer serves. */
     public void proposeIfDue() {
-        if (replica.relearning() || replica.view() == null) {
+        if (!replica.participates()) {
             return;
         }
         if (proposer.proposing()) {
@@ -187,15 +185,15 @@
 
     /** True while this node knows of no newer view, decided or promised. */
     private boolean confirms(long epoch) {
-        return replica.view() != null && replica.epoch() == epoch && !acceptor.fenced() && !replica.relearning();
+        return replica.participates() && replica.epoch() == epoch && !acceptor.fenced();
     }
 
     private void learn(View view) {
         if (view == null || replica.view() != null && view.epoch() <= replica.epoch()) {
             return;
         }
-        replica.view(view);
-        if (replica.relearning()) {
+        replica.enter(view);
+        if (!replica.participates()) {
             // a node without memory must not act in any view before it has relearned
             return;
         }
@@ -206,16 +204,20 @@
     }
 
     private void onRelearned(NodeId from, Relearned answer) {
-        if (!replica.relearning() || answer.view() == null) {
+        if (replica.participates() || answer.view() == null) {
             learn(answer.view());
-        } else if (relearning.onRelearned(from, answer, acceptor)) {
-            replica.relearning(false);
+            return;
+        }
+        VoterState promised = relearning.onRelearned(from, answer);
+        if (promised != null) {
+            acceptor.restore(promised);
+            replica.participate(replica.view());
             copy.onRelearned(replica.view());
         }
     }
 
     @Override
     public String toString() {
-        return acceptor + " relearning " + replica.relearning() + " proposes " + proposer.proposing();
+        return acceptor + " participates " + replica.participates() + " proposes " + proposer.proposing();
     }
 }
--- a/src/main/java/ringspindle/consensus/ViewMonitor.java
+++ b/src/main/java/ringspindle/consensus/ViewMonitor.java
@@ -1,6 +1,5 @@
 package ringspindle.consensus;
 
-import java.util.ArrayList;
 import java.util.List;
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
@@ -30,11 +29,20 @@
     /** For so long after the last proof of contact this node may take it that it hears of all that is committed. */
     private static final long QUORUM_MS = 1200;
 
+    /** Whether the view in force serves, or since when it has not; what is wrong with it may change meanwhile. */
+    private sealed interface Verdict {
+        Verdict SERVES = new Serving();
+
+        record Serving() implements Verdict {}
+
+        record Defective(long sinceMs) implements Verdict {}
+    }
+
     private final Replica replica;
     private final VoterSelection selection;
     private final boolean bootstrap;
     private long startedMs = UNSET;
-    private long wrongSinceMs = UNSET;
+    private Verdict verdict = Verdict.SERVES;
     private long quorumMs = Long.MIN_VALUE / 2;
     private long readdMs = READD_MS;
 
@@ -45,13 +53,13 @@
     }
 
     void startView() {
-        wrongSinceMs = UNSET;
+        verdict = Verdict.SERVES;
         boolean whole = replica.view().chain().size() == replica.view().voters().size();
         readdMs = whole ? READD_MS : Math.min(readdMs * 2, READD_MAX_MS);
     }
 
     void onPause() {
-        wrongSinceMs = UNSET;
+        verdict = Verdict.SERVES;
         selection.forgetSilence();
     }
 
@@ -60,7 +68,7 @@
         if (startedMs < 0) {
             startedMs = replica.nowMs();
         }
-        if (replica.view() != null && !replica.relearning()) {
+        if (replica.participates()) {
             if (quorumLinked()) {
                 quorumMs = replica.nowMs();
             }
@@ -103,51 +111,59 @@
     /** True if this node is to propose another view now. */
     boolean proposalDue(LocalCopy copy, Acceptor acceptor) {
         boolean able = replica.votes() && quorumLinked() && !replica.justPaused();
-        long patienceMs = able ? patience(copy, acceptor) : UNSET;
-        if (patienceMs < 0) {
-            wrongSinceMs = UNSET;
+        ViewDefect defect = able ? defect(copy, acceptor) : null;
+        if (defect == null) {
+            verdict = Verdict.SERVES;
             return false;
         }
-        if (wrongSinceMs < 0) {
-            wrongSinceMs = replica.nowMs();
+        if (!(verdict instanceof Verdict.Defective)) {
+            verdict = new Verdict.Defective(replica.nowMs());
         }
-        return replica.nowMs() - wrongSinceMs >= patienceMs + rank() * RANK_MS;
+        long borneMs = replica.nowMs() - ((Verdict.Defective) verdict).sinceMs();
+        return borneMs >= patienceMs(defect) + rank() * RANK_MS;
     }
 
     /** How many voters in touch propose before this one: those before it in the chain, then the others. */
     private long rank() {
-        List<NodeId> order = new ArrayList<>(replica.view().chain());
-        replica.view().voters().stream().filter(voter -> !order.contains(voter)).forEach(order::add);
+        List<NodeId> order = replica.votersInChainOrder();
         return order.subList(0, order.indexOf(replica.self())).stream()
                 .filter(replica::linked)
                 .count();
     }
 
-    /** How long to bear what is wrong with the view, below 0 if nothing is. */
-    private long patience(LocalCopy copy, Acceptor acceptor) {
+    /** What is wrong with the view in force, null if nothing is. */
+    private ViewDefect defect(LocalCopy copy, Acceptor acceptor) {
         View view = replica.view();
         if (acceptor.fenced()) {
-            return FENCED_MS;
+            return ViewDefect.FENCED;
         }
         if (chainBroken(view)) {
-            return BROKEN_MS;
+            return ViewDefect.CHAIN_BROKEN;
         }
         if (memberLeaves(view)) {
-            return 0;
+            return ViewDefect.MEMBER_LEAVES;
         }
         if (replica.isHead() && copy.ofThisView() && copy.stalledFor(STALLED_MS)) {
-            return 0;
+            return ViewDefect.STALLED;
         }
         if (replica.isHead() && !copy.ofThisView() || replica.connectivity().relearning(view.head())) {
-            return BROKEN_MS;
+            return ViewDefect.HEAD_WITHOUT_STATE;
         }
-        if (voterToReadd(view)) {
-            return readdMs;
+        if (voterToAdd(view)) {
+            return ViewDefect.VOTER_TO_ADD;
         }
-        if (selection.changeDue(view, replica.connectivity(), replica.nowMs())) {
-            return founding(replica.nowMs()) ? JOIN_FOUNDING_MS : JOIN_MS;
-        }
-        return UNSET;
+        return selection.changeDue(view, replica.connectivity(), replica.nowMs()) ? ViewDefect.VOTERS_TO_CHANGE : null;
+    }
+
+    /** How long to bear what is wrong with the view. */
+    private long patienceMs(ViewDefect defect) {
+        return switch (defect) {
+            case FENCED -> FENCED_MS;
+            case CHAIN_BROKEN, HEAD_WITHOUT_STATE -> BROKEN_MS;
+            case MEMBER_LEAVES, STALLED -> 0;
+            case VOTER_TO_ADD -> readdMs;
+            case VOTERS_TO_CHANGE -> founding(replica.nowMs()) ? JOIN_FOUNDING_MS : JOIN_MS;
+        };
     }
 
     private boolean chainBroken(View view) {
@@ -167,18 +183,19 @@
     }
 
     /** True if a voter outside the chain could be a member: in touch here and with a member in touch. */
-    private boolean voterToReadd(View view) {
-        for (NodeId voter : view.voters()) {
-            boolean candidate = !view.chain().contains(voter)
-                    && !replica.leaving(voter)
-                    && !replica.connectivity().relearning(voter)
-                    && inTouch(voter);
-            if (candidate
-                    && view.chain().stream()
-                            .anyMatch(m -> inTouch(m) && replica.connectivity().linked(m, voter))) {
-                return true;
-            }
-        }
-        return false;
+    private boolean voterToAdd(View view) {
+        return view.voters().stream().anyMatch(voter -> mayJoinChain(voter, view) && memberInTouchWith(voter, view));
+    }
+
+    private boolean mayJoinChain(NodeId voter, View view) {
+        return !view.chain().contains(voter)
+                && !replica.leaving(voter)
+                && !replica.connectivity().relearning(voter)
+                && inTouch(voter);
+    }
+
+    private boolean memberInTouchWith(NodeId voter, View view) {
+        return view.chain().stream()
+                .anyMatch(member -> inTouch(member) && replica.connectivity().linked(member, voter));
     }
 }
--- a/src/main/java/ringspindle/consensus/ViewPlanner.java
+++ b/src/main/java/ringspindle/consensus/ViewPlanner.java
@@ -12,15 +12,11 @@
 
 /**
  * Makes the next view out of what a majority of voters promised: its head is a promiser with the newest copy, its chain a path
- * over links that stand, through a majority of its voters.
+ * over links that stand, through a majority of its voters. Asked only once links are known.
  */
 final class ViewPlanner {
-    /** Steps that the search for a chain over broken links may take. */
-    private static final int PATH_STEPS_MAX = 4000;
-
     private final Replica replica;
     private final VoterSelection selection;
-    private int pathSteps;
 
     ViewPlanner(Replica replica, VoterSelection selection) {
         this.replica = replica;
@@ -35,9 +31,8 @@
         }
         NodeId head = head(newest, promises);
         View view = replica.view();
-        List<NodeId> voters = replica.connectivity() == null
-                ? view.voters()
-                : selection.nextVoters(view, promises.keySet(), head, replica.connectivity(), replica.nowMs());
+        List<NodeId> voters =
+                selection.nextVoters(view, promises.keySet(), head, replica.connectivity(), replica.nowMs());
         List<NodeId> chain = chain(head, voters, promises.keySet());
         if (chain == null && !voters.equals(view.voters())) {
             // with other voters there is no chain over a majority of them: leave them as they are for now
@@ -65,8 +60,8 @@
                 && replica.view().chain().stream().anyMatch(member -> keptDisk(promises.get(member)));
     }
 
-    private static boolean keptDisk(Pledge pledge) {
-        return pledge != null && pledge.lineage() >= 0;
+    private static boolean keptDisk(Pledge promise) {
+        return promise != null && promise.lineage() >= 0;
     }
 
     /**
@@ -86,11 +81,13 @@
 
     /** The first promiser with the newest copy, in the order of the chain; one that leaves only if no other holds as much. */
     private NodeId head(Pledge newest, Map<NodeId, Pledge> promises) {
-        List<NodeId> order = new ArrayList<>(replica.view().chain());
-        replica.view().voters().stream().filter(voter -> !order.contains(voter)).forEach(order::add);
-        order.removeIf(node ->
+        List<NodeId> candidates = replica.votersInChainOrder();
+        candidates.removeIf(node ->
                 !promises.containsKey(node) || !promises.get(node).position().equals(newest.position()));
-        return order.stream().filter(node -> !replica.leaving(node)).findFirst().orElse(order.get(0));
+        return candidates.stream()
+                .filter(node -> !replica.leaving(node))
+                .findFirst()
+                .orElse(candidates.get(0));
     }
 
     // ---- the chain
@@ -105,53 +102,21 @@
         if (staying + 1 >= majority) {
             members.removeIf(replica::leaving);
         }
-        sortByPlace(head, members);
-        List<NodeId> path = longestPath(head, members);
+        sortByFailureDomain(head, members);
+        List<NodeId> path = ChainPath.longest(head, members, replica.connectivity()::linked);
         return path.size() < majority ? null : path;
     }
 
-    /** Orders members by place, the head's first, so that the chain crosses each long link once. */
-    private void sortByPlace(NodeId head, List<NodeId> members) {
-        if (replica.connectivity() == null) {
-            return;
-        }
-        List<String> places = new ArrayList<>(List.of(replica.connectivity().failureDomain(head)));
+    /** Orders members by failure domain, the head's first, so that the chain crosses each long link once. */
+    private void sortByFailureDomain(NodeId head, List<NodeId> members) {
+        Connectivity connectivity = replica.connectivity();
+        List<String> domains = new ArrayList<>(List.of(connectivity.failureDomain(head)));
         for (NodeId member : members) {
-            String place = replica.connectivity().failureDomain(member);
-            if (!places.contains(place)) {
-                places.add(place);
-            }
-        }
-        members.sort(Comparator.comparingInt(
-                member -> places.indexOf(replica.connectivity().failureDomain(member))));
-    }
-
-    /** The longest path from the head over links that stand, or the best that a bounded search finds. */
-    private List<NodeId> longestPath(NodeId head, List<NodeId> rest) {
-        pathSteps = PATH_STEPS_MAX;
-        return path(head, rest);
-    }
-
-    private List<NodeId> path(NodeId from, List<NodeId> rest) {
-        List<NodeId> best = List.of(from);
-        if (--pathSteps < 0) {
-            return best;
-        }
-        for (NodeId next : rest) {
-            if (replica.connectivity() != null && !replica.connectivity().linked(from, next)) {
-                continue;
-            }
-            List<NodeId> others = new ArrayList<>(rest);
-            others.remove(next);
-            List<NodeId> tail = path(next, others);
-            if (tail.size() + 1 > best.size()) {
-                best = new ArrayList<>(List.of(from));
-                best.addAll(tail);
-            }
-            if (best.size() == rest.size() + 1) {
-                return best;
+            String domain = connectivity.failureDomain(member);
+            if (!domains.contains(domain)) {
+                domains.add(domain);
             }
         }
-        return best;
+        members.sort(Comparator.comparingInt(member -> domains.indexOf(connectivity.failureDomain(member))));
     }
 }
--- a/src/main/java/ringspindle/replication/ChainReplicatedState.java
+++ b/src/main/java/ringspindle/replication/ChainReplicatedState.java
@@ -46,12 +46,8 @@
         replication = new Replication(consensus, outputs, orders);
         orders.over(replication);
         found.forEach(this::load);
-        if (replica.view() == null) {
-            if (bootstrap && seeds.contains(self)) {
-                found(seeds);
-            } else {
-                consensus.startWithoutMemory();
-            }
+        if (!replica.participates() && bootstrap && seeds.contains(self)) {
+            found(seeds);
         }
     }
 
@@ -90,14 +86,14 @@
         }
         if (!replica.votes()) {
             // beyond the bound a node learns: it passes calls on, and hears what is committed as facts
-            return consensus.allSeatsTaken() && !replica.relearning();
+            return consensus.allSeatsTaken() && replica.participates();
         }
         return committed() != null && replication.ofThisView() && replica.inChain() && !consensus.fencedFor(FENCED_MS);
     }
 
     @Override
     public boolean relearning() {
-        return replica.relearning() || replica.view() == null;
+        return !replica.participates();
     }
 
     @Override
@@ -158,7 +154,7 @@
         announce();
         orders.tick();
         consensus.askPeers();
-        if (!relearning()) {
+        if (replica.participates()) {
             orders.goOn();
             replication.tick();
             consensus.proposeIfDue();
@@ -175,7 +171,7 @@
 
     /** The first view and state go to disk before anything else is said or written. */
     private void announce() {
-        if (announced || relearning()) {
+        if (announced || !replica.participates()) {
             return;
         }
         announced = true;
--- a/src/main/java/ringspindle/replication/Orders.java
+++ b/src/main/java/ringspindle/replication/Orders.java
@@ -146,7 +146,7 @@
 
     /** Passes on or decides what has not been in this view. */
     void goOn() {
-        if (held.isEmpty() || replica.view() == null || replica.relearning()) {
+        if (held.isEmpty() || !replica.participates()) {
             return;
         }
         for (Map<Long, Held> calls : held.values()) {
--- a/src/main/java/ringspindle/replication/Replication.java
+++ b/src/main/java/ringspindle/replication/Replication.java
@@ -79,11 +79,7 @@
 
     /** True while this node takes part in the chain of the view in force, with a copy that belongs to it. */
     boolean active() {
-        return replica.view() != null
-                && !replica.relearning()
-                && !consensus.fenced()
-                && ofThisView()
-                && replica.inChain();
+        return replica.participates() && !consensus.fenced() && ofThisView() && replica.inChain();
     }
 
     /** True while, besides, it is known here what is committed in this view. */
@@ -264,7 +260,7 @@
     }
 
     void onInstall(NodeId from, Install install) {
-        boolean takes = replica.view() != null && !replica.relearning() && !consensus.fenced();
+        boolean takes = replica.participates() && !consensus.fenced();
         if (!takes || install.epoch() != replica.epoch() || !from.equals(replica.predecessor())) {
             return;
         }
--- a/src/test/java/ringspindle/replication/ModelFingerprint.java
+++ b/src/test/java/ringspindle/replication/ModelFingerprint.java
@@ -4,13 +4,11 @@
 import java.lang.reflect.Modifier;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.Collections;
 import java.util.HashMap;
 import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import java.util.Set;
 import ringspindle.consensus.Connectivity;
 import ringspindle.protocol.Codec;
 import ringspindle.protocol.Message;
@@ -23,8 +21,8 @@
  */
 final class ModelFingerprint {
     private static final Map<Class<?>, List<Field>> FIELDS = new HashMap<>();
-    /** Parts that were added: the parts of a machine know each other. */
-    private final Set<Object> added = Collections.newSetFromMap(new IdentityHashMap<>());
+    /** Parts that were added, by their place: the parts of a machine know each other. Records are values and come anew. */
+    private final Map<Object, Integer> added = new IdentityHashMap<>();
 
     private long hash = 17;
 
@@ -66,9 +64,16 @@
                 || value instanceof Content;
         boolean ours = value.getClass().getName().startsWith("ringspindle.")
                 && !value.getClass().isHidden();
-        if (skipped || !ours || !added.add(value)) {
+        if (skipped || !ours) {
             return;
         }
+        Integer place = value instanceof Record ? null : added.putIfAbsent(value, added.size());
+        if (place != null) {
+            mix(place);
+            return;
+        }
+        // states without fields differ by their type alone
+        mix(value.getClass().getName().hashCode());
         for (Field field : fields(value.getClass())) {
             try {
                 add(field.get(value));
