--- a/src/main/java/ringspindle/Main.java
+++ b/src/main/java/ringspindle/Main.java
@@ -104,18 +104,18 @@
     }
 
     private ExitCode execute(String command) {
-        switch (command) {
-            case DATA_PLANE:
-                return runDaemon(command, dataPlane);
-            case CONTROL_PLANE:
-                return runDaemon(command, controlPlane);
-            case SELF_TEST:
+        return switch (command) {
+            case DATA_PLANE -> runDaemon(command, dataPlane);
+            case CONTROL_PLANE -> runDaemon(command, controlPlane);
+            case SELF_TEST -> {
                 JsonLines.install(Level.INFO);
-                return SelfTest.run();
-            default:
+                yield SelfTest.run();
+            }
+            default -> {
                 JsonLines.install(Level.SEVERE);
-                return cli.run(command);
-        }
+                yield cli.run(command);
+            }
+        };
     }
 
     private static ExitCode runDaemon(String command, DaemonOptions options) {
--- a/src/main/java/ringspindle/cli/FleetCommand.java
+++ b/src/main/java/ringspindle/cli/FleetCommand.java
@@ -54,7 +54,8 @@
             throw new ParameterException("no control nodes: give --control ip:port,... or RINGSPINDLE_CONTROL");
         }
         List<String> nodes = new ArrayList<>();
-        for (String address : control.split(",")) {
+        // a comma at the end is ignored
+        for (String address : control.split(",", 0)) {
             try {
                 nodes.add(NodeId.of(address.trim()).toString());
             } catch (RuntimeException malformed) {
--- a/src/main/java/ringspindle/cli/RulesCommand.java
+++ b/src/main/java/ringspindle/cli/RulesCommand.java
@@ -24,6 +24,8 @@
 /** {@code rules}: reads, checks, replaces, compares or explains the serving rules, and shows which nodes follow them. */
 @Parameters(commandDescription = "serving rules: get | check FILE | put FILE | diff FILE | explain | status")
 final class RulesCommand extends FleetCommand {
+    private static final String USAGE = "rules get | check FILE | put FILE | diff FILE | explain | status";
+
     @Parameter(description = "get | check FILE | put FILE | diff FILE | explain | status")
     private List<String> arguments = new ArrayList<>();
 
@@ -81,20 +83,21 @@
     ExitCode run(ControlPlaneClient client, Console console) throws InterruptedException {
         String verb = verb(arguments, "");
         if (arguments.size() == 1) {
-            switch (verb) {
-                case "get":
-                    return console.show(client.call(Operation.RULES_GET), wantsJson(), console::print);
-                case "status":
-                    return RulesStatus.print(client, wantsJson(), console);
-                case "explain":
-                    return explainInForce(client, console);
-                default:
-                    break;
-            }
+            return switch (verb) {
+                case "get" -> console.show(client.call(Operation.RULES_GET), wantsJson(), console::print);
+                case "status" -> RulesStatus.print(client, wantsJson(), console);
+                case "explain" -> explainInForce(client, console);
+                default -> throw expected(USAGE);
+            };
         }
         if (!List.of("put", "diff").contains(verb) || arguments.size() != 2) {
-            throw expected("rules get | check FILE | put FILE | diff FILE | explain | status");
+            throw expected(USAGE);
         }
+        return changeOrCompare(verb, client, console);
+    }
+
+    private ExitCode changeOrCompare(String verb, ControlPlaneClient client, Console console)
+            throws InterruptedException {
         byte[] body;
         try {
             body = Files.readAllBytes(Path.of(arguments.get(1)));
--- a/src/main/java/ringspindle/cli/SelfTest.java
+++ b/src/main/java/ringspindle/cli/SelfTest.java
@@ -81,7 +81,7 @@
     /** Runs the self-test; {@link ExitCode#OK} if all works, otherwise the log says what does not. */
     public static ExitCode run() {
         Path folder = null;
-        try (ServerSocket engine = new ServerSocket(0, 10, InetAddress.getByName(LOOPBACK))) {
+        try (ServerSocket engine = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
             folder = Files.createTempDirectory("ringspindle-selftest");
             boolean passed = new SelfTest(Ports.free(), engine.getLocalPort()).passes(folder, engine);
             LOG.atInfo().log(passed ? "self-test passed" : "self-test failed");
--- a/src/main/java/ringspindle/controlplane/ControlApiHandler.java
+++ b/src/main/java/ringspindle/controlplane/ControlApiHandler.java
@@ -270,7 +270,7 @@
                 }
                 zone = e.zone();
             } catch (RuntimeException x) {
-                LOG.atInfo().log("engine %s registers badly: %s", id, x.toString());
+                LOG.atInfo().log("engine %s registers badly: %s", id, x);
                 end(response, callback, Outcome.MALFORMED, NONE);
                 return;
             }
--- a/src/main/java/ringspindle/controlplane/EngineCacheFile.java
+++ b/src/main/java/ringspindle/controlplane/EngineCacheFile.java
@@ -54,7 +54,7 @@
             }
             return n.items().stream().allMatch(EngineCacheFile::isEngine) ? n.items() : List.of();
         } catch (IOException | RuntimeException x) {
-            LOG.atInfo().log("no engines kept: %s", x.toString());
+            LOG.atInfo().log("no engines kept: %s", x);
             return List.of();
         }
     }
@@ -86,7 +86,7 @@
                                 .array());
                 Files.move(next, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
             } catch (IOException x) {
-                LOG.atInfo().log("engines not kept: %s", x.toString());
+                LOG.atInfo().log("engines not kept: %s", x);
             } finally {
                 writing.set(false);
             }
--- a/src/main/java/ringspindle/controlplane/GroupCommitWriter.java
+++ b/src/main/java/ringspindle/controlplane/GroupCommitWriter.java
@@ -74,7 +74,7 @@
                 disk.append(group.stream().flatMap(s -> s.records().stream()).toList());
             }
         } catch (IOException x) {
-            LOG.atWarning().log("disk refuses: %s", x.toString());
+            LOG.atWarning().log("disk refuses: %s", x);
             refused(image);
             return false;
         }
@@ -130,7 +130,7 @@
 
     private static long bytes(Message record) {
         if (record instanceof Entry e) {
-            return SMALL_RECORD + e.op().length;
+            return (long) SMALL_RECORD + e.op().length;
         }
         return record instanceof State s ? SMALL_RECORD + s.config().length : SMALL_RECORD;
     }
--- a/src/main/java/ringspindle/replication/Rollouts.java
+++ b/src/main/java/ringspindle/replication/Rollouts.java
@@ -4,7 +4,6 @@
 
 import jakarta.json.JsonNumber;
 import jakarta.json.JsonObject;
-import jakarta.json.spi.JsonProvider;
 import java.util.ArrayList;
 import java.util.List;
 import ringspindle.api.Outcome;
@@ -17,8 +16,6 @@
 
 /** Orders on roll-outs and what they make of the control state. Pure. */
 final class Rollouts {
-    private static final JsonProvider JSON = JsonProvider.provider();
-
     private Rollouts() {}
 
     static Content.Decision decide(State s, Call c) {
--- a/src/test/java/ringspindle/cli/CliTest.java
+++ b/src/test/java/ringspindle/cli/CliTest.java
@@ -50,7 +50,7 @@
 
     /** A control node with one answer for all calls; configurations are read back as {@link #CONFIG}. */
     private String control(int status, String body) throws IOException {
-        ServerSocket s = new ServerSocket(0, 10, InetAddress.getByName("127.0.0.1"));
+        ServerSocket s = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
         Thread t = new Thread(() -> {
             while (true) {
                 try (Socket c = s.accept()) {
--- a/src/test/java/ringspindle/controlplane/EngineReportClientTest.java
+++ b/src/test/java/ringspindle/controlplane/EngineReportClientTest.java
@@ -53,7 +53,7 @@
                         BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(), ISO_8859_1));
                         assertEquals("GET /ringspindle/report HTTP/1.1", in.readLine());
                         for (String h = in.readLine(); h != null && !h.isEmpty(); h = in.readLine()) {
-                            continue;
+                            // the header says nothing that matters here
                         }
                         s.getOutputStream()
                                 .write(
--- a/src/test/java/ringspindle/replication/ChainSimulation.java
+++ b/src/test/java/ringspindle/replication/ChainSimulation.java
@@ -575,7 +575,7 @@
     /** Roll-outs are started and aborted in turn. */
     private void rollOut(int n) {
         if (stress) {
-            long target = n / 2 + 2;
+            long target = n / 2 + 2L;
             boolean start = n % 2 == 0;
             String order = start ? "{\"order\":\"start\",\"target\":" + target + "}" : "{\"order\":\"abort\"}";
             insist(CallKind.ROLLOUT, "s", order.getBytes(UTF_8), () -> {
@@ -728,7 +728,7 @@
             return;
         }
         Node n = nodes.get(luck.nextInt(nodes.size()));
-        long forMs = 300 + luck.nextInt(3500);
+        long forMs = 300L + luck.nextInt(3500);
         troubleUntilMs = nowMs + forMs + 4000 + 1000L * lost;
         List<Node> few = new ArrayList<>(nodes);
         Collections.shuffle(few, luck);
--- a/src/test/java/ringspindle/replication/ModelPlan.java
+++ b/src/test/java/ringspindle/replication/ModelPlan.java
@@ -140,7 +140,7 @@
         private void drawOne(long atMs) {
             ModelFault.Kind[] kinds = ModelFault.Kind.values();
             ModelFault.Kind kind = kinds[random.below(kinds.length)];
-            long forMs = 200 + random.below(random.oneIn(4) ? 6000 : 1800);
+            long forMs = 200L + random.below(random.oneIn(4) ? 6000 : 1800);
             int slot = anySlot();
             int other = anySlot();
             switch (kind) {
--- a/src/test/java/ringspindle/transport/JettyMeshTest.java
+++ b/src/test/java/ringspindle/transport/JettyMeshTest.java
@@ -101,7 +101,7 @@
         byte[] some = new byte[4096];
         try {
             while (s.getInputStream().read(some) >= 0) {
-                continue;
+                // what comes before the end does not matter
             }
         } catch (SocketException x) {
             // a reset ends it as well
