--- a/src/main/java/ringspindle/proxy/EngineConnectionPool.java
+++ b/src/main/java/ringspindle/proxy/EngineConnectionPool.java
@@ -12,7 +12,7 @@
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.client.Origin;
 import org.eclipse.jetty.http.HttpCookieStore;
-import org.eclipse.jetty.io.ArrayByteBufferPool;
+import org.eclipse.jetty.io.ByteBufferPool;
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.Promise;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
@@ -29,6 +29,9 @@
     private static final int SURE_MS = 1500;
 
     private static final int TRUST_LEAST_MS = 50;
+    /** Small, as one is made for each read; events are far smaller. */
+    private static final int RESPONSE_BUFFER_BYTES = 4096;
+
     /** More than a client may send ({@code ProxyHandler.REQUEST_HEADERS_MAX}), as a few fields are added. */
     private static final int REQUEST_HEADERS_MAX = ProxyHandler.REQUEST_HEADERS_MAX + 4096;
 
@@ -73,7 +76,11 @@
         client = new HttpClient(new EngineTransport(connector));
         client.setExecutor(pool);
         client.setScheduler(beats);
-        client.setByteBufferPool(new ArrayByteBufferPool(0, 4096, 65536, 256, 2 << 20, 4 << 20));
+        // No pool: after its answer has ended, Jetty's receiver may clear the buffer that it held, at a moment when
+        // another
+        // connection has got that buffer from the pool and filled it; events were lost that way.
+        client.setByteBufferPool(new ByteBufferPool.NonPooling());
+        client.setResponseBufferSize(RESPONSE_BUFFER_BYTES);
         client.setConnectTimeout(600);
         // silence ends no request: the action's deadline does, and tidy() closes idle connections
         client.setIdleTimeout(0);
--- a/src/test/java/ringspindle/proxy/EngineConnectionPoolTest.java
+++ b/src/test/java/ringspindle/proxy/EngineConnectionPoolTest.java
@@ -13,6 +13,8 @@
 import org.eclipse.jetty.client.BytesRequestContent;
 import org.eclipse.jetty.client.Request;
 import org.eclipse.jetty.client.Result;
+import org.eclipse.jetty.io.ByteBufferPool;
+import org.eclipse.jetty.io.RetainableByteBuffer;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.junit.jupiter.api.AfterEach;
@@ -84,6 +86,16 @@
         return result;
     }
 
+    /** Jetty's receiver may touch a buffer after it has given it back, so no other connection may ever get it. */
+    @Test
+    void noBufferIsSharedBetweenConnections() {
+        ByteBufferPool buffers = wires.client().getByteBufferPool();
+        RetainableByteBuffer first = buffers.acquire(4096, false);
+        byte[] array = first.getByteBuffer().array();
+        first.release();
+        assertNotSame(array, buffers.acquire(4096, false).getByteBuffer().array());
+    }
+
     @Test
     void connectionIsKeptAfterAWholeAnswer() {
         EngineConnectionPool.Wire first = take();
