--- a/src/main/java/ringspindle/controlplane/ControlApiHandler.java
+++ b/src/main/java/ringspindle/controlplane/ControlApiHandler.java
@@ -24,11 +24,11 @@
 import ringspindle.config.FleetConfig;
 import ringspindle.config.Validated;
 import ringspindle.config.Validated.Valid;
-import ringspindle.membership.RolloutPlanner;
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.NodeId;
 import ringspindle.proxy.BoundedBody;
 import ringspindle.replication.CallKind;
+import ringspindle.rollout.RolloutPlanner;
 import ringspindle.routing.ServingRules;
 
 /** The calls of engines, operators and consumers on a control node. */
--- a/src/main/java/ringspindle/controlplane/RolloutController.java
+++ b/src/main/java/ringspindle/controlplane/RolloutController.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
-import ringspindle.membership.RolloutPlanner;
 import ringspindle.replication.Rollout;
+import ringspindle.rollout.RolloutPlanner;
 
 /** The duty of driving roll-outs; without one this costs nothing. Called by one thread. */
 final class RolloutController {
--- a/src/test/java/ringspindle/replication/RolloutSimulation.java
+++ b/src/test/java/ringspindle/replication/RolloutSimulation.java
@@ -21,7 +21,6 @@
 import ringspindle.loadbalancing.LoadBalancer.SelectedEngine;
 import ringspindle.loadbalancing.LoadBalancer.Selection;
 import ringspindle.loadbalancing.LoadBalancer.SelectionRequest;
-import ringspindle.membership.RolloutPlanner;
 import ringspindle.protocol.Message.Call;
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.Message.Lease;
@@ -33,6 +32,7 @@
 import ringspindle.retry.CancelCause;
 import ringspindle.retry.RetryDecision;
 import ringspindle.retry.RetryPolicy;
+import ringspindle.rollout.RolloutPlanner;
 
 /**
  * A simulated fleet during a roll-out, over the real orders, plan, picker and actions: engines swap when it is their
--- a/src/test/java/ringspindle/replication/RolloutTest.java
+++ b/src/test/java/ringspindle/replication/RolloutTest.java
@@ -10,8 +10,8 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import ringspindle.api.Outcome;
-import ringspindle.membership.RolloutPlanner;
 import ringspindle.protocol.Message.State;
+import ringspindle.rollout.RolloutPlanner;
 
 /** Roll-outs under load with crashes, a lost duty holder and a burst: once, whole, one checkpoint an answer. */
 class RolloutTest {
