--- a/src/main/java/ringspindle/controlplane/ControlNode.java
+++ b/src/main/java/ringspindle/controlplane/ControlNode.java
@@ -378,7 +378,7 @@
             FactValidator.check(n.items());
             synchronized (bookLock) {
                 knowledge.merge(n.items());
-                knowledge.book().told(from, n.items());
+                knowledge.book().markKnown(from, n.items());
             }
         } else if (m instanceof Report r) {
             synchronized (bookLock) {
--- a/src/main/java/ringspindle/controlplane/FactDissemination.java
+++ b/src/main/java/ringspindle/controlplane/FactDissemination.java
@@ -30,12 +30,12 @@
 
     /** A new session: its peer is told everything. */
     void opened(NodeId peer) {
-        knowledge.book().reset(peer);
+        knowledge.book().resetPeer(peer);
         filled.remove(peer);
     }
 
     void closed(NodeId peer) {
-        knowledge.book().drop(peer);
+        knowledge.book().removePeer(peer);
     }
 
     /** A data node acts on what it is told, so only a node that is proven to be up to date tells it anything. */
--- a/src/main/java/ringspindle/dataplane/DataNode.java
+++ b/src/main/java/ringspindle/dataplane/DataNode.java
@@ -116,7 +116,7 @@
     public void opened(Hello peer) {
         synchronized (lock) {
             meet.opened(peer, clock.nowMs());
-            book.reset(peer.node());
+            book.resetPeer(peer.node());
             if (peer.kind() == NodeKind.CONTROL) {
                 controls.add(peer.node());
             }
@@ -142,7 +142,7 @@
             } else if (m instanceof News n) {
                 FactValidator.check(n.items());
                 List<Fact> fresh = book.merge(n.items());
-                book.told(from, n.items());
+                book.markKnown(from, n.items());
                 apply(fresh, nowMs);
                 if (n.full()) {
                     confirmedBy.add(from);
@@ -167,7 +167,7 @@
     public void closed(NodeId peer) {
         synchronized (lock) {
             meet.closed(peer);
-            book.drop(peer);
+            book.removePeer(peer);
         }
     }
 
--- a/src/main/java/ringspindle/gossip/FactStore.java
+++ b/src/main/java/ringspindle/gossip/FactStore.java
@@ -2,54 +2,58 @@
 
 import java.util.Collection;
 import java.util.List;
+import java.util.function.Predicate;
 import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message.Fact;
 import ringspindle.protocol.NodeId;
 
-/** What a node knows: facts by kind and key, the newer (life, version) wins. Pure; not thread safe. */
+/**
+ * What a node knows of the fleet: facts by kind and key, of which the newer (life, version) wins, and what each peer has
+ * been sent of them. A state machine without clock and socket; not thread safe.
+ */
 public interface FactStore {
     /** Ranges of facts that have a digest each. */
     int RANGES = 16;
 
-    /** Takes what is newer; returns just that. {@code book.merge(news.items())}. */
-    List<Fact> merge(List<Fact> items);
+    /** Takes the facts that are newer than those held, and returns just these; {@code store.merge(news.items())}. */
+    List<Fact> merge(List<Fact> facts);
 
-    /** The fact, null if there is none; {@code book.get(FactKind.CONFIG, "")}. */
+    /** The fact, null if there is none; {@code store.get(FactKind.CONFIG, "")}. */
     Fact get(FactKind kind, String key);
 
-    /** All facts of a kind; {@code book.all(FactKind.ENGINE)}. */
+    /** All facts of a kind, in the order in which they came in; {@code store.all(FactKind.ENGINE)}. */
     Collection<Fact> all(FactKind kind);
 
-    /** Takes a fact out, without trace; {@code book.forget(FactKind.NODE, "10.0.0.1:7721")}. */
+    /** Removes a fact without trace: an older one would be taken again; {@code store.forget(FactKind.NODE, "10.0.0.1:7721")}. */
     void forget(FactKind kind, String key);
 
-    /** What a peer has not been sent yet, at most so many; marks it as sent. {@code book.pending(peer, 64)}. */
-    default List<Fact> pending(NodeId peer, int most) {
-        return pending(peer, most, i -> true);
+    /** What a peer has not been sent yet, at most so many; counts as sent from then on. {@code store.pending(peer, 64)}. */
+    default List<Fact> pending(NodeId peer, int limit) {
+        return pending(peer, limit, fact -> true);
     }
 
-    /** The same, passing over what that peer has no use for. */
-    List<Fact> pending(NodeId peer, int most, java.util.function.Predicate<Fact> useful);
+    /** The same, passing over facts that the peer has no use for; these count as sent too. */
+    List<Fact> pending(NodeId peer, int limit, Predicate<Fact> useful);
 
-    /** Forgets what a peer was sent, so that all goes again; {@code book.reset(peer)} on a new wire. */
-    void reset(NodeId peer);
+    /** Forgets what a peer was sent, so that all is pending again; for a new connection. */
+    void resetPeer(NodeId peer);
 
-    /** The peer is gone. */
-    void drop(NodeId peer);
+    /** Forgets a peer that is gone. */
+    void removePeer(NodeId peer);
 
-    /** Notes that the peer itself told us these, so that they need not go back; {@code book.told(peer, items)}. */
-    void told(NodeId peer, List<Fact> items);
+    /** Notes that the peer itself sent these facts, so that they need not go back to it. */
+    void markKnown(NodeId peer, List<Fact> facts);
 
-    /** Digest of all; equal books have equal digests. */
+    /** Digest of all facts that are repaired; stores with the same of these have equal digests. */
     long digest();
 
-    /** Digests by range. */
+    /** Digests by range, {@link #RANGES} of them. */
     long[] ranges();
 
-    /** All facts in the ranges that differ from those digests; {@code book.differing(digest.ranges())}. */
-    List<Fact> differing(long[] theirs);
+    /** All facts in the ranges whose digest differs from the peer's; {@code store.differing(digest.ranges())}. */
+    List<Fact> differing(long[] peerRanges);
 
-    /** {@code FactStore.create()} is empty. */
+    /** An empty store. */
     static FactStore create() {
         return new VersionedFactStore();
     }
--- a/src/main/java/ringspindle/gossip/VersionedFactStore.java
+++ b/src/main/java/ringspindle/gossip/VersionedFactStore.java
@@ -10,28 +10,59 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Predicate;
 import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message.Fact;
 import ringspindle.protocol.NodeId;
 
-/** Facts in one table, in the order in which they came in; each peer has a mark up to which it was told. */
+/**
+ * Facts in one table, each with a stamp that counts what came in; for each peer the stamp up to which it was sent facts.
+ * The digest of a range is the exclusive or of its facts' hashes, and so follows each change without a pass over them.
+ */
 final class VersionedFactStore implements FactStore {
+    /** Said anew on every new session, and not the same everywhere: no part of repair. */
     private static final Set<FactKind> NOT_REPAIRED =
             Sets.immutableEnumSet(FactKind.NODE, FactKind.LEASE, FactKind.TURN, FactKind.SILENT);
 
-    private static final class Row {
-        Fact item;
+    private static final long NO_HASH = 0;
+    /** Versions that a peer itself sent are kept up to so many; beyond that some go back to it, which does no harm. */
+    private static final int KNOWN_MAX = 4096;
+    /** An odd constant that spreads the bits of a hash over the ranges, 2^32 divided by the golden ratio. */
+    private static final int RANGE_MULTIPLIER = 0x9E3779B9;
+
+    private static final int RANGE_SHIFT = 16;
+    private static final long ID_MULTIPLIER = 31;
+    private static final long LIFE_MULTIPLIER = 1000003;
+
+    /** A fact of the table. */
+    private static final class Entry {
+        Fact fact;
         long stamp;
         long hash;
     }
 
-    private final Map<String, Row> rows = new HashMap<>();
-    private final Long2ObjectSortedMap<Row> byStamp = new Long2ObjectRBTreeMap<>();
-    private final Map<NodeId, long[]> marks = new HashMap<>();
-    private final Map<NodeId, Set<String>> known = new HashMap<>();
+    /** One version of a fact. */
+    private record Version(String factId, long life, long version) {
+        static Version of(Fact fact) {
+            return new Version(id(fact), fact.life(), fact.version());
+        }
+    }
+
+    /** What a peer has of this table. */
+    private static final class PeerState {
+        /** All facts up to this stamp were sent. */
+        long sentStamp;
+        /** Versions that came from the peer itself and have not been passed over yet. */
+        final Set<Version> known = new HashSet<>();
+    }
+
+    private final Map<String, Entry> entries = new HashMap<>();
+    private final Long2ObjectSortedMap<Entry> byStamp = new Long2ObjectRBTreeMap<>();
+    private final Map<NodeId, PeerState> peers = new HashMap<>();
     private final long[] ranges = new long[RANGES];
-    private long stamp;
+    private long lastStamp;
 
+    /** Digests are made of this text: it is the same in every node. */
     private static String id(int kindCode, String key) {
         return kindCode + " " + key;
     }
@@ -45,124 +76,136 @@
     }
 
     @Override
-    public List<Fact> merge(List<Fact> items) {
-        List<Fact> fresh = new ArrayList<>();
-        for (Fact i : items) {
-            String id = id(i);
-            Row r = rows.get(id);
-            if (r != null
-                    && (r.item.life() > i.life() || r.item.life() == i.life() && r.item.version() >= i.version())) {
-                continue;
-            }
-            if (r == null) {
-                r = new Row();
-                rows.put(id, r);
-            } else {
-                ranges[range(id)] ^= r.hash;
-                byStamp.remove(r.stamp);
+    public List<Fact> merge(List<Fact> facts) {
+        List<Fact> newer = new ArrayList<>();
+        for (Fact fact : facts) {
+            if (merge(fact)) {
+                newer.add(fact);
             }
-            r.item = i;
-            r.hash = hash(id, i);
-            r.stamp = ++stamp;
-            ranges[range(id)] ^= r.hash;
-            byStamp.put(r.stamp, r);
-            fresh.add(i);
         }
-        return fresh;
+        return newer;
+    }
+
+    private boolean merge(Fact fact) {
+        String id = id(fact);
+        Entry entry = entries.get(id);
+        if (entry == null) {
+            entry = new Entry();
+            entries.put(id, entry);
+        } else if (supersedes(fact, entry.fact)) {
+            remove(id, entry);
+        } else {
+            return false;
+        }
+        entry.fact = fact;
+        entry.hash = hash(id, fact);
+        entry.stamp = ++lastStamp;
+        ranges[range(id)] ^= entry.hash;
+        byStamp.put(entry.stamp, entry);
+        return true;
+    }
+
+    private static boolean supersedes(Fact fact, Fact held) {
+        return fact.life() > held.life() || fact.life() == held.life() && fact.version() > held.version();
+    }
+
+    /** Takes the entry out of the digest and the order of stamps. */
+    private void remove(String id, Entry entry) {
+        ranges[range(id)] ^= entry.hash;
+        byStamp.remove(entry.stamp);
     }
 
     private static int range(String id) {
-        return (id.hashCode() * 0x9E3779B9 >>> 16) % RANGES;
+        return (id.hashCode() * RANGE_MULTIPLIER >>> RANGE_SHIFT) % RANGES;
     }
 
-    private static long hash(String id, Fact i) {
-        if (NOT_REPAIRED.contains(i.kind())) {
-            // told anew on every new session, and not the same everywhere: no part of repair
-            return 0;
+    private static long hash(String id, Fact fact) {
+        if (NOT_REPAIRED.contains(fact.kind())) {
+            return NO_HASH;
         }
-        return mix(id.hashCode() * 31L + i.life() * 1000003L + i.version());
+        return mix(id.hashCode() * ID_MULTIPLIER + fact.life() * LIFE_MULTIPLIER + fact.version());
     }
 
-    private static long mix(long z) {
-        z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
-        return z ^ z >>> 31;
+    /** The finalizer of SplitMix64. */
+    private static long mix(long value) {
+        long mixed = (value ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
+        mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
+        return mixed ^ mixed >>> 31;
     }
 
     @Override
     public Fact get(FactKind kind, String key) {
-        Row r = rows.get(id(kind, key));
-        return r == null ? null : r.item;
+        Entry entry = entries.get(id(kind, key));
+        return entry == null ? null : entry.fact;
     }
 
     @Override
     public Collection<Fact> all(FactKind kind) {
-        List<Fact> out = new ArrayList<>();
-        for (Row r : byStamp.values()) {
-            if (r.item.kindCode() == kind.code()) {
-                out.add(r.item);
+        List<Fact> facts = new ArrayList<>();
+        for (Entry entry : byStamp.values()) {
+            if (entry.fact.kindCode() == kind.code()) {
+                facts.add(entry.fact);
             }
         }
-        return out;
+        return facts;
     }
 
     @Override
     public void forget(FactKind kind, String key) {
         String id = id(kind, key);
-        Row r = rows.remove(id);
-        if (r != null) {
-            ranges[range(id)] ^= r.hash;
-            byStamp.remove(r.stamp);
+        Entry entry = entries.remove(id);
+        if (entry != null) {
+            remove(id, entry);
         }
     }
 
+    private PeerState peer(NodeId peer) {
+        return peers.computeIfAbsent(peer, k -> new PeerState());
+    }
+
     @Override
-    public List<Fact> pending(NodeId peer, int most, java.util.function.Predicate<Fact> useful) {
-        long[] mark = marks.computeIfAbsent(peer, k -> new long[1]);
-        Set<String> has = known.computeIfAbsent(peer, k -> new HashSet<>());
-        List<Fact> out = new ArrayList<>();
-        for (Row r : byStamp.tailMap(mark[0] + 1).values()) {
-            if (out.size() >= most) {
-                return out;
+    public List<Fact> pending(NodeId peer, int limit, Predicate<Fact> useful) {
+        PeerState state = peer(peer);
+        List<Fact> pending = new ArrayList<>();
+        for (Entry entry : byStamp.tailMap(state.sentStamp + 1).values()) {
+            if (pending.size() >= limit) {
+                return pending;
             }
-            mark[0] = r.stamp;
-            if (!has.remove(id(r.item) + "@" + r.item.life() + "." + r.item.version()) && useful.test(r.item)) {
-                out.add(r.item);
+            state.sentStamp = entry.stamp;
+            boolean known = state.known.remove(Version.of(entry.fact));
+            if (!known && useful.test(entry.fact)) {
+                pending.add(entry.fact);
             }
         }
-        return out;
+        return pending;
     }
 
     @Override
-    public void reset(NodeId peer) {
-        marks.put(peer, new long[1]);
-        known.put(peer, new HashSet<>());
+    public void resetPeer(NodeId peer) {
+        peers.put(peer, new PeerState());
     }
 
     @Override
-    public void drop(NodeId peer) {
-        marks.remove(peer);
-        known.remove(peer);
+    public void removePeer(NodeId peer) {
+        peers.remove(peer);
     }
 
     @Override
-    public void told(NodeId peer, List<Fact> items) {
-        Set<String> has = known.computeIfAbsent(peer, k -> new HashSet<>());
-        if (has.size() > 4096) {
-            has.clear();
-        }
-        for (Fact i : items) {
-            has.add(id(i) + "@" + i.life() + "." + i.version());
+    public void markKnown(NodeId peer, List<Fact> facts) {
+        Set<Version> known = peer(peer).known;
+        if (known.size() > KNOWN_MAX) {
+            known.clear();
         }
+        facts.forEach(fact -> known.add(Version.of(fact)));
     }
 
     @Override
     public long digest() {
-        long d = 0;
-        for (long r : ranges) {
-            d = mix(d + r);
+        long digest = 0;
+        for (long range : ranges) {
+            digest = mix(digest + range);
         }
-        return d;
+        return digest;
     }
 
     @Override
@@ -171,14 +214,15 @@
     }
 
     @Override
-    public List<Fact> differing(long[] theirs) {
-        List<Fact> out = new ArrayList<>();
-        for (Row r : byStamp.values()) {
-            int n = range(id(r.item));
-            if (r.hash != 0 && (n >= theirs.length || theirs[n] != ranges[n])) {
-                out.add(r.item);
+    public List<Fact> differing(long[] peerRanges) {
+        List<Fact> differing = new ArrayList<>();
+        for (Entry entry : byStamp.values()) {
+            int range = range(id(entry.fact));
+            boolean same = range < peerRanges.length && peerRanges[range] == ranges[range];
+            if (entry.hash != NO_HASH && !same) {
+                differing.add(entry.fact);
             }
         }
-        return out;
+        return differing;
     }
 }
--- a/src/test/java/ringspindle/gossip/FactStoreTest.java
+++ b/src/test/java/ringspindle/gossip/FactStoreTest.java
@@ -1,5 +1,6 @@
 package ringspindle.gossip;
 
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
@@ -64,7 +65,7 @@
         List<Fact> items = books.get(from).pending(ids.get(to), 64);
         if (luck.nextInt(4) != 0) {
             books.get(to).merge(items);
-            books.get(to).told(ids.get(from), items);
+            books.get(to).markKnown(ids.get(from), items);
         }
         if (round % 10 == 0 && books.get(from).digest() != books.get(to).digest()) {
             books.get(to).merge(books.get(from).differing(books.get(to).ranges()));
@@ -80,13 +81,47 @@
         assertEquals(newer, store.differing(FactStore.create().ranges()));
     }
 
+    /** Nodes of other versions compare digests with ours: these are the numbers of the code of commit 879a0b1. */
+    @Test
+    void digestsAreTheSameInEveryVersion() {
+        FactStore store = FactStore.create();
+        for (int kind = 1; kind <= 11; kind++) {
+            for (int key = 0; key < 7; key++) {
+                store.merge(List.of(item(kind, "i-" + key, kind * 1000L - key, key * 7L + 1)));
+            }
+        }
+        store.merge(List.of(item(4, "i-3", 5000, 1), item(1, "", 0, 9), item(200, "größe", Long.MAX_VALUE, -1)));
+        store.forget(FactKind.EVACUATED, "i-2");
+        assertEquals(3378629866848759311L, store.digest());
+        assertArrayEquals(
+                new long[] {
+                    -3199663751557017457L,
+                    7513185425729985068L,
+                    -1671087167727923091L,
+                    91339630483419917L,
+                    5251360463584151653L,
+                    258570795001290152L,
+                    8328466880348268689L,
+                    9036745967994620081L,
+                    -2075690556469635079L,
+                    -3446863325416150482L,
+                    -6157363797654602987L,
+                    1175433364785466646L,
+                    2098166753400406284L,
+                    1527257218988934448L,
+                    258115675678300952L,
+                    8989380541978693865L
+                },
+                store.ranges());
+    }
+
     @Test
     void whatAPeerSaidDoesNotGoBackToIt() {
         FactStore b = FactStore.create();
         NodeId peer = NodeId.of("10.0.0.1:1");
         List<Fact> said = List.of(item(4, "i-1", 0, 1));
         b.merge(said);
-        b.told(peer, said);
+        b.markKnown(peer, said);
         b.merge(List.of(item(4, "i-2", 0, 1)));
         assertEquals(List.of("i-2"), b.pending(peer, 10).stream().map(Fact::key).toList());
         assertEquals(List.of(), b.pending(peer, 10));
