--- /dev/null
+++ b/src/main/java/ringspindle/controlplane/ControlNodeTasks.java
@@ -0,0 +1,178 @@
+package ringspindle.controlplane;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import ringspindle.config.NodeConfig;
+import ringspindle.membership.SessionTable;
+import ringspindle.protocol.FactKind;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeFlags;
+import ringspindle.protocol.NodeId;
+import ringspindle.protocol.NodeKind;
+
+/**
+ * The periodic work of a control node, one step after the other on every tick. Owns the count of ticks and nothing else;
+ * called by one thread at a time.
+ */
+final class ControlNodeTasks {
+    private static final int DATA_HEARTBEAT_TICKS = 4;
+    private static final int CONTROL_HEARTBEAT_TICKS = 2;
+    private static final int DIAL_TICKS = 2;
+    private static final int LOAD_TICKS = 5;
+    private static final int ENGINE_CACHE_TICKS = 20;
+    /** So many of their heartbeats engines get to be heard after this node was out of touch. */
+    private static final int ENGINE_HEARTBEATS = 4;
+
+    /**
+     * What sessions say at the start of a tick.
+     *
+     * @param live control nodes in touch
+     * @param known control nodes by settings and by what peers hear of
+     * @param heartbeatTo whose heartbeat is due
+     */
+    private record Survey(Set<NodeId> live, Set<NodeId> known, List<NodeId> heartbeatTo) {}
+
+    private final NodeContext context;
+    private final Storage storage;
+    private final FleetState fleet;
+    private final ReplicationDriver replication;
+    private final QuorumTracker quorum;
+    private final ServingState serving;
+    private final HeartbeatExchange heartbeats;
+    private final CommittedFacts committedFacts;
+    private final RolloutTask rollouts;
+    private long ticks;
+
+    ControlNodeTasks(
+            NodeContext context,
+            Storage storage,
+            FleetState fleet,
+            ReplicationDriver replication,
+            QuorumTracker quorum,
+            ServingState serving,
+            HeartbeatExchange heartbeats,
+            CommittedFacts committedFacts,
+            RolloutTask rollouts) {
+        this.context = context;
+        this.storage = storage;
+        this.fleet = fleet;
+        this.replication = replication;
+        this.quorum = quorum;
+        this.serving = serving;
+        this.heartbeats = heartbeats;
+        this.committedFacts = committedFacts;
+        this.rollouts = rollouts;
+    }
+
+    /** Runs what is due. */
+    void tick() {
+        long nowMs = context.nowMs();
+        ticks++;
+        Survey survey = survey(nowMs);
+        View view = replicate(survey.live(), nowMs);
+        dial(survey.known(), view);
+        survey.heartbeatTo().forEach(heartbeats::send);
+        rollouts.tick(view, serving.quorate() && hearsEngines(nowMs), ticks, nowMs);
+        synchronized (fleet.lock) {
+            fleet.leases().tick(view, serving.quorate(), ticks, nowMs);
+            exchangeLoad(nowMs);
+            committedFacts.spread();
+            if (due(ENGINE_CACHE_TICKS)) {
+                storage.cacheEngines(fleet.facts().store().all(FactKind.ENGINE));
+            }
+        }
+    }
+
+    private boolean due(int periodTicks) {
+        return ticks % periodTicks == 0;
+    }
+
+    /** Drops silent peers and looks through the sessions. */
+    private Survey survey(long nowMs) {
+        Set<NodeId> live = new TreeSet<>();
+        Set<NodeId> known = new TreeSet<>();
+        List<NodeId> heartbeatTo = new ArrayList<>();
+        NodeConfig settings = context.config();
+        settings.seeds().forEach(seed -> known.add(seed.at(settings.innerPort())));
+        synchronized (fleet.lock) {
+            for (NodeId silent : fleet.sessions().beat(nowMs)) {
+                context.pool().execute(() -> context.mesh().drop(silent));
+            }
+            for (SessionTable.Peer peer : fleet.sessions().peers()) {
+                NodeId node = peer.hello().node();
+                NodeKind kind = peer.hello().kind();
+                if (kind == NodeKind.CONTROL) {
+                    if (peer.linked()) {
+                        live.add(node);
+                    }
+                    known.addAll(peer.heartbeat().heard());
+                }
+                int periodTicks = kind == NodeKind.DATA ? DATA_HEARTBEAT_TICKS : CONTROL_HEARTBEAT_TICKS;
+                if (due(periodTicks) || serving.leaving()) {
+                    heartbeatTo.add(node);
+                }
+            }
+        }
+        return new Survey(live, known, heartbeatTo);
+    }
+
+    /** Lets time go on for the replicated state, then renews the proof of a quorum; returns the newest view or null. */
+    private View replicate(Set<NodeId> live, long nowMs) {
+        ReplicationDriver.TickResult result =
+                replication.tick(nowMs, new PeerConnectivity(context, fleet, serving, live));
+        serving.hearsCommits(result.current());
+        synchronized (fleet.lock) {
+            quorum.renew(nowMs, context.me(), result.blank() ? null : result.view(), this::contact);
+        }
+        return result.view();
+    }
+
+    /** What a control node's newest heartbeat proves, null if there is no session; the fleet's lock is held. */
+    private QuorumTracker.Contact contact(NodeId node) {
+        SessionTable.Peer peer = fleet.sessions().peer(node);
+        if (peer == null) {
+            return null;
+        }
+        Heartbeat newest = peer.heartbeat();
+        boolean blank = newest.flags().has(NodeFlags.RELEARNING);
+        return new QuorumTracker.Contact(peer.contactMs(), newest.epoch(), blank);
+    }
+
+    /** One connection for two nodes: the lower address dials, and whoever is not known as a voter yet. */
+    private void dial(Set<NodeId> known, View view) {
+        if (view != null) {
+            known.addAll(view.voters());
+        }
+        if (!due(DIAL_TICKS)) {
+            return;
+        }
+        NodeId me = context.me();
+        boolean voter = view != null && view.voters().contains(me);
+        for (NodeId node : known) {
+            boolean dials = me.compareTo(node) < 0 || !voter && !me.equals(node);
+            if (dials && !context.mesh().up(node)) {
+                context.mesh().dial(node);
+            }
+        }
+    }
+
+    /** Judges engines and passes load on; the fleet's lock is held. */
+    private void exchangeLoad(long nowMs) {
+        if (!due(LOAD_TICKS)) {
+            return;
+        }
+        if (hearsEngines(nowMs)) {
+            fleet.facts().judgeEngines(nowMs);
+        }
+        fleet.loads().send(nowMs);
+    }
+
+    /** True once engines had the time to be heard here: a node that was out of touch refused their heartbeats. */
+    private boolean hearsEngines(long nowMs) {
+        return quorum.heldMs(nowMs)
+                >= (long) ENGINE_HEARTBEATS * context.config().engineBeatMs();
+    }
+}
--- a/src/main/java/ringspindle/controlplane/DataNodeDirectory.java
+++ b/src/main/java/ringspindle/controlplane/DataNodeDirectory.java
@@ -25,37 +25,37 @@
     private static final int LOST_COUNTS_MS = 10_000;
 
     private final NodeId me;
-    private final SessionTable meet;
-    private final FleetFacts knowledge;
+    private final SessionTable sessions;
+    private final FleetFacts facts;
     private final Map<NodeId, Long> viaLostMs = new HashMap<>();
 
-    DataNodeDirectory(NodeId me, SessionTable meet, FleetFacts knowledge) {
+    DataNodeDirectory(NodeId me, SessionTable sessions, FleetFacts facts) {
         this.me = me;
-        this.meet = meet;
-        this.knowledge = knowledge;
+        this.sessions = sessions;
+        this.facts = facts;
     }
 
     /** A node's session is told once; told anew if it changes, or if whoever told it is out of touch. */
     void heard(SessionTable.Peer peer, Heartbeat heartbeat) {
-        Fact old = knowledge.book().get(FactKind.NODE, peer.hello().node().toString());
+        Fact old = facts.store().get(FactKind.NODE, peer.hello().node().toString());
         DataNodeFact was = old == null ? null : DataNodeFact.of(old.value());
         boolean same = was != null
                 && was.flags() == heartbeat.flags()
                 && was.hello().life() == peer.hello().life()
-                && (was.via().equals(me) || meet.linked(me, was.via()));
+                && (was.via().equals(me) || sessions.linked(me, was.via()));
         if (!same) {
-            knowledge.merge(List.of(item(peer, heartbeat.flags(), heartbeat.n() * 2)));
+            facts.merge(List.of(item(peer, heartbeat.flags(), heartbeat.n() * 2)));
         }
     }
 
     /** The session of a data node is gone. */
     void closed(SessionTable.Peer peer) {
-        knowledge.merge(List.of(item(peer, NodeFlags.NONE, peer.heartbeat().n() * 2 + 1)));
+        facts.merge(List.of(item(peer, NodeFlags.NONE, peer.heartbeat().n() * 2 + 1)));
     }
 
     /** A restart has a new life that must win, though the time of day that lives are drawn from may go back. */
     private Fact item(SessionTable.Peer peer, NodeFlags flags, long version) {
-        Fact old = knowledge.book().get(FactKind.NODE, peer.hello().node().toString());
+        Fact old = facts.store().get(FactKind.NODE, peer.hello().node().toString());
         long ownLife = peer.hello().life();
         long wasLife =
                 old == null ? ownLife : DataNodeFact.of(old.value()).hello().life();
@@ -77,7 +77,7 @@
         List<String> inZone = new ArrayList<>();
         List<String> inRegion = new ArrayList<>();
         List<String> all = new ArrayList<>();
-        for (Fact i : knowledge.book().all(FactKind.NODE)) {
+        for (Fact i : facts.store().all(FactKind.NODE)) {
             DataNodeFact r = DataNodeFact.of(i.value());
             if (!r.ready() || !(inTouch ? holds(i, r, nowMs) : linkedHere(r))) {
                 continue;
@@ -97,20 +97,20 @@
     }
 
     private boolean linkedHere(DataNodeFact r) {
-        SessionTable.Peer p = meet.peer(r.hello().node());
+        SessionTable.Peer p = sessions.peer(r.hello().node());
         return p != null && p.linked();
     }
 
     /** True while the control node that told a fact of a node is in touch, and a moment longer. */
     private boolean holds(Fact i, DataNodeFact r, long nowMs) {
-        Long at = knowledge.seenMs(FactKind.NODE, i.key());
+        Long at = facts.seenMs(FactKind.NODE, i.key());
         if (at != null && nowMs - at < HOLD_MS) {
             return true;
         }
         if (r.via().equals(me)) {
             return linkedHere(r);
         }
-        if (meet.linked(me, r.via())) {
+        if (sessions.linked(me, r.via())) {
             viaLostMs.remove(r.via());
             return true;
         }
@@ -120,7 +120,7 @@
     /** Data nodes as known here, and whether their facts still hold. */
     Map<DataNodeFact, Boolean> all(long nowMs) {
         Map<DataNodeFact, Boolean> out = new LinkedHashMap<>();
-        for (Fact i : knowledge.book().all(FactKind.NODE)) {
+        for (Fact i : facts.store().all(FactKind.NODE)) {
             DataNodeFact r = DataNodeFact.of(i.value());
             out.put(r, r.ready() && holds(i, r, nowMs));
         }
@@ -130,7 +130,7 @@
     /** Data nodes that take requests, as known here. */
     int ready() {
         int n = 0;
-        for (Fact i : knowledge.book().all(FactKind.NODE)) {
+        for (Fact i : facts.store().all(FactKind.NODE)) {
             n += DataNodeFact.of(i.value()).ready() ? 1 : 0;
         }
         return n;
@@ -139,8 +139,8 @@
     /** Data nodes that may be sending requests: those with a session, and those that lost theirs a moment ago. */
     int sharing(long nowMs) {
         int nodes = 0;
-        for (Fact i : knowledge.book().all(FactKind.NODE)) {
-            Long at = knowledge.seenMs(FactKind.NODE, i.key());
+        for (Fact i : facts.store().all(FactKind.NODE)) {
+            Long at = facts.seenMs(FactKind.NODE, i.key());
             nodes += DataNodeFact.of(i.value()).flags() != NodeFlags.NONE || at != null && nowMs - at < LOST_COUNTS_MS
                     ? 1
                     : 0;
--- a/src/main/java/ringspindle/controlplane/DiskStorage.java
+++ b/src/main/java/ringspindle/controlplane/DiskStorage.java
@@ -20,7 +20,7 @@
 final class DiskStorage implements Storage {
     private final Disk disk;
     private final EngineCacheFile engines;
-    private GroupCommitWriter thread;
+    private GroupCommitWriter writer;
 
     DiskStorage(Path folder, Executor pool) {
         disk = Disk.open(folder, DiskStorage::known);
@@ -40,24 +40,24 @@
 
     @Override
     public void open(LongConsumer stored, Runnable compact) {
-        thread = new GroupCommitWriter(disk, stored, compact);
-        Thread t = new Thread(thread, "disk");
-        t.setDaemon(true);
-        t.start();
+        writer = new GroupCommitWriter(disk, stored, compact);
+        Thread thread = new Thread(writer, "disk");
+        thread.setDaemon(true);
+        thread.start();
     }
 
     @Override
-    public void take(ReplicatedState.Out.Store s) {
-        thread.take(s);
+    public void write(ReplicatedState.Out.Store records) {
+        writer.add(records);
     }
 
     @Override
-    public List<Fact> engines() {
+    public List<Fact> cachedEngines() {
         return engines.load();
     }
 
     @Override
-    public void keep(Collection<Fact> now) {
-        engines.keep(now);
+    public void cacheEngines(Collection<Fact> now) {
+        engines.store(now);
     }
 }
--- a/src/main/java/ringspindle/controlplane/EngineCacheFile.java
+++ b/src/main/java/ringspindle/controlplane/EngineCacheFile.java
@@ -65,7 +65,7 @@
     }
 
     /** Writes if other engines are there than last time; a disk that hangs holds up nobody else. */
-    void keep(Collection<Fact> engines) {
+    void store(Collection<Fact> engines) {
         Set<String> now = new TreeSet<>();
         engines.forEach(i -> now.add(i.key()));
         if (now.equals(kept) || !writing.compareAndSet(false, true)) {
--- /dev/null
+++ b/src/main/java/ringspindle/controlplane/EvacuationResource.java
@@ -0,0 +1,36 @@
+package ringspindle.controlplane;
+
+import ringspindle.api.Outcome;
+import ringspindle.replication.CallKind;
+
+/** Takes zones out of service and back. */
+final class EvacuationResource {
+    private final ControlNode node;
+
+    EvacuationResource(ControlNode node) {
+        this.node = node;
+    }
+
+    /** Takes a zone out of service. */
+    void evacuate(ApiExchange exchange) {
+        order(exchange, CallKind.EVACUATE);
+    }
+
+    /** Takes a zone back into service. */
+    void restore(ApiExchange exchange) {
+        order(exchange, CallKind.RESTORE);
+    }
+
+    private void order(ApiExchange exchange, CallKind kind) {
+        if (!node.serving().inTouch()) {
+            exchange.respond(Outcome.UNCLEAR);
+            return;
+        }
+        String zone = exchange.argument();
+        if (!node.config().regionOfZone().containsKey(zone)) {
+            exchange.respond(Outcome.NO_SUCH);
+            return;
+        }
+        node.replication().call(kind, 0, zone, ApiExchange.NO_BODY, (outcome, body) -> exchange.respond(outcome));
+    }
+}
--- a/src/main/java/ringspindle/controlplane/FactDissemination.java
+++ b/src/main/java/ringspindle/controlplane/FactDissemination.java
@@ -18,24 +18,24 @@
     private static final int ITEMS_MAX = 512;
 
     private final Mesh mesh;
-    private final SessionTable meet;
-    private final FleetFacts knowledge;
+    private final SessionTable sessions;
+    private final FleetFacts facts;
     private final Set<NodeId> filled = new TreeSet<>();
 
-    FactDissemination(Mesh mesh, SessionTable meet, FleetFacts knowledge) {
+    FactDissemination(Mesh mesh, SessionTable sessions, FleetFacts facts) {
         this.mesh = mesh;
-        this.meet = meet;
-        this.knowledge = knowledge;
+        this.sessions = sessions;
+        this.facts = facts;
     }
 
     /** A new session: its peer is told everything. */
     void opened(NodeId peer) {
-        knowledge.book().resetPeer(peer);
+        facts.store().resetPeer(peer);
         filled.remove(peer);
     }
 
     void closed(NodeId peer) {
-        knowledge.book().removePeer(peer);
+        facts.store().removePeer(peer);
     }
 
     /** A data node acts on what it is told, so only a node that is proven to be up to date tells it anything. */
@@ -45,8 +45,8 @@
 
     /** Answers a peer's digest with the facts that differ. */
     void repair(NodeId from, Digest digest, boolean quorate) {
-        SessionTable.Peer peer = meet.peer(from);
-        List<Fact> items = knowledge.book().differing(digest.ranges());
+        SessionTable.Peer peer = sessions.peer(from);
+        List<Fact> items = facts.store().differing(digest.ranges());
         if (peer != null && mayTell(peer, quorate) && !items.isEmpty()) {
             mesh.send(from, new News(false, items));
         }
@@ -58,7 +58,7 @@
      * @param merged all that is committed here is among the facts, so that a data node may be told that it is filled
      */
     void push(boolean quorate, boolean merged) {
-        for (SessionTable.Peer p : meet.peers()) {
+        for (SessionTable.Peer p : sessions.peers()) {
             if (mayTell(p, quorate)) {
                 push(p, merged);
             }
@@ -70,8 +70,8 @@
         boolean toControl = p.hello().kind() == NodeKind.CONTROL;
         String region = p.hello().region();
         List<Fact> items = toControl
-                ? knowledge.book().pending(to, ITEMS_MAX)
-                : knowledge.book().pending(to, ITEMS_MAX, i -> usefulToData(i, region));
+                ? facts.store().pending(to, ITEMS_MAX)
+                : facts.store().pending(to, ITEMS_MAX, i -> usefulToData(i, region));
         boolean first = !toControl && merged && !filled.contains(to);
         if (items.isEmpty() && !first) {
             return;
--- a/src/main/java/ringspindle/controlplane/FleetFacts.java
+++ b/src/main/java/ringspindle/controlplane/FleetFacts.java
@@ -43,7 +43,7 @@
         config = c;
     }
 
-    FactStore book() {
+    FactStore store() {
         return book;
     }
 
@@ -127,7 +127,7 @@
     }
 
     /** The engines of a service, for roll-outs. */
-    List<RolloutPlanner.Member> rollMembers(String service) {
+    List<RolloutPlanner.Member> rolloutMembers(String service) {
         List<RolloutPlanner.Member> out = new ArrayList<>();
         long nowMs = clock.nowMs();
         for (Fact i : book.all(FactKind.ENGINE)) {
--- /dev/null
+++ b/src/main/java/ringspindle/controlplane/FleetQueries.java
@@ -0,0 +1,138 @@
+package ringspindle.controlplane;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import ringspindle.config.NodeConfig;
+import ringspindle.membership.DataNodeFact;
+import ringspindle.membership.Proximity;
+import ringspindle.membership.SessionTable;
+import ringspindle.protocol.FactKind;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.NodeFlags;
+import ringspindle.protocol.NodeId;
+import ringspindle.protocol.NodeKind;
+import ringspindle.telemetry.LoadSummary;
+
+/** What engines, clients and operators ask of the fleet. Thread safe; without state of its own. */
+final class FleetQueries {
+    /**
+     * A session, as operators see it.
+     *
+     * @param hello what the peer says of itself
+     * @param linked both sides heard each other lately
+     * @param ready the peer says that it takes requests
+     */
+    record Session(Hello hello, boolean linked, boolean ready) {}
+
+    private final NodeContext context;
+    private final FleetState fleet;
+    private final QuorumTracker quorum;
+
+    FleetQueries(NodeContext context, FleetState fleet, QuorumTracker quorum) {
+        this.context = context;
+        this.fleet = fleet;
+        this.quorum = quorum;
+    }
+
+    /**
+     * Addresses of data nodes for a client, nearest first. Without a majority only those that this node itself is in touch
+     * with: what others said of them may be old.
+     */
+    List<String> frontends(String region, String zone) {
+        synchronized (fleet.lock) {
+            long nowMs = context.nowMs();
+            fleet.sessions().advance(nowMs);
+            return fleet.dataNodes().addresses(region, zone, quorum.inTouch(nowMs), nowMs);
+        }
+    }
+
+    /**
+     * The address of the control node that an engine of a zone should call: one in its zone, else in its region; empty if
+     * this node will do.
+     */
+    String nearestControlNode(String zone) {
+        NodeConfig settings = context.config();
+        String region = settings.regionOf(zone);
+        if (zone.equals(settings.zone())) {
+            return "";
+        }
+        Proximity nearest = region.equals(settings.region()) ? Proximity.SAME_REGION : Proximity.REMOTE;
+        Hello best = null;
+        synchronized (fleet.lock) {
+            fleet.sessions().advance(context.nowMs());
+            for (SessionTable.Peer peer : fleet.sessions().peers()) {
+                Proximity proximity = Proximity.of(peer.hello(), zone, region);
+                if (peer.serves() && proximity.nearerThan(nearest)) {
+                    best = peer.hello();
+                    nearest = proximity;
+                }
+            }
+        }
+        return best == null ? "" : new NodeId(best.front()).toString();
+    }
+
+    /** What control nodes in touch last said that they hold. */
+    List<ShutdownHandover.Holder> holders() {
+        List<ShutdownHandover.Holder> holders = new ArrayList<>();
+        synchronized (fleet.lock) {
+            fleet.sessions().advance(context.nowMs());
+            for (SessionTable.Peer peer : fleet.sessions().peers()) {
+                if (peer.hello().kind() == NodeKind.CONTROL && peer.linked()) {
+                    Heartbeat newest = peer.heartbeat();
+                    boolean blank = newest.flags().has(NodeFlags.RELEARNING);
+                    holders.add(new ShutdownHandover.Holder(peer.hello().node(), newest.epoch(), newest.seq(), blank));
+                }
+            }
+        }
+        return holders;
+    }
+
+    /** All sessions of this node. */
+    List<Session> sessions() {
+        List<Session> sessions = new ArrayList<>();
+        synchronized (fleet.lock) {
+            for (SessionTable.Peer peer : fleet.sessions().peers()) {
+                boolean ready = peer.heartbeat().flags().has(NodeFlags.READY);
+                sessions.add(new Session(peer.hello(), peer.linked(), ready));
+            }
+        }
+        return sessions;
+    }
+
+    /** Data nodes as known here, and whether their facts still hold. */
+    Map<DataNodeFact, Boolean> dataNodes() {
+        synchronized (fleet.lock) {
+            return fleet.dataNodes().all(context.nowMs());
+        }
+    }
+
+    /** How many data nodes take requests, as known here. */
+    int readyDataNodes() {
+        synchronized (fleet.lock) {
+            return fleet.dataNodes().ready();
+        }
+    }
+
+    /** The newest request ledgers of the data nodes that report here, by node. */
+    Map<NodeId, List<LedgerReportStore.Entry>> ledgerReports() {
+        synchronized (fleet.lock) {
+            return fleet.ledgerReports().all();
+        }
+    }
+
+    /** The load as this node last summed it. */
+    LoadSummary load() {
+        synchronized (fleet.lock) {
+            return fleet.loads().total();
+        }
+    }
+
+    /** Milliseconds since a fact last changed, as this node saw it; of engines since they were last heard. */
+    long ageMs(FactKind kind, String key) {
+        synchronized (fleet.lock) {
+            return fleet.facts().ageMs(kind, key);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/ringspindle/controlplane/FleetState.java
@@ -0,0 +1,99 @@
+package ringspindle.controlplane;
+
+import java.util.function.Function;
+import ringspindle.config.NodeConfig;
+import ringspindle.gossip.FactStore;
+import ringspindle.membership.SessionTable;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.NodeId;
+import ringspindle.transport.Mesh;
+
+/**
+ * What this node has learnt of the fleet: sessions with peers, facts, load and reports.
+ *
+ * <p>All of it is guarded by {@link #lock}, and whoever uses a part holds the lock meanwhile; tests run with assertions that
+ * check it. Messages that tell peers of it are sent while the lock is held: heartbeats carry numbers that must rise on a
+ * connection, and what a peer has been sent is marked in the same step. Sending only queues. No other lock may be taken
+ * while this one is held.
+ */
+final class FleetState {
+    /** Guards everything here. */
+    final Object lock = new Object();
+
+    private final SessionTable sessions;
+    private final FleetFacts facts;
+    private final DataNodeDirectory dataNodes;
+    private final LoadAggregator loads;
+    private final FactDissemination dissemination;
+    private final QuotaLeaseIssuer leases;
+    private final LedgerReportStore ledgerReports = new LedgerReportStore();
+
+    FleetState(NodeContext context, Hello self) {
+        NodeId me = context.me();
+        NodeConfig config = context.config();
+        Mesh mesh = context.mesh();
+        sessions = SessionTable.forControl(me);
+        facts = new FleetFacts(config, context.clock());
+        dataNodes = new DataNodeDirectory(me, sessions, facts);
+        loads = new LoadAggregator(config, self, mesh, sessions, facts);
+        dissemination = new FactDissemination(mesh, sessions, facts);
+        leases = new QuotaLeaseIssuer(me, facts, dataNodes);
+    }
+
+    /** Settings changed while running. */
+    void settings(NodeConfig config) {
+        synchronized (lock) {
+            facts.settings(config);
+            loads.settings(config);
+        }
+    }
+
+    /** Reads facts; takes the lock itself. */
+    <T> T read(Function<FactStore, T> reader) {
+        synchronized (lock) {
+            return reader.apply(facts.store());
+        }
+    }
+
+    /** Sessions with peers; the lock is held. */
+    SessionTable sessions() {
+        assert Thread.holdsLock(lock);
+        return sessions;
+    }
+
+    /** Facts and when they were learnt; the lock is held. */
+    FleetFacts facts() {
+        assert Thread.holdsLock(lock);
+        return facts;
+    }
+
+    /** Data nodes; the lock is held. */
+    DataNodeDirectory dataNodes() {
+        assert Thread.holdsLock(lock);
+        return dataNodes;
+    }
+
+    /** Load of engines and regions; the lock is held. */
+    LoadAggregator loads() {
+        assert Thread.holdsLock(lock);
+        return loads;
+    }
+
+    /** What peers have been sent; the lock is held. */
+    FactDissemination dissemination() {
+        assert Thread.holdsLock(lock);
+        return dissemination;
+    }
+
+    /** Shares of the budgets; the lock is held. */
+    QuotaLeaseIssuer leases() {
+        assert Thread.holdsLock(lock);
+        return leases;
+    }
+
+    /** The data nodes' request ledgers; the lock is held. */
+    LedgerReportStore ledgerReports() {
+        assert Thread.holdsLock(lock);
+        return ledgerReports;
+    }
+}
--- a/src/main/java/ringspindle/controlplane/GroupCommitWriter.java
+++ b/src/main/java/ringspindle/controlplane/GroupCommitWriter.java
@@ -28,7 +28,7 @@
     private static final int SMALL_RECORD = 512;
 
     private final Disk disk;
-    private final BlockingQueue<Store> inbox = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Store> queue = new LinkedBlockingQueue<>();
     private final List<Store> backlog = new ArrayList<>();
     private final LongConsumer stored;
     private final Runnable compact;
@@ -41,8 +41,9 @@
         this.compact = compact;
     }
 
-    void take(Store s) {
-        inbox.add(s);
+    /** Queues records; never waits for the disk. */
+    void add(Store records) {
+        queue.add(records);
     }
 
     @Override
@@ -50,7 +51,7 @@
         try {
             while (true) {
                 if (backlog.isEmpty()) {
-                    backlog.add(inbox.take());
+                    backlog.add(queue.take());
                 }
                 if (!writeNext()) {
                     Thread.sleep(RETRY_MS);
@@ -63,7 +64,7 @@
 
     /** Writes one group of what was taken; false if the disk refuses it, and it is to be tried again. */
     boolean writeNext() {
-        inbox.drainTo(backlog);
+        queue.drainTo(backlog);
         int image = lastImage();
         List<Store> group = List.copyOf(image >= 0 ? backlog.subList(0, image + 1) : appendable());
         try {
--- /dev/null
+++ b/src/main/java/ringspindle/controlplane/HeartbeatExchange.java
@@ -0,0 +1,74 @@
+package ringspindle.controlplane;
+
+import ringspindle.membership.SessionTable;
+import ringspindle.protocol.Message.Digest;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.NodeFlags;
+import ringspindle.protocol.NodeId;
+import ringspindle.protocol.NodeKind;
+
+/** Sends this node's heartbeats and handles those of peers. Thread safe; without state of its own. */
+final class HeartbeatExchange {
+    /** Every so many heartbeats that show other facts the two compare what they know. */
+    private static final int DIGEST_HEARTBEATS = 16;
+
+    private final NodeContext context;
+    private final FleetState fleet;
+    private final ReplicationDriver replication;
+    private final ServingState serving;
+
+    HeartbeatExchange(NodeContext context, FleetState fleet, ReplicationDriver replication, ServingState serving) {
+        this.context = context;
+        this.fleet = fleet;
+        this.replication = replication;
+        this.serving = serving;
+    }
+
+    /** Tells a peer how this node is. */
+    void send(NodeId to) {
+        ReplicationDriver.Status status = replication.status();
+        NodeFlags flags = flags(status.blank());
+        synchronized (fleet.lock) {
+            long digest = fleet.facts().store().digest();
+            context.mesh()
+                    .send(
+                            to,
+                            fleet.sessions()
+                                    .heartbeat(to, flags, status.epoch(), status.sequence(), digest, context.nowMs()));
+        }
+    }
+
+    private NodeFlags flags(boolean blank) {
+        return (serving.leaving() ? NodeFlags.LEAVING : NodeFlags.READY)
+                .and(NodeFlags.QUORATE.when(serving.quorate()))
+                .and(NodeFlags.RELEARNING.when(blank));
+    }
+
+    /** A peer's heartbeat came. */
+    void received(NodeId from, Heartbeat heartbeat, long nowMs) {
+        synchronized (fleet.lock) {
+            fleet.sessions().heard(from, heartbeat, nowMs);
+            SessionTable.Peer peer = fleet.sessions().peer(from);
+            if (peer != null) {
+                noted(peer, heartbeat);
+            }
+        }
+        if (heartbeat.echo() == 0) {
+            // a new connection: the sooner both know that they hear each other, the better
+            send(from);
+        }
+    }
+
+    /** Called with the fleet's lock held. */
+    private void noted(SessionTable.Peer peer, Heartbeat heartbeat) {
+        if (peer.hello().kind() == NodeKind.DATA) {
+            fleet.dataNodes().heard(peer, heartbeat);
+        }
+        boolean differs = heartbeat.digest() != 0
+                && heartbeat.digest() != fleet.facts().store().digest();
+        if (differs && peer.heardN() % DIGEST_HEARTBEATS == 0) {
+            context.mesh()
+                    .send(peer.hello().node(), new Digest(fleet.facts().store().ranges()));
+        }
+    }
+}
--- a/src/main/java/ringspindle/controlplane/LedgerReportStore.java
+++ b/src/main/java/ringspindle/controlplane/LedgerReportStore.java
@@ -19,11 +19,11 @@
     private static final int NODES_MAX = 10_000;
 
     /** One life's newest ledger. */
-    record Life(LedgerReport report, boolean newest) {}
+    record Entry(LedgerReport report, boolean newest) {}
 
     private final Map<NodeId, LinkedHashMap<Long, LedgerReport>> of = new LinkedHashMap<>();
 
-    void take(NodeId node, LedgerReport r) {
+    void put(NodeId node, LedgerReport r) {
         LinkedHashMap<Long, LedgerReport> lives = of.computeIfAbsent(node, k -> new LinkedHashMap<>());
         LedgerReport had = lives.get(r.life());
         if (had == null || r.seq() > had.seq()) {
@@ -37,11 +37,11 @@
         }
     }
 
-    Map<NodeId, List<Life>> all() {
-        Map<NodeId, List<Life>> out = new TreeMap<>();
+    Map<NodeId, List<Entry>> all() {
+        Map<NodeId, List<Entry>> out = new TreeMap<>();
         of.forEach((node, lives) -> {
-            List<Life> l = new ArrayList<>();
-            lives.values().forEach(r -> l.add(new Life(r, l.size() == lives.size() - 1)));
+            List<Entry> l = new ArrayList<>();
+            lives.values().forEach(r -> l.add(new Entry(r, l.size() == lives.size() - 1)));
             out.put(node, l);
         });
         return out;
--- a/src/main/java/ringspindle/controlplane/LoadAggregator.java
+++ b/src/main/java/ringspindle/controlplane/LoadAggregator.java
@@ -31,8 +31,8 @@
     private final NodeId me;
     private final long life;
     private final Mesh mesh;
-    private final SessionTable meet;
-    private final FleetFacts knowledge;
+    private final SessionTable sessions;
+    private final FleetFacts facts;
     private final ReportCollector sources = new ReportCollector(REPORT_TTL_MS);
     private final ReportCollector peers = new ReportCollector(REPORT_TTL_MS);
     private final Map<String, Long> regionMs = new TreeMap<>();
@@ -41,13 +41,13 @@
     private long seq;
     private LoadSummary total = LoadSummary.NONE;
 
-    LoadAggregator(NodeConfig config, Hello self, Mesh mesh, SessionTable meet, FleetFacts knowledge) {
+    LoadAggregator(NodeConfig config, Hello self, Mesh mesh, SessionTable sessions, FleetFacts facts) {
         region = config.region();
         me = self.node();
         life = self.life();
         this.mesh = mesh;
-        this.meet = meet;
-        this.knowledge = knowledge;
+        this.sessions = sessions;
+        this.facts = facts;
     }
 
     void settings(NodeConfig c) {
@@ -66,7 +66,7 @@
     }
 
     void reported(NodeId from, Report r, long nowMs) {
-        SessionTable.Peer p = meet.peer(from);
+        SessionTable.Peer p = sessions.peer(from);
         if (p == null || p.hello().life() != r.life()) {
             return;
         }
@@ -77,7 +77,7 @@
             return;
         }
         if (t == ReportVerdict.NEWEST && p.hello().kind() == NodeKind.CONTROL) {
-            knowledge.presence().peers(LoadSummary.of(r), nowMs);
+            facts.presence().peers(LoadSummary.of(r), nowMs);
             r.sources().forEach(s -> sources.leave(s.node(), s.life(), s.seq()));
         }
     }
@@ -102,7 +102,7 @@
         total = own.merge(peers.sum(nowMs));
         seq++;
         NodeId speaker = toRegion(own, nowMs);
-        List<RegionLoad> mine = LoadTotals.region(total, knowledge.loadMembers(), region);
+        List<RegionLoad> mine = LoadTotals.region(total, facts.loadMembers(), region);
         regions.put(region, mine);
         regionMs.put(region, nowMs);
         regionMs.values().removeIf(at -> nowMs - at > REGION_TTL_MS);
@@ -111,7 +111,7 @@
         regions.values().forEach(all::addAll);
         Load back = new Load(life, seq, LoadTotals.engines(total), all);
         Set<NodeId> asking = sources.sources(nowMs);
-        for (SessionTable.Peer p : meet.peers()) {
+        for (SessionTable.Peer p : sessions.peers()) {
             if (p.hello().kind() == NodeKind.DATA && asking.contains(p.hello().node())) {
                 mesh.send(p.hello().node(), back);
             } else if (p.hello().kind() == NodeKind.CONTROL
@@ -125,9 +125,9 @@
     /** Tells the region's other control nodes; returns which of all of them speaks for the region. */
     private NodeId toRegion(LoadSummary own, long nowMs) {
         Report report = new Report(
-                life, seq, own.report(life, seq).tallies(), knowledge.presence().own(nowMs), sources.holds(nowMs));
+                life, seq, own.report(life, seq).tallies(), facts.presence().own(nowMs), sources.holds(nowMs));
         NodeId speaker = me;
-        for (SessionTable.Peer p : meet.peers()) {
+        for (SessionTable.Peer p : sessions.peers()) {
             if (p.hello().kind() == NodeKind.CONTROL
                     && p.linked()
                     && p.hello().region().equals(region)) {
--- /dev/null
+++ b/src/main/java/ringspindle/controlplane/MessageDispatcher.java
@@ -0,0 +1,89 @@
+package ringspindle.controlplane;
+
+import ringspindle.membership.SessionTable;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.Message.Digest;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.Message.LedgerReport;
+import ringspindle.protocol.Message.Load;
+import ringspindle.protocol.Message.News;
+import ringspindle.protocol.Message.Report;
+import ringspindle.protocol.NodeId;
+import ringspindle.protocol.NodeKind;
+import ringspindle.transport.Mesh;
+
+/** Takes what comes over the mesh and passes each message to the handler of its family. Called by threads of the pool. */
+final class MessageDispatcher implements Mesh.Listener {
+    private final NodeContext context;
+    private final FleetState fleet;
+    private final ReplicationDriver replication;
+    private final HeartbeatExchange heartbeats;
+    private final FactHandler facts;
+    private final LoadHandler loads;
+
+    MessageDispatcher(
+            NodeContext context,
+            FleetState fleet,
+            ReplicationDriver replication,
+            HeartbeatExchange heartbeats,
+            FactHandler facts,
+            LoadHandler loads) {
+        this.context = context;
+        this.fleet = fleet;
+        this.replication = replication;
+        this.heartbeats = heartbeats;
+        this.facts = facts;
+        this.loads = loads;
+    }
+
+    @Override
+    public void opened(Hello peer) {
+        long nowMs = context.nowMs();
+        synchronized (fleet.lock) {
+            fleet.sessions().opened(peer, nowMs);
+            fleet.loads().opened(peer);
+            fleet.dissemination().opened(peer.node());
+        }
+        if (peer.kind() == NodeKind.CONTROL) {
+            replication.opened(peer.node(), nowMs);
+        }
+        heartbeats.send(peer.node());
+    }
+
+    @Override
+    public void heard(NodeId from, Message message) {
+        long nowMs = context.nowMs();
+        if (message instanceof Heartbeat heartbeat) {
+            heartbeats.received(from, heartbeat, nowMs);
+        } else if (message instanceof News news) {
+            facts.received(from, news);
+        } else if (message instanceof Report report) {
+            loads.received(from, report, nowMs);
+        } else if (message instanceof LedgerReport report) {
+            loads.received(from, report);
+        } else if (message instanceof Load load) {
+            loads.received(load, nowMs);
+        } else if (message instanceof Digest digest) {
+            facts.received(from, digest);
+        } else {
+            replication.received(from, message, nowMs);
+        }
+    }
+
+    @Override
+    public void closed(NodeId peer) {
+        synchronized (fleet.lock) {
+            SessionTable.Peer session = fleet.sessions().peer(peer);
+            boolean heardDataNode = session != null
+                    && session.hello().kind() == NodeKind.DATA
+                    && session.heartbeat().n() > 0;
+            if (heardDataNode) {
+                fleet.dataNodes().closed(session);
+                fleet.loads().closed(peer);
+            }
+            fleet.sessions().closed(peer);
+            fleet.dissemination().closed(peer);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/ringspindle/controlplane/NodeContext.java
@@ -0,0 +1,28 @@
+package ringspindle.controlplane;
+
+import java.util.concurrent.Executor;
+import java.util.function.Supplier;
+import ringspindle.config.NodeConfig;
+import ringspindle.protocol.NodeId;
+import ringspindle.time.MonotonicClock;
+import ringspindle.transport.Mesh;
+
+/**
+ * What the parts of a control node work with. Without state of its own.
+ *
+ * @param me this node's identity among nodes
+ * @param settings the settings in force, which may change while running
+ * @param mesh connections to other nodes; sending only queues
+ * @param pool runs what must not hold up the caller
+ */
+record NodeContext(NodeId me, Supplier<NodeConfig> settings, MonotonicClock clock, Mesh mesh, Executor pool) {
+    /** The settings in force. */
+    NodeConfig config() {
+        return settings.get();
+    }
+
+    /** The time in milliseconds. */
+    long nowMs() {
+        return clock.nowMs();
+    }
+}
--- a/src/main/java/ringspindle/controlplane/PendingCalls.java
+++ b/src/main/java/ringspindle/controlplane/PendingCalls.java
@@ -18,11 +18,11 @@
     private static final byte[] NONE = {};
 
     /** What comes back of a call. */
-    interface Answered {
-        void answer(Outcome o, byte[] body);
+    interface Callback {
+        void completed(Outcome outcome, byte[] body);
     }
 
-    private record Open(long untilMs, Answered then) {}
+    private record Open(long untilMs, Callback callback) {}
 
     private final MonotonicClock clock;
     private final Executor pool;
@@ -37,14 +37,15 @@
     }
 
     /** The number of a call that came in at that time. */
-    long open(CallKind kind, long fromMs, Answered then) {
+    long open(CallKind kind, long fromMs, Callback callback) {
         long number = numbers.incrementAndGet();
-        open.put(number, new Open(fromMs + (kind.changesConfiguration() ? ANSWER_CONFIG_MS : ANSWER_MS), then));
+        boolean config = kind.changesConfiguration();
+        open.put(number, new Open(fromMs + (config ? ANSWER_CONFIG_MS : ANSWER_MS), callback));
         return number;
     }
 
     /** Tells the outcome of a call, once, from a thread of the pool. */
-    void answered(ReplicatedState.Out.Answer answer) {
+    void complete(ReplicatedState.Out.Answer answer) {
         Open call = open.remove(answer.call());
         if (call != null) {
             pool.execute(() -> tell(call, answer));
@@ -54,9 +55,9 @@
     /** An outcome that comes late, as after a freeze, is no longer told: it may rest on what is old by now. */
     private void tell(Open call, ReplicatedState.Out.Answer answer) {
         if (clock.nowMs() < call.untilMs()) {
-            call.then().answer(answer.outcome(), answer.body());
+            call.callback().completed(answer.outcome(), answer.body());
         } else {
-            call.then().answer(Outcome.UNCLEAR, NONE);
+            call.callback().completed(Outcome.UNCLEAR, NONE);
         }
     }
 }
--- a/src/main/java/ringspindle/controlplane/QuotaLeaseIssuer.java
+++ b/src/main/java/ringspindle/controlplane/QuotaLeaseIssuer.java
@@ -17,15 +17,15 @@
     private static final int EVERY_TICKS = 10;
 
     private final NodeId me;
-    private final FleetFacts knowledge;
-    private final DataNodeDirectory frontends;
+    private final FleetFacts facts;
+    private final DataNodeDirectory dataNodes;
     private NodeId lastHead;
     private long grantFromMs;
 
-    QuotaLeaseIssuer(NodeId me, FleetFacts knowledge, DataNodeDirectory frontends) {
+    QuotaLeaseIssuer(NodeId me, FleetFacts facts, DataNodeDirectory dataNodes) {
         this.me = me;
-        this.knowledge = knowledge;
-        this.frontends = frontends;
+        this.facts = facts;
+        this.dataNodes = dataNodes;
     }
 
     /** The head of the view holds the duty while it is quorate. */
@@ -42,13 +42,13 @@
         if (nowMs < grantFromMs || ticks % EVERY_TICKS != 0) {
             return;
         }
-        int nodes = frontends.sharing(nowMs);
+        int nodes = dataNodes.sharing(nowMs);
         if (nodes > 0) {
-            knowledge.merge(List.of(new Fact(
+            facts.merge(List.of(new Fact(
                     FactKind.LEASE,
                     "",
                     view.epoch(),
-                    knowledge.nextVersion(FactKind.LEASE, "", view.epoch()),
+                    facts.nextVersion(FactKind.LEASE, "", view.epoch()),
                     Codec.encode(new Lease(view.epoch(), nodes, TTL_MS)))));
         }
     }
--- a/src/main/java/ringspindle/controlplane/RolloutController.java
+++ b/src/main/java/ringspindle/controlplane/RolloutController.java
@@ -33,7 +33,7 @@
     }
 
     /** True while the outcome of the last order is open. */
-    boolean ordering() {
+    boolean orderPending() {
         return ordering;
     }
 
--- /dev/null
+++ b/src/main/java/ringspindle/controlplane/RolloutResource.java
@@ -0,0 +1,71 @@
+package ringspindle.controlplane;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import jakarta.json.JsonNumber;
+import jakarta.json.JsonObject;
+import jakarta.json.spi.JsonProvider;
+import java.util.List;
+import ringspindle.api.Outcome;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.Validated;
+import ringspindle.replication.CallKind;
+import ringspindle.rollout.RolloutPlanner;
+
+/** Takes the operators' orders for the roll-out of a service. */
+final class RolloutResource implements ApiResource {
+    private static final JsonProvider JSON = JsonProvider.provider();
+    private static final int BODY_MAX = 64 << 10;
+    private static final double DEFAULT_FLOOR = 0.5;
+    /** The weights' revision of a service whose engines tell none. */
+    private static final long UNKNOWN_WEIGHTS = -1;
+
+    private final ControlNode node;
+
+    RolloutResource(ControlNode node) {
+        this.node = node;
+    }
+
+    @Override
+    public void handle(ApiExchange exchange) {
+        exchange.readBody(BODY_MAX, body -> order(exchange, body));
+    }
+
+    private void order(ApiExchange exchange, byte[] body) {
+        if (!node.serving().upToDate()) {
+            // whether a roll-out can start is judged by the engines known here
+            exchange.respond(Outcome.UNCLEAR);
+            return;
+        }
+        if (FleetConfig.json(body) instanceof Validated.Valid<JsonObject> json
+                && "start".equals(json.value().getString("order", ""))) {
+            start(exchange, body, json.value());
+        } else {
+            commit(exchange, body);
+        }
+    }
+
+    private void start(ApiExchange exchange, byte[] body, JsonObject order) {
+        List<RolloutPlanner.Member> members = node.engines().members(exchange.argument());
+        double floor = order.get("floor") instanceof JsonNumber number ? number.doubleValue() : DEFAULT_FLOOR;
+        if (!RolloutPlanner.feasible(floor, members)) {
+            exchange.respond(Outcome.INVALID, "with this floor some region could never take its turn".getBytes(UTF_8));
+            return;
+        }
+        commit(exchange, order.containsKey("from") ? body : withPresentWeights(order, members));
+    }
+
+    private static byte[] withPresentWeights(JsonObject order, List<RolloutPlanner.Member> members) {
+        long present =
+                members.stream().mapToLong(RolloutPlanner.Member::weights).max().orElse(UNKNOWN_WEIGHTS);
+        return JSON.createObjectBuilder(order)
+                .add("from", present)
+                .build()
+                .toString()
+                .getBytes(UTF_8);
+    }
+
+    private void commit(ApiExchange exchange, byte[] order) {
+        node.replication().call(CallKind.ROLLOUT, 0, exchange.argument(), order, exchange::respond);
+    }
+}
--- /dev/null
+++ b/src/main/java/ringspindle/controlplane/StatusPage.java
@@ -0,0 +1,131 @@
+package ringspindle.controlplane;
+
+import jakarta.json.JsonArrayBuilder;
+import jakarta.json.JsonObject;
+import jakarta.json.JsonObjectBuilder;
+import jakarta.json.spi.JsonProvider;
+import java.util.ArrayList;
+import java.util.List;
+import ringspindle.membership.DataNodeFact;
+import ringspindle.protocol.FactKind;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.Message.Mark;
+import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeFlags;
+import ringspindle.protocol.NodeId;
+import ringspindle.protocol.NodeKind;
+import ringspindle.replication.MarkKind;
+
+/** The page on which a control node shows operators how it is. Tools read it: names and order are fixed. */
+final class StatusPage {
+    private static final JsonProvider JSON = JsonProvider.provider();
+
+    private StatusPage() {}
+
+    /** The page as it is now. */
+    static JsonObject of(ControlNode node) {
+        ServingState serving = node.serving();
+        JsonObjectBuilder page = JSON.createObjectBuilder()
+                .add("node", node.config().name())
+                .add("quorate", serving.quorate())
+                .add("founding", node.founding())
+                .add("provenAgoMs", serving.provenAgoMs())
+                .add("awaited", node.awaited().name());
+        View view = node.replication().view();
+        if (view != null) {
+            page.add("view", view(view)).add("duties", duties(view));
+        }
+        addState(page, node.replication().committed(), serving);
+        return page.add("sessions", sessions(node.queries().sessions()))
+                .add("holders", holders(node.queries().holders()))
+                .add("nodes", dataNodes(node))
+                .build();
+    }
+
+    private static JsonObjectBuilder view(View view) {
+        return JSON.createObjectBuilder()
+                .add("epoch", view.epoch())
+                .add("voters", names(view.voters()))
+                .add("chain", names(view.chain()));
+    }
+
+    private static JsonArrayBuilder names(List<NodeId> nodes) {
+        JsonArrayBuilder array = JSON.createArrayBuilder();
+        nodes.forEach(node -> array.add(node.toString()));
+        return array;
+    }
+
+    private static JsonObjectBuilder duties(View view) {
+        return JSON.createObjectBuilder()
+                .add(
+                        "leases",
+                        JSON.createObjectBuilder()
+                                .add("holder", view.head().toString())
+                                .add("epoch", view.epoch()));
+    }
+
+    /** What this node holds may be old while no majority is proven: then only its number is shown. */
+    private static void addState(JsonObjectBuilder page, State state, ServingState serving) {
+        if (state == null) {
+            return;
+        }
+        page.add("seq", state.seq());
+        if (!serving.upToDate()) {
+            return;
+        }
+        JsonArrayBuilder evacuated = JSON.createArrayBuilder();
+        for (Mark mark : state.marks()) {
+            if (MarkKind.EVACUATED.marks(mark) && mark.value().equals("on")) {
+                evacuated.add(mark.key());
+            }
+        }
+        page.add("revision", state.revision()).add("evacuated", evacuated);
+    }
+
+    private static JsonArrayBuilder sessions(List<FleetQueries.Session> sessions) {
+        JsonArrayBuilder array = JSON.createArrayBuilder();
+        for (FleetQueries.Session session : sessions) {
+            Hello peer = session.hello();
+            boolean control = peer.kind() == NodeKind.CONTROL;
+            array.add(JSON.createObjectBuilder()
+                    .add("name", peer.name())
+                    .add("kind", control ? "control" : "data")
+                    .add("node", peer.node().toString())
+                    .add("zone", peer.zone())
+                    .add("linked", session.linked())
+                    .add("control", control ? new NodeId(peer.front()).toString() : "")
+                    .add("ready", session.ready()));
+        }
+        return array;
+    }
+
+    private static JsonArrayBuilder holders(List<ShutdownHandover.Holder> holders) {
+        JsonArrayBuilder array = JSON.createArrayBuilder();
+        for (ShutdownHandover.Holder holder : holders) {
+            array.add(JSON.createObjectBuilder()
+                    .add("node", holder.node().toString())
+                    .add("epoch", holder.epoch())
+                    .add("seq", holder.seq())
+                    .add("blank", holder.blank()));
+        }
+        return array;
+    }
+
+    private static JsonArrayBuilder dataNodes(ControlNode node) {
+        JsonArrayBuilder array = JSON.createArrayBuilder();
+        for (Fact fact : node.fleet().read(store -> new ArrayList<>(store.all(FactKind.NODE)))) {
+            DataNodeFact dataNode = DataNodeFact.of(fact.value());
+            Hello hello = dataNode.hello();
+            array.add(JSON.createObjectBuilder()
+                    .add("name", hello.name())
+                    .add("zone", hello.zone())
+                    .add("frontend", new NodeId(hello.front()).toString())
+                    .add("ready", dataNode.flags().has(NodeFlags.READY))
+                    .add("leaving", dataNode.flags().has(NodeFlags.LEAVING))
+                    .add("via", dataNode.via().toString()));
+        }
+        return array;
+    }
+}
--- a/src/main/java/ringspindle/controlplane/Storage.java
+++ b/src/main/java/ringspindle/controlplane/Storage.java
@@ -8,24 +8,28 @@
 import ringspindle.protocol.Message.Fact;
 import ringspindle.replication.ReplicatedState;
 
-/** What a control node keeps over its ends. */
+/** What a control node keeps across restarts. Thread safe after {@link #open}. */
 interface Storage {
-    /** Records found, oldest first; {@code storage.load()} once. */
+    /**
+     * The records found, oldest first; called once.
+     *
+     * @throws IOException if the records cannot be read
+     */
     List<Message> load() throws IOException;
 
     /**
      * From now on records are written; {@code stored} hears of each token that is synced. {@code compact} is called when the
-     * log is long: it must {@link #take} an image of what counts, with token {@link GroupCommitWriter#COMPACTION}, in order with
+     * log is long: it must {@link #write} an image of what counts, with token {@link GroupCommitWriter#COMPACTION}, in order with
      * all other records.
      */
     void open(LongConsumer stored, Runnable compact);
 
-    /** Write these. */
-    void take(ReplicatedState.Out.Store s);
+    /** Queues records to be written and synced, after those queued before. */
+    void write(ReplicatedState.Out.Store records);
 
-    /** Engines as a hint for the time right after a start. */
-    List<Fact> engines();
+    /** The engines last cached, a hint for the time right after a start; empty if there is none. */
+    List<Fact> cachedEngines();
 
-    /** Keeps that hint. */
-    void keep(Collection<Fact> engines);
+    /** Caches the engines as they are now; never waits for the disk. */
+    void cacheEngines(Collection<Fact> engines);
 }
--- a/src/test/java/ringspindle/controlplane/EngineCacheFileTest.java
+++ b/src/test/java/ringspindle/controlplane/EngineCacheFileTest.java
@@ -33,26 +33,26 @@
     @Test
     void enginesComeBack() {
         assertEquals(List.of(), file().load());
-        file().keep(TWO);
+        file().store(TWO);
         assertEquals(List.of("i-1", "i-2"), keys(file().load()));
         EngineCacheFile f = file();
-        f.keep(TWO);
-        f.keep(TWO.subList(0, 1));
+        f.store(TWO);
+        f.store(TWO.subList(0, 1));
         assertEquals(List.of("i-1"), keys(file().load()));
     }
 
     @Test
     void sameEnginesAreNotWrittenAgain() throws Exception {
         EngineCacheFile f = file();
-        f.keep(TWO);
+        f.store(TWO);
         Files.delete(folder.resolve("engines"));
-        f.keep(TWO);
+        f.store(TWO);
         assertFalse(Files.exists(folder.resolve("engines")));
     }
 
     @Test
     void brokenFilesCountAsNone() throws Exception {
-        file().keep(TWO);
+        file().store(TWO);
         byte[] whole = Files.readAllBytes(folder.resolve("engines"));
         for (int cut = 0; cut < whole.length; cut++) {
             Files.write(folder.resolve("engines"), Arrays.copyOf(whole, cut));
@@ -68,7 +68,7 @@
         byte[] foreign = ENGINE.clone();
         foreign[2] = 99;
         for (byte[] value : List.of(foreign, new byte[] {1}, Codec.encode(new Relearn(1)))) {
-            file().keep(List.of(TWO.get(0), new Fact(4, "i-2", 0, 9, value)));
+            file().store(List.of(TWO.get(0), new Fact(4, "i-2", 0, 9, value)));
             assertEquals(List.of(), file().load());
         }
     }
--- a/src/test/java/ringspindle/controlplane/GroupCommitWriterGroupsTest.java
+++ b/src/test/java/ringspindle/controlplane/GroupCommitWriterGroupsTest.java
@@ -81,12 +81,12 @@
     }
 
     private void compact() {
-        thread.take(new Store(GroupCommitWriter.COMPACTION, List.of(new Entry(1, taken, new byte[0])), true));
+        thread.add(new Store(GroupCommitWriter.COMPACTION, List.of(new Entry(1, taken, new byte[0])), true));
     }
 
     private void take(int bytes) {
         taken++;
-        thread.take(new Store(taken, List.of(new Entry(1, taken, new byte[bytes])), false));
+        thread.add(new Store(taken, List.of(new Entry(1, taken, new byte[bytes])), false));
     }
 
     private List<Long> upTo(long last) {
@@ -140,7 +140,7 @@
             if (luck.nextInt(3) == 0) {
                 take(luck.nextInt(2 * MEGABYTE));
             }
-            thread.take(new Store(++taken, List.of(new Entry(1, taken, new byte[0])), luck.nextInt(10) == 0));
+            thread.add(new Store(++taken, List.of(new Entry(1, taken, new byte[0])), luck.nextInt(10) == 0));
             thread.writeNext();
             List<Long> kept = disk.sequence();
             assertEquals(kept.stream().distinct().sorted().toList(), kept);
--- a/src/test/java/ringspindle/controlplane/GroupCommitWriterTest.java
+++ b/src/test/java/ringspindle/controlplane/GroupCommitWriterTest.java
@@ -67,13 +67,13 @@
                 },
                 () -> {});
         for (long token = 1; token <= 3; token++) {
-            t.take(new Store(token, List.of(new Synced(1, token)), false));
+            t.add(new Store(token, List.of(new Synced(1, token)), false));
         }
         Thread thread = new Thread(t);
         thread.setDaemon(true);
         thread.start();
         disk.refused.await();
-        t.take(new Store(4, List.of(new Synced(1, 4)), false));
+        t.add(new Store(4, List.of(new Synced(1, 4)), false));
         all.await();
         assertEquals(List.of(1L, 2L, 3L, 4L), stored);
         assertTrue(writtenThen.get(0) >= 3, "told before it was written: " + writtenThen);
--- a/src/test/java/ringspindle/controlplane/HollowControlNode.java
+++ b/src/test/java/ringspindle/controlplane/HollowControlNode.java
@@ -49,18 +49,18 @@
                     }
 
                     @Override
-                    public void take(ReplicatedState.Out.Store s) {
+                    public void write(ReplicatedState.Out.Store s) {
                         s.records().forEach(Codec::encode);
                         later.at(SYNC_MS, () -> stored.accept(s.token()));
                     }
 
                     @Override
-                    public List<Fact> engines() {
+                    public List<Fact> cachedEngines() {
                         return List.of();
                     }
 
                     @Override
-                    public void keep(Collection<Fact> engines) {
+                    public void cacheEngines(Collection<Fact> engines) {
                         // a hint that nobody reads here
                     }
                 },
@@ -80,69 +80,73 @@
 
     /** Takes an engine's heartbeat. */
     public void heartbeat(String id, Engine e, long seq) {
-        control.heartbeat(id, e, seq);
+        control.engines().heartbeat(id, e, seq);
     }
 
     /** Puts a configuration that builds on a revision. */
     public void put(long base, byte[] body, Consumer<Outcome> then) {
-        control.call(CallKind.PUT, base, "", body, (o, b) -> then.accept(o));
+        control.replication().call(CallKind.PUT, base, "", body, (o, b) -> then.accept(o));
     }
 
     /** Puts serving rules that build on a revision. */
     public void rules(long base, byte[] body, Consumer<Outcome> then) {
-        control.call(CallKind.RULES, base, "", body, (o, b) -> then.accept(o));
+        control.replication().call(CallKind.RULES, base, "", body, (o, b) -> then.accept(o));
     }
 
     /** Calls the replicated state, as an operator's request of that kind does. */
     public void call(CallKind kind, String argument, byte[] body, Consumer<Outcome> then) {
-        control.call(kind, 0, argument, body, (outcome, text) -> then.accept(outcome));
+        control.replication().call(kind, 0, argument, body, (outcome, text) -> then.accept(outcome));
     }
 
     /** The JSON pages that operators read, by name. */
     public Map<String, String> operatorPages() {
         return Map.of(
-                "status", FleetStatus.status(control).toString(),
-                "engines", FleetStatus.engines(control).toString(),
-                "ledger", FleetStatus.ledger(control).toString(),
-                "rollouts", FleetStatus.rollouts(control).toString());
+                "status", StatusPage.of(control).toString(),
+                "engines", EnginesPage.of(control).toString(),
+                "ledger", LedgerPage.of(control).toString(),
+                "rollouts", RolloutsPage.of(control).toString());
     }
 
     /** What nodes that report here say they follow. */
     public Map<NodeId, Long> followed() {
         Map<NodeId, Long> out = new TreeMap<>();
-        control.ledgers()
+        control.queries()
+                .ledgerReports()
                 .forEach((node, lives) ->
                         lives.forEach(l -> out.merge(node, l.report().revision(), Math::max)));
         return out;
     }
 
-    /** The calls of engines, operators and consumers, for a server of whoever runs it. */
-    public Handler gate() {
+    /** The HTTP calls of engines, operators and clients, for a server of whoever runs it. */
+    public Handler apiHandler() {
         return new ControlApiHandler(control);
     }
 
     /** True while the node is in touch with a majority of the voters. */
     public boolean quorate() {
-        return control.quorate();
+        return control.serving().quorate();
     }
 
     /** How many voters the view has, 0 without a view. */
     public int voters() {
-        return control.view() == null ? 0 : control.view().voters().size();
+        return control.replication().view() == null
+                ? 0
+                : control.replication().view().voters().size();
     }
 
     /** True if the node is the head of the chain. */
     public boolean head() {
-        return control.view() != null && control.view().head().equals(control.me());
+        return control.replication().view() != null
+                && control.replication().view().head().equals(control.me());
     }
 
     /** How many data nodes are ready. */
     public int frontends() {
-        return control.ready();
+        return control.queries().readyDataNodes();
     }
 
     /** The sum of all reports that came in. */
     public ringspindle.telemetry.LoadSummary total() {
-        return control.total();
+        return control.queries().load();
     }
 }
--- a/src/test/java/ringspindle/controlplane/LedgerReportStoreTest.java
+++ b/src/test/java/ringspindle/controlplane/LedgerReportStoreTest.java
@@ -13,7 +13,7 @@
     private final LedgerReportStore ledgers = new LedgerReportStore();
 
     private void take(long life, long seq) {
-        ledgers.take(A, new LedgerReport(life, seq, 0, 0, 0, List.of()));
+        ledgers.put(A, new LedgerReport(life, seq, 0, 0, 0, List.of()));
     }
 
     private List<String> held() {
--- a/src/test/java/ringspindle/controlplane/StoredDataTest.java
+++ b/src/test/java/ringspindle/controlplane/StoredDataTest.java
@@ -227,14 +227,14 @@
 
     @Test
     void enginesAreReadAndWrittenAsTheSameBytes() throws Exception {
-        List<Fact> engines = new DiskStorage(folder, Runnable::run).engines();
+        List<Fact> engines = new DiskStorage(folder, Runnable::run).cachedEngines();
         assertEquals(2, engines.size());
         assertEngine(
                 engines.get(0), "i-1", 0, 7, new Engine(8, 1500, false, -1, 7, "chat", "10.0.1.1:80", "ahd-1", "r1"));
         assertEngine(
                 engines.get(1), "i-5", 3, 9, new Engine(64, 0, true, 2500, -1, "chat", "10.0.1.5:80", "srt-2", "r2"));
         Files.delete(folder.resolve(ENGINES));
-        new EngineCacheFile(folder.resolve(ENGINES), Runnable::run).keep(engines);
+        new EngineCacheFile(folder.resolve(ENGINES), Runnable::run).store(engines);
         assertArrayEquals(stored(ENGINES), Files.readAllBytes(folder.resolve(ENGINES)));
     }
 
--- a/src/test/java/ringspindle/scale/ControlInterfacesTest.java
+++ b/src/test/java/ringspindle/scale/ControlInterfacesTest.java
@@ -114,7 +114,7 @@
             @Override
             public boolean handle(Request request, Response response, Callback callback) throws Exception {
                 int z = doors.indexOf(request.getConnectionMetaData().getConnector());
-                boolean taken = controls.get(z).gate().handle(request, response, callback);
+                boolean taken = controls.get(z).apiHandler().handle(request, response, callback);
                 handled.add(request.getHttpURI().getPath());
                 return taken;
             }
