--- a/src/main/java/ringspindle/replication/Replication.java
+++ b/src/main/java/ringspindle/replication/ChainMember.java
@@ -14,47 +14,48 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * One member's copy of the control state: a snapshot and entries come from the predecessor, are synced here, and only then go
- * on to the successor; what the tail has synced is committed, and the word of it goes back up the chain.
+ * This node as a member of the chain, with its copy of the control state: a snapshot and entries come from the predecessor,
+ * are synced here, and only then go on to the successor; what the tail has synced is committed, and the word of it goes back
+ * up the chain.
+ *
+ * <p>Invariants: the committed state is never newer than what is synced here; a copy of an older view is neither passed on nor
+ * committed; while this node is fenced it takes no entry and commits nothing by itself.
  */
-final class Replication {
-    private static final byte[] NONE = {};
-    /** What is not confirmed by the successor is sent again after so long, then after twice as long. */
-    private static final long RESEND_MS = 400;
-
-    private static final long RESEND_MAX_MS = 6400;
+final class ChainMember {
     private static final long NOTHING = -1;
 
     /** Hears of what is committed. */
     interface Listener {
         /** An order of that caller is on the disks of the whole chain. */
-        void acknowledged(NodeId origin, long call);
+        void acknowledged(CallId call);
 
-        /** All up to that number is committed. */
+        /** All up to that sequence number is committed. */
         void committed(long seq);
     }
 
-    /** An entry that is not committed yet, and the state after it; without an origin where another node took the order. */
-    private record Pending(long seq, State state, byte[] op, NodeId origin, long call) {}
+    /**
+     * An entry that is not committed yet, and the state after it.
+     *
+     * @param call what it is the answer to, null where another node decided the order
+     */
+    private record Uncommitted(State state, byte[] op, CallId call) {
+        long seq() {
+            return state.seq();
+        }
+    }
 
     private final Replica replica;
     private final ViewConsensus consensus;
     private final OutputQueue outputs;
     private final Listener listener;
-    private final ArrayDeque<Pending> pending = new ArrayDeque<>();
-    private State last = new State(NOTHING, 0, 0, List.of(), List.of(), NONE);
+    private final ArrayDeque<Uncommitted> uncommitted = new ArrayDeque<>();
+    private final SuccessorLink successor = new SuccessorLink();
+    private final SyncProgress disk = new SyncProgress();
+    private State last = ControlState.none();
     private State committed;
-    /** The number of the last entry of this view that is on this disk, and the state as of it. */
-    private long synced = NOTHING;
-
-    private State syncedState = last;
-    private long sentDown = NOTHING;
-    private long ackedDown = NOTHING;
-    private long sentDownMs;
-    private long resendMs = RESEND_MS;
     private long uncommittedSinceMs;
 
-    Replication(ViewConsensus consensus, OutputQueue outputs, Listener listener) {
+    ChainMember(ViewConsensus consensus, OutputQueue outputs, Listener listener) {
         this.replica = consensus.replica();
         this.consensus = consensus;
         this.outputs = outputs;
@@ -96,10 +97,13 @@
         return committed != null && committed.lineage() == replica.epoch();
     }
 
-    /** True while entries wait for longer than that to be committed. */
+    private long committedSeq() {
+        return committed == null ? NOTHING : committed.seq();
+    }
+
+    /** True while entries have waited for longer than that, in milliseconds, to be committed. */
     boolean stalledFor(long ms) {
-        return last.seq() > (committed == null ? NOTHING : committed.seq())
-                && replica.nowMs() - uncommittedSinceMs > ms;
+        return last.seq() > committedSeq() && replica.nowMs() - uncommittedSinceMs > ms;
     }
 
     // ---- a start, a lost disk, a new view
@@ -107,15 +111,14 @@
     /** Takes over a state found on disk. */
     void load(State state) {
         last = state;
-        pending.clear();
-        synced = last.seq();
-        syncedState = last;
+        uncommitted.clear();
+        disk.found(state);
     }
 
     /** Applies an entry found on disk behind that state; others are left alone. */
     void load(Entry entry) {
         if (entry.epoch() == last.lineage() && entry.seq() == last.seq() + 1) {
-            load(Content.apply(last, (Op) Codec.decode(entry.op())));
+            load(ControlState.apply(last, (Op) Codec.decode(entry.op())));
         }
     }
 
@@ -124,7 +127,7 @@
         uncommittedSinceMs = replica.nowMs();
         State first = last;
         long epoch = replica.epoch();
-        outputs.replaceAll(List.of(consensus.vote(), first), () -> {
+        writeSnapshot(first, () -> {
             if (active() && replica.epoch() == epoch && replica.isHead()) {
                 onStored(first);
             }
@@ -133,49 +136,43 @@
 
     /** Starts anew with nothing, and with a vote that was relearned. */
     void reset() {
-        load(new State(NOTHING, 0, 0, List.of(), List.of(), NONE));
-        outputs.replaceAll(List.of(consensus.vote(), last), () -> {});
+        load(ControlState.none());
+        writeSnapshot(last, () -> {});
     }
 
     /** A new view is in force. Its head turns the copy it holds into the first of the view; others wait for a snapshot. */
     void startView() {
-        synced = NOTHING;
-        sentDown = NOTHING;
-        ackedDown = NOTHING;
-        resendMs = RESEND_MS;
+        disk.restart();
+        successor.startView();
         uncommittedSinceMs = replica.nowMs();
-        boolean leads =
-                replica.inChain() && replica.isHead() && last.lineage() >= 0 && last.lineage() < replica.epoch();
-        if (leads) {
-            last = inThisView(last);
+        boolean hasCopyOfOlderView = last.lineage() >= 0 && last.lineage() < replica.epoch();
+        if (replica.inChain() && replica.isHead() && hasCopyOfOlderView) {
+            last = ControlState.inView(last, replica.epoch());
             State first = last;
-            outputs.replaceAll(List.of(consensus.vote(), first), () -> onStored(first));
+            writeSnapshot(first, () -> onStored(first));
         } else {
             outputs.append(List.of(consensus.vote()), () -> {});
         }
     }
 
-    private State inThisView(State state) {
-        return state.lineage() == replica.epoch()
-                ? state
-                : new State(
-                        replica.epoch(), state.seq(), state.revision(), state.past(), state.marks(), state.config());
+    private void writeSnapshot(State state, Runnable whenSynced) {
+        outputs.replaceAll(List.of(consensus.vote(), state), whenSynced);
     }
 
     // ---- down the chain
 
     /** The head appends an order; the listener hears when it is committed. */
-    void append(Op op, NodeId origin, long call) {
-        append(Codec.encode(op), origin, call);
+    void append(Op op, CallId call) {
+        append(Codec.encode(op), call);
     }
 
-    private void append(byte[] op, NodeId origin, long call) {
+    private void append(byte[] op, CallId call) {
         if (committed != null && committed.seq() >= last.seq()) {
             uncommittedSinceMs = replica.nowMs();
         }
-        last = Content.apply(last, (Op) Codec.decode(op));
+        last = ControlState.apply(last, (Op) Codec.decode(op));
         State state = last;
-        pending.add(new Pending(state.seq(), state, op, origin, call));
+        uncommitted.add(new Uncommitted(state, op, call));
         outputs.append(List.of(new Entry(replica.epoch(), state.seq(), op)), () -> onStored(state));
     }
 
@@ -184,20 +181,17 @@
         if (replica.view() == null || state.lineage() != replica.epoch()) {
             return;
         }
-        if (state.seq() >= synced) {
-            synced = state.seq();
-            syncedState = state;
-        }
-        goOn();
+        disk.synced(state);
+        passOn();
     }
 
     /** Commits at the tail, else passes on what is synced. */
-    private void goOn() {
+    private void passOn() {
         if (consensus.fenced()) {
             return;
         }
         if (replica.successor() == null) {
-            commit(synced);
+            commit(disk.seq());
         } else {
             pushDown();
         }
@@ -206,27 +200,19 @@
     /** The connection to a peer stands anew: what went over an older one may be lost. */
     void onOpened(NodeId peer) {
         if (replica.view() != null && peer.equals(replica.successor())) {
-            sentDown = NOTHING;
-            resendMs = RESEND_MS;
+            successor.onReconnected();
             pushDown();
         }
     }
 
     /** Sends again what the successor does not confirm. */
     void tick() {
-        if (!active()) {
-            return;
-        }
-        NodeId next = replica.successor();
+        NodeId next = active() ? replica.successor() : null;
         if (next == null || !replica.linked(next)) {
             return;
         }
-        if (sentDown >= 0 && ackedDown < last.seq() && replica.nowMs() - sentDownMs > resendMs) {
-            // a large snapshot over a slow link takes its time: sending it ever more often would never end
-            resendMs = Math.min(resendMs * 2, RESEND_MAX_MS);
-            sentDown = NOTHING;
-        }
-        if (sentDown < 0) {
+        successor.tick(last.seq(), replica.nowMs());
+        if (successor.snapshotDue()) {
             pushDown();
         }
     }
@@ -236,26 +222,25 @@
         if (next == null || !active()) {
             return;
         }
-        if (sentDown < 0 && !sendSnapshot(next)) {
+        if (successor.snapshotDue() && !sendSnapshot(next)) {
             return;
         }
-        for (Pending entry : pending) {
-            if (entry.seq() > sentDown && entry.seq() <= synced) {
+        for (Uncommitted entry : uncommitted) {
+            if (entry.seq() > successor.sentSeq() && entry.seq() <= disk.seq()) {
                 outputs.send(next, new Entry(replica.epoch(), entry.seq(), entry.op()));
-                sentDown = entry.seq();
-                sentDownMs = replica.nowMs();
+                successor.sent(entry.seq(), replica.nowMs());
             }
         }
     }
 
     /** A snapshot as of what is synced here; false while nothing of this view is. */
     private boolean sendSnapshot(NodeId next) {
-        if (syncedState.lineage() != replica.epoch()) {
+        State synced = disk.newest();
+        if (synced.lineage() != replica.epoch()) {
             return false;
         }
-        outputs.send(next, new Install(replica.epoch(), syncedState.seq(), Codec.encode(syncedState)));
-        sentDown = syncedState.seq();
-        sentDownMs = replica.nowMs();
+        outputs.send(next, new Install(replica.epoch(), synced.seq(), Codec.encode(synced)));
+        successor.sent(synced.seq(), replica.nowMs());
         return true;
     }
 
@@ -264,18 +249,17 @@
         if (!takes || install.epoch() != replica.epoch() || !from.equals(replica.predecessor())) {
             return;
         }
+        successor.startOver();
         if (ofThisView() && last.seq() >= install.seq()) {
-            sentDown = NOTHING;
-            goOn();
+            passOn();
             confirmCommitted();
             return;
         }
         last = (State) Codec.decode(install.image());
-        pending.clear();
-        sentDown = NOTHING;
-        synced = NOTHING;
+        uncommitted.clear();
+        disk.restart();
         State installed = last;
-        outputs.replaceAll(List.of(consensus.vote(), installed), () -> onStored(installed));
+        writeSnapshot(installed, () -> onStored(installed));
     }
 
     void onEntry(NodeId from, Entry entry) {
@@ -283,10 +267,10 @@
             return;
         }
         if (entry.seq() <= last.seq()) {
-            goOn();
+            passOn();
             confirmCommitted();
         } else if (entry.seq() == last.seq() + 1) {
-            append(entry.op(), null, NOTHING);
+            append(entry.op(), null);
         }
     }
 
@@ -306,29 +290,29 @@
                 || !ofThisView()) {
             return;
         }
-        ackedDown = Math.max(ackedDown, confirmation.seq());
-        resendMs = RESEND_MS;
+        successor.confirmed(confirmation.seq());
         commit(Math.min(confirmation.seq(), last.seq()));
     }
 
     private void commit(long seq) {
         State newest = committed;
-        while (!pending.isEmpty() && pending.peek().seq() <= seq) {
-            Pending entry = pending.poll();
+        while (!uncommitted.isEmpty() && uncommitted.peek().seq() <= seq) {
+            Uncommitted entry = uncommitted.poll();
             newest = entry.state();
-            if (entry.origin() != null) {
-                listener.acknowledged(entry.origin(), entry.call());
+            if (entry.call() != null) {
+                listener.acknowledged(entry.call());
             }
         }
-        if (pending.isEmpty() && last.seq() <= seq) {
+        if (uncommitted.isEmpty() && last.seq() <= seq) {
             newest = last;
-        } else if (syncedInThisView(seq) && (newest == null || newest.seq() < syncedState.seq())) {
+        } else if (disk.holds(replica.epoch(), seq)
+                && (newest == null || newest.seq() < disk.newest().seq())) {
             // a snapshot that is on disk, while a newer one that replaced it is not yet
-            newest = syncedState;
+            newest = disk.newest();
         }
-        if (newest != null && newer(newest)) {
+        if (newest != null && newerThanCommitted(newest)) {
             uncommittedSinceMs = replica.nowMs();
-            committed = inThisView(newest);
+            committed = ControlState.inView(newest, replica.epoch());
             outputs.emit(new ReplicatedState.Out.Committed(committed));
         }
         if (replica.predecessor() != null) {
@@ -337,19 +321,14 @@
         listener.committed(seq);
     }
 
-    private boolean syncedInThisView(long upTo) {
-        return syncedState.lineage() == replica.epoch() && syncedState.seq() <= upTo;
-    }
-
-    private boolean newer(State state) {
+    private boolean newerThanCommitted(State state) {
         return committed == null || state.seq() > committed.seq() || state.lineage() > committed.lineage();
     }
 
     @Override
     public String toString() {
         return "lineage " + last.lineage() + " seq " + last.seq() + " committed "
-                + (committed == null ? null : committed.lineage() + "/" + committed.seq()) + " synced " + synced
-                + " down "
-                + sentDown + "/" + ackedDown;
+                + (committed == null ? null : committed.lineage() + "/" + committed.seq()) + " synced " + disk.seq()
+                + " down " + successor;
     }
 }
--- a/src/main/java/ringspindle/replication/ChainReplicatedState.java
+++ b/src/main/java/ringspindle/replication/ChainReplicatedState.java
@@ -24,15 +24,14 @@
  * acknowledged is lost. This class hands each input to the part whose job it is.
  */
 final class ChainReplicatedState implements ReplicatedState {
-    private static final byte[] NONE = {};
     /** A node that has promised another view may answer for the old one no longer than this. */
     private static final long FENCED_MS = 1500;
 
     private final ViewConsensus consensus;
     private final Replica replica;
     private final OutputQueue outputs;
-    private final Replication replication;
-    private final Orders orders;
+    private final ChainMember member;
+    private final OrderPipeline orders;
     private boolean announced;
 
     ChainReplicatedState(
@@ -42,9 +41,9 @@
         consensus = new ViewConsensus(
                 new ViewConsensus.Settings(self, seeds, bootstrap, leastVoters), random, outputs, new Copy());
         replica = consensus.replica();
-        orders = new Orders(replica, outputs, random, () -> !consensus.founding(replica.nowMs()));
-        replication = new Replication(consensus, outputs, orders);
-        orders.over(replication);
+        member = new ChainMember(consensus, outputs, new CommitListener());
+        orders = new OrderPipeline(
+                replica, outputs, member, random.nextLong(), () -> !consensus.founding(replica.nowMs()));
         found.forEach(this::load);
         if (!replica.participates() && bootstrap && seeds.contains(self)) {
             found(seeds);
@@ -55,16 +54,16 @@
         if (record instanceof Vote vote) {
             consensus.restore(vote);
         } else if (record instanceof State state) {
-            replication.load(state);
+            member.load(state);
         } else if (record instanceof Entry entry) {
-            replication.load(entry);
+            member.load(entry);
         }
     }
 
     /** The first start of a system: its seeds are the first voters. */
     private void found(List<NodeId> seeds) {
         consensus.bootstrap(seeds);
-        replication.load(new State(1, 0, 0, List.of(), List.of(), NONE));
+        member.load(ControlState.first());
     }
 
     // ---- what others see
@@ -76,7 +75,7 @@
 
     @Override
     public State committed() {
-        return replication.committed();
+        return member.committed();
     }
 
     @Override
@@ -88,7 +87,7 @@
             // beyond the bound a node learns: it passes calls on, and hears what is committed as facts
             return consensus.allSeatsTaken() && replica.participates();
         }
-        return committed() != null && replication.ofThisView() && replica.inChain() && !consensus.fencedFor(FENCED_MS);
+        return committed() != null && member.ofThisView() && replica.inChain() && !consensus.fencedFor(FENCED_MS);
     }
 
     @Override
@@ -103,13 +102,13 @@
 
     @Override
     public List<Message> durable() {
-        return List.of(consensus.vote(), replication.last());
+        return List.of(consensus.vote(), member.last());
     }
 
     /** Where it stands, for tests and logs. */
     String standing() {
         View view = replica.view();
-        return "view " + (view == null ? null : view.epoch() + " " + view.chain()) + " " + consensus + " " + replication
+        return "view " + (view == null ? null : view.epoch() + " " + view.chain()) + " " + consensus + " " + member
                 + " " + orders;
     }
 
@@ -135,7 +134,7 @@
         replica.advanceTo(nowMs);
         announce();
         consensus.opened(peer);
-        replication.onOpened(peer);
+        member.onOpened(peer);
         orders.onOpened(peer);
         return finish();
     }
@@ -156,7 +155,7 @@
         consensus.askPeers();
         if (replica.participates()) {
             orders.goOn();
-            replication.tick();
+            member.tick();
             consensus.proposeIfDue();
         }
         return finish();
@@ -176,7 +175,7 @@
         }
         announced = true;
         outputs.emit(new Out.Viewed(replica.view()));
-        replication.writeFirst();
+        member.writeFirst();
     }
 
     private void dispatch(NodeId from, Message message) {
@@ -184,11 +183,11 @@
             return;
         }
         if (message instanceof Install install) {
-            replication.onInstall(from, install);
+            member.onInstall(from, install);
         } else if (message instanceof Entry entry) {
-            replication.onEntry(from, entry);
+            member.onEntry(from, entry);
         } else if (message instanceof Synced synced) {
-            replication.onSynced(from, synced);
+            member.onSynced(from, synced);
         } else if (message instanceof Confirmed confirmed) {
             orders.onConfirmed(from, confirmed);
         } else if (message instanceof Call call) {
@@ -198,34 +197,47 @@
         }
     }
 
+    /** Passes on what the chain commits to the orders that wait for it. */
+    private final class CommitListener implements ChainMember.Listener {
+        @Override
+        public void acknowledged(CallId call) {
+            orders.acknowledged(call);
+        }
+
+        @Override
+        public void committed(long seq) {
+            orders.committed(seq);
+        }
+    }
+
     /** What the agreement on views sees and tells of the copy held here. */
     private final class Copy implements LocalCopy {
         @Override
         public Position position() {
-            return replication.position();
+            return member.position();
         }
 
         @Override
         public boolean ofThisView() {
-            return replication.ofThisView();
+            return member.ofThisView();
         }
 
         @Override
         public boolean stalledFor(long ms) {
-            return replication.stalledFor(ms);
+            return member.stalledFor(ms);
         }
 
         @Override
         public void onViewStarted(View view) {
             outputs.emit(new Out.Viewed(view));
-            replication.startView();
+            member.startView();
             orders.startView();
         }
 
         @Override
         public void onRelearned(View view) {
             outputs.emit(new Out.Viewed(view));
-            replication.reset();
+            member.reset();
         }
     }
 }
--- /dev/null
+++ b/src/main/java/ringspindle/replication/Confirmations.java
@@ -0,0 +1,125 @@
+package ringspindle.replication;
+
+import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap;
+import it.unimi.dsi.fastutil.longs.Long2ObjectMap;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import ringspindle.consensus.Replica;
+import ringspindle.protocol.Message.Confirm;
+import ringspindle.protocol.Message.Confirmed;
+import ringspindle.protocol.NodeId;
+import ringspindle.replication.HeldCalls.HeldCall;
+
+/**
+ * Answers that change nothing and so rest on this node's state alone: a reading, a refusal, or "already so". One goes out only
+ * after a majority of voters confirmed, later than the call came, that the view is still the newest, and once all that it
+ * rests on is committed.
+ */
+final class Confirmations {
+    /** An answer is no longer asked about after so long. */
+    private static final long ASKED_MS = 2500;
+
+    /** An answer that is not given yet. */
+    sealed interface PendingAnswer {
+        HeldCall call();
+    }
+
+    /** A reading: made of the committed state, once it is confirmed. */
+    record Reading(HeldCall call) implements PendingAnswer {}
+
+    /** An order's answer, decided on the state of that sequence number. */
+    record Decided(HeldCall call, Decision.Answer answer, long seq) implements PendingAnswer {}
+
+    /** Gives the answers to the callers. */
+    interface Answers {
+        void give(Reading reading);
+
+        void give(Decided decided);
+    }
+
+    private record Asked(PendingAnswer answer, long sinceMs, Set<NodeId> confirmedBy) {}
+
+    private final Replica replica;
+    private final OutputQueue outputs;
+    private final ChainMember member;
+    private final Answers answers;
+    private final Long2ObjectMap<Asked> asked = new Long2ObjectLinkedOpenHashMap<>();
+    /** Confirmed, and waiting until all that they rest on is committed. */
+    private final List<Decided> uncommitted = new ArrayList<>();
+
+    private long nextId;
+
+    /**
+     * @param firstId from chance, so that numbers of an earlier life of this node are not taken for this one's
+     */
+    Confirmations(Replica replica, OutputQueue outputs, ChainMember member, Answers answers, long firstId) {
+        this.replica = replica;
+        this.outputs = outputs;
+        this.member = member;
+        this.answers = answers;
+        nextId = firstId;
+    }
+
+    /** Asks the voters whether this view is still the newest, before an answer that rests on the state held here. */
+    void ask(PendingAnswer answer) {
+        long id = nextId++;
+        asked.put(id, new Asked(answer, replica.nowMs(), new TreeSet<>()));
+        replica.view().voters().forEach(voter -> outputs.send(voter, new Confirm(replica.epoch(), id)));
+    }
+
+    void onConfirmed(NodeId from, Confirmed confirmation) {
+        Asked question = asked.get(confirmation.id());
+        if (question == null || !counts(from, confirmation)) {
+            return;
+        }
+        question.confirmedBy().add(from);
+        if (question.confirmedBy().size() < replica.view().majority()) {
+            return;
+        }
+        asked.remove(confirmation.id());
+        if (question.answer() instanceof Reading reading) {
+            answers.give(reading);
+        } else if (question.answer() instanceof Decided decided) {
+            giveOnceCommitted(decided);
+        }
+    }
+
+    private boolean counts(NodeId from, Confirmed confirmation) {
+        return confirmation.ok()
+                && replica.view() != null
+                && confirmation.epoch() == replica.epoch()
+                && replica.view().voters().contains(from)
+                && member.established();
+    }
+
+    private void giveOnceCommitted(Decided decided) {
+        if (member.committed().seq() >= decided.seq()) {
+            answers.give(decided);
+        } else {
+            uncommitted.add(decided);
+        }
+    }
+
+    /** All up to that sequence number is committed. */
+    void committed(long seq) {
+        uncommitted.removeIf(decided -> {
+            boolean due = decided.seq() <= seq;
+            if (due) {
+                answers.give(decided);
+            }
+            return due;
+        });
+    }
+
+    /** A new view: what was decided and not answered is decided anew. */
+    void startView() {
+        asked.clear();
+        uncommitted.clear();
+    }
+
+    void tick() {
+        asked.values().removeIf(question -> replica.nowMs() - question.sinceMs() > ASKED_MS);
+    }
+}
--- /dev/null
+++ b/src/main/java/ringspindle/replication/HeldCalls.java
@@ -0,0 +1,130 @@
+package ringspindle.replication;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.NodeId;
+
+/** Calls that are not answered yet, in the order of the nodes that took them and of their numbers there. */
+final class HeldCalls {
+    /** How far a call is in the view in force. */
+    private sealed interface Progress {
+        Progress WAITING = new Waiting();
+
+        /** Neither passed on nor decided. */
+        record Waiting() implements Progress {}
+
+        /** Passed on to the head or tail of that epoch's view, or decided here as such; in another view it waits again. */
+        record HandedOver(long epoch) implements Progress {}
+    }
+
+    /** A call that is not answered yet. */
+    static final class HeldCall {
+        private final CallId id;
+        private final Call call;
+        private final long sinceMs;
+        private Progress progress = Progress.WAITING;
+
+        private HeldCall(CallId id, Call call, long sinceMs) {
+            this.id = id;
+            this.call = call;
+            this.sinceMs = sinceMs;
+        }
+
+        CallId id() {
+            return id;
+        }
+
+        Call call() {
+            return call;
+        }
+
+        CallKind kind() {
+            return CallKind.of(call.kind());
+        }
+
+        long ageMs(long nowMs) {
+            return nowMs - sinceMs;
+        }
+
+        boolean handedOverIn(long epoch) {
+            return progress instanceof Progress.HandedOver done && done.epoch() == epoch;
+        }
+
+        void handOver(long epoch) {
+            progress = new Progress.HandedOver(epoch);
+        }
+
+        /** What was passed on may be lost. */
+        void waitAgain() {
+            progress = Progress.WAITING;
+        }
+    }
+
+    private final Map<NodeId, Map<Long, HeldCall>> byOrigin = new TreeMap<>();
+    /** Answered, and to be forgotten once no walk over the calls is under way. */
+    private final List<CallId> answered = new ArrayList<>();
+
+    /** Holds a call; one of the same origin and number is replaced. */
+    void add(NodeId origin, Call call, long nowMs) {
+        CallId id = new CallId(origin, call.id());
+        byOrigin.computeIfAbsent(origin, k -> new TreeMap<>()).put(call.id(), new HeldCall(id, call, nowMs));
+    }
+
+    boolean isEmpty() {
+        return byOrigin.isEmpty();
+    }
+
+    int size() {
+        return byOrigin.values().stream().mapToInt(Map::size).sum();
+    }
+
+    /** Calls that the node took itself from callers. */
+    Iterable<HeldCall> of(NodeId origin) {
+        return byOrigin.getOrDefault(origin, Map.of()).values();
+    }
+
+    void forEach(Consumer<HeldCall> action) {
+        byOrigin.values().forEach(calls -> calls.values().forEach(action));
+    }
+
+    void removeIf(Predicate<HeldCall> condition) {
+        byOrigin.values().forEach(calls -> calls.values().removeIf(condition));
+    }
+
+    void keepOnly(NodeId origin) {
+        byOrigin.keySet().removeIf(other -> !other.equals(origin));
+    }
+
+    /** Forgets a call at once; false if it is not held. */
+    boolean remove(CallId id) {
+        Map<Long, HeldCall> calls = byOrigin.get(id.origin());
+        return calls != null && calls.remove(id.number()) != null;
+    }
+
+    private boolean holds(CallId id) {
+        Map<Long, HeldCall> calls = byOrigin.get(id.origin());
+        return calls != null && calls.containsKey(id.number());
+    }
+
+    /** The call is answered; it is forgotten by the next {@link #forgetAnswered}. */
+    void answered(CallId id) {
+        answered.add(id);
+    }
+
+    /** The same, if the call is still held here. */
+    void answeredIfHeld(CallId id) {
+        if (holds(id)) {
+            answered(id);
+        }
+    }
+
+    void forgetAnswered() {
+        answered.forEach(this::remove);
+        answered.clear();
+    }
+}
--- /dev/null
+++ b/src/main/java/ringspindle/replication/RolloutOrders.java
@@ -0,0 +1,204 @@
+package ringspindle.replication;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import jakarta.json.JsonNumber;
+import jakarta.json.JsonObject;
+import java.util.ArrayList;
+import java.util.List;
+import ringspindle.api.Outcome;
+import ringspindle.config.ConfigError;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.Validated;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.Mark;
+import ringspindle.protocol.Message.State;
+import ringspindle.replication.Rollout.Standing;
+
+/** One order on a roll-out, and what it makes of the control state: an operator's, or a step of the controller in charge. */
+final class RolloutOrders {
+    private static final int DEFAULT_AT_ONCE = 1;
+    private static final double DEFAULT_FLOOR = 0.5;
+    private static final int DEFAULT_PATIENCE_S = 120;
+    private static final long UNKNOWN_WEIGHTS = -1;
+
+    private final State state;
+    private final Call order;
+    private final JsonObject fields;
+    /** The service's roll-out as it stands, null if there is none. */
+    private final Rollout current;
+
+    private RolloutOrders(State state, Call order, JsonObject fields, Rollout current) {
+        this.state = state;
+        this.order = order;
+        this.fields = fields;
+        this.current = current;
+    }
+
+    /** What the order, a JSON object about the service that the call names, comes to on that state. */
+    static Decision decide(State state, Call order) {
+        if (!(FleetConfig.json(order.body()) instanceof Validated.Valid<JsonObject> valid)) {
+            return Decision.invalid("not a whole JSON object");
+        }
+        Mark mark = ControlState.mark(state, MarkKind.ROLLOUT, order.arg());
+        Rollout current = mark == null ? null : Rollout.read(mark.value());
+        JsonObject fields = valid.value();
+        try {
+            Decision decision = new RolloutOrders(state, order, fields, current).decide();
+            // an operator's order that was held up must not undo a newer one; the controller's own name their epoch
+            boolean operators = !fields.containsKey("epoch");
+            return operators && decision instanceof Decision.Commit && OrderDecider.overtaken(order, mark)
+                    ? Decision.answer(Outcome.UNCLEAR)
+                    : decision;
+        } catch (ClassCastException | NullPointerException | ArithmeticException e) {
+            return Decision.invalid("a field is missing or of the wrong type");
+        }
+    }
+
+    private Decision decide() {
+        String name = fields.getString("order");
+        return switch (name) {
+            case "start" -> start();
+            case "resume" -> resume();
+            case "abort" -> abort();
+            case "back" -> back();
+            default -> step(name);
+        };
+    }
+
+    // ---- operators' orders
+
+    private Decision start() {
+        long target = fields.getJsonNumber("target").longValueExact();
+        int atOnce = fields.getInt("atOnce", DEFAULT_AT_ONCE);
+        double floor = fields.get("floor") instanceof JsonNumber number ? number.doubleValue() : DEFAULT_FLOOR;
+        int patienceS = fields.getInt("patienceS", DEFAULT_PATIENCE_S);
+        if (atOnce < 1 || floor < 0 || floor >= 1 || patienceS < 1 || target < 0) {
+            return Decision.invalid("atOnce from 1, floor from 0 to below 1, patienceS from 1, target from 0");
+        }
+        if (open()) {
+            boolean same = current.target() == target && current.atOnce() == atOnce && current.floor() == floor;
+            return Decision.answer(same ? Outcome.TAKEN : Outcome.CLASH);
+        }
+        if (!serviceExists()) {
+            return Decision.invalid(new ConfigError.UnknownService("of the roll-out", order.arg()).text());
+        }
+        long from = fields.get("from") instanceof JsonNumber number ? number.longValue() : UNKNOWN_WEIGHTS;
+        return write(new Rollout(
+                order.arg(),
+                target,
+                from,
+                atOnce,
+                floor,
+                patienceS,
+                Standing.RUNNING,
+                "",
+                state.lineage(),
+                List.of(),
+                List.of()));
+    }
+
+    private Decision resume() {
+        if (current == null) {
+            return Decision.answer(Outcome.NO_SUCH);
+        }
+        if (current.state() == Standing.RUNNING) {
+            return Decision.answer(Outcome.TAKEN);
+        }
+        return open()
+                ? write(current.with(Standing.RUNNING, "", current.turn(), current.swapped()))
+                : Decision.answer(Outcome.CLASH);
+    }
+
+    private Decision abort() {
+        if (current == null) {
+            return Decision.answer(Outcome.NO_SUCH);
+        }
+        // written also if it is over: the newer mark fences a start that is still on its way
+        return write(open() ? current.with(Standing.ABORTED, "", List.of(), current.swapped()) : current);
+    }
+
+    private Decision back() {
+        if (current == null) {
+            return Decision.answer(Outcome.NO_SUCH);
+        }
+        if (current.from() < 0) {
+            return Decision.invalid("it is not known which checkpoint to turn back to");
+        }
+        return write(new Rollout(
+                current.service(),
+                current.from(),
+                current.target(),
+                current.atOnce(),
+                current.floor(),
+                current.patienceS(),
+                Standing.RUNNING,
+                "",
+                state.lineage(),
+                current.turn(),
+                List.of()));
+    }
+
+    private boolean open() {
+        return current != null && (current.state() == Standing.RUNNING || current.state() == Standing.PAUSED);
+    }
+
+    private boolean serviceExists() {
+        return state.config().length > 0
+                && FleetConfig.read(FleetConfig.unpack(state.config())) instanceof Validated.Valid<FleetConfig> config
+                && config.value().service(order.arg()) != null;
+    }
+
+    // ---- steps of the controller in charge; whoever holds an older epoch is refused
+
+    private Decision step(String name) {
+        if (current == null) {
+            return Decision.answer(Outcome.NO_SUCH);
+        }
+        boolean inCharge = fields.getJsonNumber("epoch").longValue() == state.lineage();
+        if (!inCharge || current.state() != Standing.RUNNING) {
+            return Decision.answer(Outcome.CLASH);
+        }
+        String engine = fields.getString("id", "");
+        return switch (name) {
+            case "turn" -> turn(engine);
+            case "swapped" -> turnOver(engine, true);
+            case "lost" -> turnOver(engine, false);
+            case "pause" ->
+                write(current.with(Standing.PAUSED, fields.getString("cause", ""), current.turn(), current.swapped()));
+            case "done" ->
+                current.turn().isEmpty()
+                        ? write(current.with(Standing.DONE, "", current.turn(), current.swapped()))
+                        : Decision.answer(Outcome.CLASH);
+            default -> Decision.invalid("no such order: " + name);
+        };
+    }
+
+    private Decision turn(String engine) {
+        if (current.turn().contains(engine)) {
+            return Decision.answer(Outcome.TAKEN);
+        }
+        if (current.turn().size() >= current.atOnce()) {
+            return Decision.answer(Outcome.CLASH);
+        }
+        List<String> turn = new ArrayList<>(current.turn());
+        turn.add(engine);
+        return write(current.with(current.state(), "", turn, current.swapped()));
+    }
+
+    private Decision turnOver(String engine, boolean hasSwapped) {
+        List<String> turn = new ArrayList<>(current.turn());
+        if (!turn.remove(engine)) {
+            return Decision.answer(Outcome.TAKEN);
+        }
+        List<String> swapped = new ArrayList<>(current.swapped());
+        if (hasSwapped) {
+            swapped.add(engine);
+        }
+        return write(current.with(current.state(), "", turn, swapped));
+    }
+
+    private Decision write(Rollout rollout) {
+        return Decision.commit(order, rollout.write().getBytes(UTF_8));
+    }
+}
--- a/src/test/java/ringspindle/replication/ChainReplicatedStateTest.java
+++ b/src/test/java/ringspindle/replication/ChainReplicatedStateTest.java
@@ -200,7 +200,7 @@
     @Test
     void orderSentAgainAfterHundredsOfChangesIsNeverRefused() {
         ReplicatedState a = head();
-        int changes = Content.PAST_MAX + 10;
+        int changes = TakenOrders.MAX + 10;
         for (int i = 1; i <= changes; i++) {
             synced(a, a.call(put(i, i - 1, i), 100 + i));
             a.receive(B, new Synced(1, i), 100 + i);
--- a/src/test/java/ringspindle/replication/RolloutSimulation.java
+++ b/src/test/java/ringspindle/replication/RolloutSimulation.java
@@ -90,7 +90,7 @@
     final List<String> orders = new ArrayList<>();
     final Map<String, Stand> engines = new LinkedHashMap<>();
     private final List<LoadBalancer> pickers = new ArrayList<>();
-    private final Content content = new Content();
+    private final OrderDecider decider = new OrderDecider();
     private final Random luck;
     private final Map<Long, List<Runnable>> later = new TreeMap<>();
     private State state;
@@ -152,7 +152,7 @@
     }
 
     Rollout rollout() {
-        Mark m = Content.mark(state, MarkKind.ROLLOUT, "s");
+        Mark m = ControlState.mark(state, MarkKind.ROLLOUT, "s");
         return m == null ? null : Rollout.read(m.value());
     }
 
@@ -160,11 +160,11 @@
     Outcome order(String json) {
         // whoever takes the order knows of all that came before it
         Call call = CallKind.ROLLOUT.call(1, 0, "s", json.getBytes(UTF_8)).since(state.seq());
-        Content.Decision d = content.decide(state, call);
-        if (d.op() == null) {
-            return d.outcome();
+        Decision decision = decider.decide(state, call);
+        if (decision instanceof Decision.Answer answer) {
+            return answer.outcome();
         }
-        state = Content.apply(state, d.op());
+        state = ControlState.apply(state, ((Decision.Commit) decision).op());
         Rollout r = rollout();
         // the news takes its time to each node
         for (LoadBalancer p : pickers) {
--- a/src/test/java/ringspindle/replication/RolloutTest.java
+++ b/src/test/java/ringspindle/replication/RolloutTest.java
@@ -74,11 +74,11 @@
                 sim.order(start.replace("\"target\":2", "\"target\":3")),
                 "a second one of the same service");
         assertEquals(Outcome.CLASH, sim.order("{\"order\":\"turn\",\"id\":\"i-1\",\"epoch\":0}"), "a stale holder");
-        Content.Decision unknown = new Content()
+        Decision unknown = new OrderDecider()
                 .decide(
                         new State(1, 1, 0, List.of(), List.of(), new byte[0]),
                         CallKind.ROLLOUT.call(1, 0, "other", start.getBytes(UTF_8)));
-        assertEquals(Outcome.INVALID, unknown.outcome());
+        assertEquals(Outcome.INVALID, ((Decision.Answer) unknown).outcome());
     }
 
     @Test
--- /dev/null
+++ b/src/test/java/ringspindle/replication/SuccessorLinkTest.java
@@ -0,0 +1,68 @@
+package ringspindle.replication;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** When a successor in the chain is sent a snapshot again. */
+class SuccessorLinkTest {
+    private final SuccessorLink link = new SuccessorLink();
+
+    @Test
+    void aSnapshotComesFirst() {
+        assertTrue(link.snapshotDue());
+        assertEquals(-1, link.sentSeq());
+        link.sent(7, 100);
+        assertFalse(link.snapshotDue());
+        assertEquals(7, link.sentSeq());
+    }
+
+    @Test
+    void whatIsNotConfirmedIsSentAgainAfterEverLongerPauses() {
+        List<Long> pauses = new ArrayList<>();
+        long lastMs = 0;
+        link.sent(7, 0);
+        for (long nowMs = 1; pauses.size() < 6; nowMs++) {
+            link.tick(7, nowMs);
+            if (link.snapshotDue()) {
+                pauses.add(nowMs - lastMs);
+                lastMs = nowMs;
+                link.sent(7, nowMs);
+            }
+        }
+        assertEquals(List.of(401L, 801L, 1601L, 3201L, 6401L, 6401L), pauses);
+    }
+
+    @Test
+    void whatIsConfirmedIsNotSentAgain() {
+        link.sent(7, 0);
+        link.confirmed(7);
+        link.tick(7, 100_000);
+        assertFalse(link.snapshotDue());
+    }
+
+    @Test
+    void aConfirmationEndsTheLongPauses() {
+        link.sent(7, 0);
+        link.tick(7, 401);
+        link.sent(7, 401);
+        link.confirmed(6);
+        link.tick(7, 802);
+        assertTrue(link.snapshotDue());
+    }
+
+    @Test
+    void aNewViewStartsOver() {
+        link.sent(7, 0);
+        link.confirmed(7);
+        link.startView();
+        assertTrue(link.snapshotDue());
+        link.sent(7, 0);
+        link.tick(7, 401);
+        assertTrue(link.snapshotDue(), "what was confirmed in the view before counts no more");
+    }
+}
