--- a/src/main/java/ringspindle/controlplane/ControlNodeTasks.java
+++ b/src/main/java/ringspindle/controlplane/ControlNodeTasks.java
@@ -98,7 +98,7 @@
         NodeConfig settings = context.config();
         settings.seeds().forEach(seed -> known.add(seed.at(settings.innerPort())));
         synchronized (fleet.lock) {
-            for (NodeId silent : fleet.sessions().beat(nowMs)) {
+            for (NodeId silent : fleet.sessions().peersToDrop(nowMs)) {
                 context.pool().execute(() -> context.mesh().drop(silent));
             }
             for (SessionTable.Peer peer : fleet.sessions().peers()) {
--- a/src/main/java/ringspindle/controlplane/HeartbeatExchange.java
+++ b/src/main/java/ringspindle/controlplane/HeartbeatExchange.java
@@ -34,7 +34,8 @@
                     .send(
                             to,
                             fleet.sessions()
-                                    .heartbeat(to, flags, status.epoch(), status.sequence(), digest, context.nowMs()));
+                                    .nextHeartbeat(
+                                            to, flags, status.epoch(), status.sequence(), digest, context.nowMs()));
         }
     }
 
@@ -47,7 +48,7 @@
     /** A peer's heartbeat came. */
     void received(NodeId from, Heartbeat heartbeat, long nowMs) {
         synchronized (fleet.lock) {
-            fleet.sessions().heard(from, heartbeat, nowMs);
+            fleet.sessions().received(from, heartbeat, nowMs);
             SessionTable.Peer peer = fleet.sessions().peer(from);
             if (peer != null) {
                 noted(peer, heartbeat);
@@ -66,7 +67,7 @@
         }
         boolean differs = heartbeat.digest() != 0
                 && heartbeat.digest() != fleet.facts().store().digest();
-        if (differs && peer.heardN() % DIGEST_HEARTBEATS == 0) {
+        if (differs && peer.received() % DIGEST_HEARTBEATS == 0) {
             context.mesh()
                     .send(peer.hello().node(), new Digest(fleet.facts().store().ranges()));
         }
--- a/src/main/java/ringspindle/dataplane/DataNode.java
+++ b/src/main/java/ringspindle/dataplane/DataNode.java
@@ -129,14 +129,14 @@
         long nowMs = clock.nowMs();
         synchronized (lock) {
             if (m instanceof Heartbeat p) {
-                meet.heard(from, p, nowMs);
+                meet.received(from, p, nowMs);
                 if (p.echo() == 0) {
                     // a new wire: the sooner both know that they hear each other, the better
                     heartbeat(from);
                 }
                 controls.addAll(p.heard());
                 SessionTable.Peer peer = meet.peer(from);
-                if (peer != null && p.digest() != book.digest() && peer.heardN() % 16 == 0) {
+                if (peer != null && p.digest() != book.digest() && peer.received() % 16 == 0) {
                     mesh.send(from, new Digest(book.ranges()));
                 }
             } else if (m instanceof News n) {
@@ -214,7 +214,7 @@
         long nowMs = clock.nowMs();
         synchronized (lock) {
             ticks++;
-            for (NodeId n : meet.beat(nowMs)) {
+            for (NodeId n : meet.peersToDrop(nowMs)) {
                 pool.execute(() -> mesh.drop(n));
             }
             if (ticks % 2 == 0) {
@@ -335,6 +335,6 @@
 
     private void heartbeat(NodeId to) {
         NodeFlags flags = NodeFlags.READY.when(front.ready()).and(NodeFlags.LEAVING.when(leaving));
-        mesh.send(to, meet.heartbeat(to, flags, 0, 0, book.digest(), clock.nowMs()));
+        mesh.send(to, meet.nextHeartbeat(to, flags, 0, 0, book.digest(), clock.nowMs()));
     }
 }
--- a/src/main/java/ringspindle/membership/DataNodeFact.java
+++ b/src/main/java/ringspindle/membership/DataNodeFact.java
@@ -9,32 +9,36 @@
 
 /**
  * A data node as a fact: what its session says, and which control node the session stands with. While that control node
- * is in touch the fact holds without being told again. Pure.
+ * is in touch the fact holds without being said again.
  *
  * @param flags as in its last heartbeat, none once the session is gone
  * @param via the control node that holds the session
+ * @param hello the greeting with which the data node opened the session
  */
 public record DataNodeFact(NodeFlags flags, NodeId via, Hello hello) {
+    /** Flags in one byte, then the control node's address, then the greeting as a message. */
+    private static final int HELLO_OFFSET = 1 + Long.BYTES;
 
-    /** Reads a fact's value; {@code DataNodeFact.of(item.value()).hello().zone()}. */
+    /** Reads a fact's value; {@code DataNodeFact.of(fact.value()).hello().zone()}. Throws if it is none. */
     public static DataNodeFact of(byte[] value) {
-        ByteBuffer b = ByteBuffer.wrap(value);
-        NodeFlags flags = NodeFlags.of(Byte.toUnsignedInt(b.get()));
-        NodeId via = new NodeId(b.getLong());
-        return new DataNodeFact(flags, via, (Hello) Codec.decode(Arrays.copyOfRange(value, 9, value.length)));
+        ByteBuffer buffer = ByteBuffer.wrap(value);
+        NodeFlags flags = NodeFlags.of(Byte.toUnsignedInt(buffer.get()));
+        NodeId via = new NodeId(buffer.getLong());
+        Hello hello = (Hello) Codec.decode(Arrays.copyOfRange(value, HELLO_OFFSET, value.length));
+        return new DataNodeFact(flags, via, hello);
     }
 
-    /** The fact's value; {@code DataNodeFact.of(r.value()).equals(r)}. */
+    /** The fact's value; {@code DataNodeFact.of(node.value()).equals(node)}. */
     public byte[] value() {
-        byte[] h = Codec.encode(hello);
-        return ByteBuffer.allocate(9 + h.length)
+        byte[] greeting = Codec.encode(hello);
+        return ByteBuffer.allocate(HELLO_OFFSET + greeting.length)
                 .put((byte) flags.bits())
                 .putLong(via.bits())
-                .put(h)
+                .put(greeting)
                 .array();
     }
 
-    /** True while the node takes requests; {@code roster.ready()}. */
+    /** True while the node takes requests. */
     public boolean ready() {
         return flags.has(NodeFlags.READY) && !flags.has(NodeFlags.LEAVING);
     }
--- a/src/main/java/ringspindle/membership/HeartbeatSessionTable.java
+++ b/src/main/java/ringspindle/membership/HeartbeatSessionTable.java
@@ -1,6 +1,5 @@
 package ringspindle.membership;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -30,61 +29,60 @@
     static final int DROP_AFTER_MS = 900;
     /** Not called for so long, this node itself stood still. */
     static final int STALL_MS = 450;
-    /** Heartbeats on their way whose sending times are kept, by connection. */
-    static final int IN_FLIGHT_MAX = 64;
 
-    private static final int HEARD_EVERY = 8;
-    private static final Heartbeat NONE = new Heartbeat(0, 0, NodeFlags.NONE, 0, 0, 0, List.of());
-
-    private record Sent(long number, long atMs) {}
+    /** Every so many heartbeats to a data node name the control nodes in touch. */
+    private static final int NAMES_EVERY = 8;
 
-    private final class Row implements Peer {
-        final Hello hello;
-        final long openedMs;
-        final int contactLimitMs;
-        final ArrayDeque<Sent> inFlight = new ArrayDeque<>();
-        Heartbeat newest = NONE;
-        long heardMs;
-        long contactMs = NEVER_MS;
-        long sent;
-        long heardN;
+    private static final Heartbeat NONE = new Heartbeat(0, 0, NodeFlags.NONE, 0, 0, 0, List.of());
 
-        Row(Hello hello) {
+    /** The session with one peer, over one connection. */
+    private final class Session implements Peer {
+        private final Hello hello;
+        private final long openedMs;
+        private final int contactLimitMs;
+        private final EchoedContact contact = new EchoedContact();
+        private Heartbeat newest = NONE;
+        private long receivedMs;
+        private long received;
+        private long sentToDataNode;
+
+        Session(Hello hello) {
             this.hello = hello;
-            contactLimitMs = data || hello.kind() != NodeKind.CONTROL ? DATA_CONTACT_MS : CONTROL_CONTACT_MS;
+            contactLimitMs = ownKind == NodeKind.CONTROL && isControl() ? CONTROL_CONTACT_MS : DATA_CONTACT_MS;
             openedMs = nowMs;
-            heardMs = nowMs;
+            receivedMs = nowMs;
         }
 
-        void sent(long number) {
-            if (inFlight.size() == IN_FLIGHT_MAX) {
-                inFlight.poll();
-            }
-            inFlight.add(new Sent(number, nowMs));
+        boolean isControl() {
+            return hello.kind() == NodeKind.CONTROL;
         }
 
-        void heard(Heartbeat heartbeat) {
+        void receive(Heartbeat heartbeat) {
             newest = heartbeat;
-            heardMs = nowMs;
-            heardN++;
-            while (!inFlight.isEmpty() && inFlight.peek().number() <= heartbeat.echo()) {
-                Sent echoed = inFlight.poll();
-                if (echoed.number() == heartbeat.echo()) {
-                    contactMs = echoed.atMs();
-                }
-            }
+            receivedMs = nowMs;
+            received++;
+            contact.echoed(heartbeat.echo());
+        }
+
+        /** Control nodes judge views by the names; a data node only learns whom else it might dial. */
+        boolean namesDue() {
+            return isControl() || sentToDataNode++ % NAMES_EVERY == 0;
         }
 
-        /** How long nothing was heard, not counting that this node itself stood still. */
+        /** How long nothing was received, not counting that this node itself stood still. */
         private long silentMs() {
-            return nowMs - Math.max(heardMs, resumedMs);
+            return nowMs - Math.max(receivedMs, resumedMs);
         }
 
         boolean toDrop() {
-            long provenMs = Math.max(Math.max(contactMs, openedMs), resumedMs);
+            long provenMs = Math.max(Math.max(contact.contactMs(), openedMs), resumedMs);
             return silentMs() > DROP_SILENT_MS || nowMs - provenMs > contactLimitMs + DROP_AFTER_MS;
         }
 
+        boolean names(NodeId node) {
+            return newest.heard().contains(node);
+        }
+
         @Override
         public Hello hello() {
             return hello;
@@ -97,30 +95,32 @@
 
         @Override
         public boolean linked() {
-            return nowMs - contactMs < contactLimitMs && silentMs() < SILENT_MS;
+            return nowMs - contact.contactMs() < contactLimitMs && silentMs() < SILENT_MS;
         }
 
         @Override
         public long contactMs() {
-            return contactMs;
+            return contact.contactMs();
         }
 
         @Override
-        public long heardN() {
-            return heardN;
+        public long received() {
+            return received;
         }
     }
 
-    private final NodeId me;
-    private final boolean data;
-    private final Map<NodeId, Row> rows = new TreeMap<>();
+    private final NodeId self;
+    private final NodeKind ownKind;
+    private final Map<NodeId, Session> sessions = new TreeMap<>();
     private long nowMs = NEVER_MS;
+    /** When this node last went on after it stood still. */
     private long resumedMs = NEVER_MS;
-    private long sentN;
 
-    HeartbeatSessionTable(NodeId me, boolean data) {
-        this.me = me;
-        this.data = data;
+    private long lastSent;
+
+    HeartbeatSessionTable(NodeId self, NodeKind ownKind) {
+        this.self = self;
+        this.ownKind = ownKind;
     }
 
     /** After a stall of this node the silence of others is counted anew; their contact is not. */
@@ -133,86 +133,92 @@
     }
 
     @Override
-    public void opened(Hello h, long atMs) {
+    public void opened(Hello hello, long atMs) {
         advance(atMs);
-        rows.put(h.node(), new Row(h));
+        sessions.put(hello.node(), new Session(hello));
     }
 
     @Override
     public void closed(NodeId peer) {
-        rows.remove(peer);
+        sessions.remove(peer);
     }
 
     @Override
-    public void heard(NodeId from, Heartbeat heartbeat, long atMs) {
+    public void received(NodeId from, Heartbeat heartbeat, long atMs) {
         advance(atMs);
-        Row r = rows.get(from);
-        if (r != null) {
-            r.heard(heartbeat);
+        Session session = sessions.get(from);
+        if (session != null) {
+            session.receive(heartbeat);
         }
     }
 
     @Override
     public Collection<? extends Peer> peers() {
-        return rows.values();
+        return sessions.values();
     }
 
     @Override
-    public Peer peer(NodeId id) {
-        return rows.get(id);
+    public Peer peer(NodeId node) {
+        return sessions.get(node);
     }
 
     @Override
-    public List<NodeId> beat(long atMs) {
+    public List<NodeId> peersToDrop(long atMs) {
         advance(atMs);
         List<NodeId> drop = new ArrayList<>();
-        rows.forEach((id, r) -> {
-            if (r.toDrop()) {
-                drop.add(id);
+        sessions.forEach((node, session) -> {
+            if (session.toDrop()) {
+                drop.add(node);
             }
         });
         return drop;
     }
 
     @Override
-    public Heartbeat heartbeat(NodeId to, NodeFlags flags, long epoch, long seq, long digest, long atMs) {
+    public Heartbeat nextHeartbeat(NodeId to, NodeFlags flags, long epoch, long seq, long digest, long atMs) {
         advance(atMs);
-        Row r = rows.get(to);
-        long n = ++sentN;
-        if (r == null) {
-            return new Heartbeat(n, 0, flags, epoch, seq, digest, linkedControls());
-        }
-        r.sent(n);
-        // control nodes judge views by it; a data node only learns whom else it might dial
-        boolean names = r.hello.kind() == NodeKind.CONTROL || r.sent++ % HEARD_EVERY == 0;
-        return new Heartbeat(n, r.newest.n(), flags, epoch, seq, digest, names ? linkedControls() : List.of());
+        Session session = sessions.get(to);
+        long number = ++lastSent;
+        if (session == null) {
+            return new Heartbeat(number, 0, flags, epoch, seq, digest, linkedControlNodes());
+        }
+        session.contact.sent(number, nowMs);
+        List<NodeId> names = session.namesDue() ? linkedControlNodes() : List.of();
+        return new Heartbeat(number, session.newest.n(), flags, epoch, seq, digest, names);
     }
 
-    private List<NodeId> linkedControls() {
+    private List<NodeId> linkedControlNodes() {
         List<NodeId> linked = new ArrayList<>();
-        rows.forEach((id, r) -> {
-            if (r.hello.kind() == NodeKind.CONTROL && r.linked()) {
-                linked.add(id);
+        sessions.forEach((node, session) -> {
+            if (session.isControl() && session.linked()) {
+                linked.add(node);
             }
         });
         return linked;
     }
 
     @Override
-    public boolean linked(NodeId a, NodeId b) {
-        if (a.equals(b)) {
+    public boolean linked(NodeId one, NodeId other) {
+        if (one.equals(other)) {
             return true;
         }
-        if (a.equals(me) || b.equals(me)) {
-            Row r = rows.get(a.equals(me) ? b : a);
-            return r != null && r.linked();
-        }
-        Row x = rows.get(a);
-        Row y = rows.get(b);
-        boolean hearsX = x != null && x.linked();
-        boolean hearsY = y != null && y.linked();
-        boolean xSays = hearsX && x.newest.heard().contains(b);
-        boolean ySays = hearsY && y.newest.heard().contains(a);
-        return hearsX && hearsY ? xSays && ySays : xSays || ySays;
+        if (one.equals(self)) {
+            return linked(other);
+        }
+        return other.equals(self) ? linked(one) : linkedAsTheySay(one, other);
+    }
+
+    private boolean linked(NodeId peer) {
+        Session session = sessions.get(peer);
+        return session != null && session.linked();
+    }
+
+    /** Where this node is in touch with both, both must say so; else the one in touch is believed. */
+    private boolean linkedAsTheySay(NodeId one, NodeId other) {
+        boolean hearsOne = linked(one);
+        boolean hearsOther = linked(other);
+        boolean oneSays = hearsOne && sessions.get(one).names(other);
+        boolean otherSays = hearsOther && sessions.get(other).names(one);
+        return hearsOne && hearsOther ? oneSays && otherSays : oneSays || otherSays;
     }
 }
--- a/src/main/java/ringspindle/membership/SessionTable.java
+++ b/src/main/java/ringspindle/membership/SessionTable.java
@@ -9,8 +9,8 @@
 import ringspindle.protocol.NodeKind;
 
 /**
- * Sessions of one node with others, told from their heartbeats. All times are of this node's steady clock. Pure; not
- * thread safe.
+ * Sessions of one node with others, judged from their heartbeats. All times are of this node's monotonic clock, in
+ * milliseconds. A state machine without clock and socket; not thread safe.
  */
 public interface SessionTable {
     /** The time of a contact that never was. */
@@ -21,17 +21,17 @@
         /** The greeting with which the peer opened its connection. */
         Hello hello();
 
-        /** The newest heartbeat of the peer. */
+        /** The newest heartbeat of the peer; number 0 and no flags before the first. */
         Heartbeat heartbeat();
 
-        /** Both sides heard each other lately, as of the last call that told the time. */
+        /** Both sides heard each other lately, as of the last call that passed the time. */
         boolean linked();
 
         /** When the newest own heartbeat that the peer echoed was sent: it lived then or later. {@link #NEVER_MS} if none. */
         long contactMs();
 
         /** How many heartbeats came over this connection. */
-        long heardN();
+        long received();
 
         /** True for a control node in touch that is in touch with a majority and does not leave. */
         default boolean serves() {
@@ -43,40 +43,46 @@
         }
     }
 
-    /** A wire stands; {@code meet.opened(hello, nowMs)}. */
-    void opened(Hello h, long nowMs);
+    /** A connection to the peer stands, in place of an earlier one. */
+    void opened(Hello hello, long nowMs);
 
-    /** The wire is gone. */
+    /** The connection to the peer is gone. */
     void closed(NodeId peer);
 
-    /** A beat came. */
-    void heard(NodeId from, Heartbeat p, long nowMs);
+    /** A heartbeat came. */
+    void received(NodeId from, Heartbeat heartbeat, long nowMs);
 
-    /** Tells the time; links are judged as of then. {@code meet.advance(nowMs)} before a question from outside. */
+    /** Passes the time; links are judged as of then. Called before a question from outside. */
     void advance(long nowMs);
 
-    /** Peers whose wire stands; {@code meet.peers()}. */
+    /** Peers whose connection stands, in order of their addresses. */
     Collection<? extends Peer> peers();
 
     /** One of them, null if there is none. */
-    Peer peer(NodeId id);
-
-    /** Judges silence; returns peers whose connection is to be dropped. {@code meet.beat(nowMs).forEach(mesh::drop)}. */
-    List<NodeId> beat(long nowMs);
-
-    /** The heartbeat to send to a peer now; {@code mesh.send(p, meet.heartbeat(p, flags, epoch, seq, digest, nowMs))}. */
-    Heartbeat heartbeat(NodeId to, NodeFlags flags, long epoch, long seq, long digest, long nowMs);
-
-    /** True while both heard each other, as far as this node can tell; {@code meet.linked(a, b)}. */
-    boolean linked(NodeId a, NodeId b);
-
-    /** {@code SessionTable.forControl(me)} for a control node's sessions. */
-    static SessionTable forControl(NodeId me) {
-        return new HeartbeatSessionTable(me, false);
+    Peer peer(NodeId node);
+
+    /** Peers that were silent for too long; their connections are to be dropped. {@code sessions.peersToDrop(nowMs).forEach(mesh::drop)}. */
+    List<NodeId> peersToDrop(long nowMs);
+
+    /**
+     * The heartbeat to send to a peer now; each call makes a new one.
+     *
+     * @param epoch of the view in force here
+     * @param seq the last committed operation known here
+     * @param digest of the facts known here
+     */
+    Heartbeat nextHeartbeat(NodeId to, NodeFlags flags, long epoch, long seq, long digest, long nowMs);
+
+    /** True while both heard each other, as far as this node can tell; one of them may be this node. */
+    boolean linked(NodeId one, NodeId other);
+
+    /** Sessions of a control node. */
+    static SessionTable forControl(NodeId self) {
+        return new HeartbeatSessionTable(self, NodeKind.CONTROL);
     }
 
-    /** {@code SessionTable.forData(me)} for a data node's sessions, which have fewer heartbeats. */
-    static SessionTable forData(NodeId me) {
-        return new HeartbeatSessionTable(me, true);
+    /** Sessions of a data node, which have fewer heartbeats. */
+    static SessionTable forData(NodeId self) {
+        return new HeartbeatSessionTable(self, NodeKind.DATA);
     }
 }
--- a/src/test/java/ringspindle/membership/SessionTableTest.java
+++ b/src/test/java/ringspindle/membership/SessionTableTest.java
@@ -32,7 +32,7 @@
     }
 
     private static Heartbeat sent(SessionTable from, NodeId to, long nowMs) {
-        return from.heartbeat(to, NodeFlags.NONE, 0, 0, 0, nowMs);
+        return from.nextHeartbeat(to, NodeFlags.NONE, 0, 0, 0, nowMs);
     }
 
     /** What a peer says after it heard a heartbeat. */
@@ -100,7 +100,7 @@
             due.removeIf(w -> w.atMs() > nowMs || w.toA() && stalled());
             way.removeAll(due);
             for (OnItsWay w : due) {
-                (w.toA() ? a : b).heard(w.toA() ? B : A, w.heartbeat(), nowMs);
+                (w.toA() ? a : b).received(w.toA() ? B : A, w.heartbeat(), nowMs);
             }
         }
 
@@ -108,13 +108,13 @@
         void step() {
             deliver();
             if (!stalled() && nowMs % 100 == 0) {
-                a.beat(nowMs).forEach(n -> dropped.add(n));
+                a.peersToDrop(nowMs).forEach(n -> dropped.add(n));
                 if (nowMs % everyMs == 0) {
                     send(false, sent(a, B, nowMs));
                 }
             }
             if (nowMs % 100 == phaseMs % 100) {
-                b.beat(nowMs).forEach(n -> dropped.add(n));
+                b.peersToDrop(nowMs).forEach(n -> dropped.add(n));
                 if (nowMs % everyMs == phaseMs) {
                     send(true, sent(b, A, nowMs));
                 }
@@ -211,21 +211,21 @@
         SessionTable a = SessionTable.forControl(A);
         a.opened(hello(B), 0);
         Heartbeat before = sent(a, B, 0);
-        a.heard(B, echo(1, before), 50);
-        a.beat(100);
+        a.received(B, echo(1, before), 50);
+        a.peersToDrop(100);
         assertTrue(a.linked(A, B));
         Heartbeat unanswered = sent(a, B, 200);
 
         long wokeMs = 20_200;
-        a.heard(B, echo(2, unanswered), wokeMs);
+        a.received(B, echo(2, unanswered), wokeMs);
         assertFalse(a.linked(A, B), "what waited in the socket is old");
-        assertEquals(List.of(), a.beat(wokeMs), "no connection is dropped for what was missed");
+        assertEquals(List.of(), a.peersToDrop(wokeMs), "no connection is dropped for what was missed");
         assertFalse(a.linked(A, B), "after a freeze nothing is known");
         Heartbeat after = sent(a, B, wokeMs + 10);
         assertEquals(List.of(), after.heard(), "nor is it told to others");
-        a.heard(B, echo(3, unanswered), wokeMs + 20);
+        a.received(B, echo(3, unanswered), wokeMs + 20);
         assertFalse(a.linked(A, B));
-        a.heard(B, echo(4, after), wokeMs + 60);
+        a.received(B, echo(4, after), wokeMs + 60);
         assertTrue(a.linked(A, B));
     }
 
@@ -233,12 +233,12 @@
     void afterAFreezeASilentPeerIsDroppedInTheEnd() {
         SessionTable a = SessionTable.forControl(A);
         a.opened(hello(B), 0);
-        a.heard(B, echo(1, sent(a, B, 0)), 50);
-        a.beat(100);
+        a.received(B, echo(1, sent(a, B, 0)), 50);
+        a.peersToDrop(100);
         List<NodeId> dropped = new ArrayList<>();
         long nowMs = 20_000;
         while (dropped.isEmpty() && nowMs < 30_000) {
-            dropped.addAll(a.beat(nowMs));
+            dropped.addAll(a.peersToDrop(nowMs));
             nowMs += 100;
         }
         assertEquals(List.of(B), dropped);
@@ -253,8 +253,8 @@
         long n = 1;
         List<NodeId> dropped = new ArrayList<>();
         for (long nowMs = 100; nowMs < 4000; nowMs += 100) {
-            a.heard(B, echo(n++, first), nowMs);
-            dropped.addAll(a.beat(nowMs));
+            a.received(B, echo(n++, first), nowMs);
+            dropped.addAll(a.peersToDrop(nowMs));
         }
         assertTrue(dropped.contains(B));
     }
@@ -265,17 +265,17 @@
         a.opened(hello(B), 0);
         a.opened(hello(C), 0);
         Heartbeat toC = sent(a, C, 0);
-        a.heard(B, echo(1, toC), 50);
+        a.received(B, echo(1, toC), 50);
         assertFalse(a.linked(A, B));
         Heartbeat toB = sent(a, B, 100);
         a.opened(hello(B), 200);
-        a.heard(B, echo(1, toB), 250);
+        a.received(B, echo(1, toB), 250);
         assertFalse(a.linked(A, B), "an echo over a new connection of what was sent on the old one");
         Heartbeat old = sent(a, B, 300);
-        for (int i = 0; i < HeartbeatSessionTable.IN_FLIGHT_MAX; i++) {
+        for (int i = 0; i < EchoedContact.IN_FLIGHT_MAX; i++) {
             sent(a, B, 301 + i);
         }
-        a.heard(B, echo(2, old), 400);
+        a.received(B, echo(2, old), 400);
         assertFalse(a.linked(A, B), "its sending time is forgotten");
     }
 
@@ -295,15 +295,15 @@
         a.opened(hello(C), 0);
         Heartbeat p = sent(a, B, 0);
         Heartbeat q = sent(a, C, 0);
-        a.heard(B, echo(1, p, A, C), 100);
-        a.heard(C, echo(1, q, A), 100);
+        a.received(B, echo(1, p, A, C), 100);
+        a.received(C, echo(1, q, A), 100);
         assertFalse(a.linked(B, C), "one of them does not hear the other");
         Heartbeat r = sent(a, C, 150);
-        a.heard(C, echo(2, r, A, B), 200);
+        a.received(C, echo(2, r, A, B), 200);
         assertTrue(a.linked(B, C));
         Heartbeat fresh = sent(a, C, 1000);
-        a.heard(C, echo(3, fresh, A), 1100);
-        a.beat(1200);
+        a.received(C, echo(3, fresh, A), 1100);
+        a.peersToDrop(1200);
         assertFalse(a.linked(A, B));
         assertFalse(a.linked(B, C), "the word of the one that is out of touch counts no more");
     }
