--- a/src/main/java/ringspindle/config/FleetConfig.java
+++ b/src/main/java/ringspindle/config/FleetConfig.java
@@ -308,23 +308,48 @@
         return all;
     }
 
+    /**
+     * The regions that may serve every request of a host: those that are a home of each of its routes that have homes.
+     * Empty if none of its routes has homes, or no region is a home of all of these.
+     */
+    public Set<String> homeRegions(String host) {
+        Set<String> common = null;
+        for (Route route : routesOf(host)) {
+            if (route.homes().isEmpty()) {
+                continue;
+            }
+            if (common == null) {
+                common = new HashSet<>(route.homes());
+            } else {
+                common.retainAll(route.homes());
+            }
+        }
+        return common == null ? Set.of() : common;
+    }
+
     /** The mapping with the longest prefix, null if there is none; {@code config.find("a.example", "/x/2f")}. */
     public Route find(String host, String path) {
-        List<Route> of = host == null ? null : byHost.get(host.toLowerCase(Locale.ROOT));
-        if (of == null && host != null && host.indexOf(':') > 0) {
-            // the port in Host is the node's, not the mapping's
-            of = byHost.get(host.substring(0, host.lastIndexOf(':')).toLowerCase(Locale.ROOT));
-        }
-        if (of != null) {
-            for (Route m : of) {
-                if (path.startsWith(m.pathPrefix())) {
-                    return m;
-                }
+        for (Route route : routesOf(host)) {
+            if (path.startsWith(route.pathPrefix())) {
+                return route;
             }
         }
         return null;
     }
 
+    /** The routes of a host, longest prefix first. */
+    private List<Route> routesOf(String host) {
+        if (host == null) {
+            return List.of();
+        }
+        List<Route> routes = byHost.get(host.toLowerCase(Locale.ROOT));
+        if (routes == null && host.indexOf(':') > 0) {
+            // the port in Host is the node's, not the route's
+            routes = byHost.get(host.substring(0, host.lastIndexOf(':')).toLowerCase(Locale.ROOT));
+        }
+        return routes == null ? List.of() : routes;
+    }
+
     /** The JSON as sent; {@code config.source().getInt("revision")}. */
     public JsonObject source() {
         return source;
--- a/src/main/java/ringspindle/controlplane/ControlNodeTasks.java
+++ b/src/main/java/ringspindle/controlplane/ControlNodeTasks.java
@@ -77,6 +77,7 @@
         survey.heartbeatTo().forEach(heartbeats::send);
         rollouts.tick(view, serving.quorate() && hearsEngines(nowMs), ticks, nowMs);
         synchronized (fleet.lock) {
+            fleet.dataNodes().tick(nowMs);
             fleet.leases().tick(view, serving.quorate(), ticks, nowMs);
             exchangeLoad(nowMs);
             committedFacts.spread();
--- a/src/main/java/ringspindle/controlplane/DataNodeDirectory.java
+++ b/src/main/java/ringspindle/controlplane/DataNodeDirectory.java
@@ -5,6 +5,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
+import java.util.function.Predicate;
+import java.util.function.Supplier;
 import ringspindle.membership.DataNodeFact;
 import ringspindle.membership.SessionTable;
 import ringspindle.protocol.FactKind;
@@ -13,6 +16,7 @@
 import ringspindle.protocol.Message.Hello;
 import ringspindle.protocol.NodeFlags;
 import ringspindle.protocol.NodeId;
+import ringspindle.protocol.NodeKind;
 
 /** Data nodes as facts: told by the control node that holds the session, and good while that node is in touch. Guarded by its owner. */
 final class DataNodeDirectory {
@@ -27,7 +31,8 @@
     private final NodeId me;
     private final SessionTable sessions;
     private final FleetFacts facts;
-    private final Map<NodeId, Long> viaLostMs = new HashMap<>();
+    /** When each other control node was last in touch, as of the last tick. */
+    private final Map<NodeId, Long> lastLinkedMs = new HashMap<>();
 
     DataNodeDirectory(NodeId me, SessionTable sessions, FleetFacts facts) {
         this.me = me;
@@ -69,31 +74,47 @@
     }
 
     /**
-     * Frontends for a consumer, nearest first.
+     * Addresses of data nodes for a client: those of its zone that take requests, else of its region, else of the regions
+     * that may serve all requests of the host it asks for, else all.
      *
+     * @param homeRegions asked for only where the client's region has none; empty if the host's routes name none
      * @param inTouch without a majority only those count that this node itself is in touch with: what others told may be old
      */
-    List<String> addresses(String region, String zone, boolean inTouch, long nowMs) {
-        List<String> inZone = new ArrayList<>();
-        List<String> inRegion = new ArrayList<>();
-        List<String> all = new ArrayList<>();
-        for (Fact i : facts.store().all(FactKind.NODE)) {
-            DataNodeFact r = DataNodeFact.of(i.value());
-            if (!r.ready() || !(inTouch ? holds(i, r, nowMs) : linkedHere(r))) {
-                continue;
-            }
-            Hello h = r.hello();
-            String address = new NodeId(h.front()).toString();
-            all.add(address);
-            if (h.region().equals(region)) {
-                inRegion.add(address);
+    List<String> addresses(String region, String zone, Supplier<Set<String>> homeRegions, boolean inTouch, long nowMs) {
+        List<Hello> ready = new ArrayList<>();
+        for (Fact fact : facts.store().all(FactKind.NODE)) {
+            DataNodeFact node = DataNodeFact.of(fact.value());
+            if (node.ready() && (inTouch ? holds(fact, node, nowMs) : linkedHere(node))) {
+                ready.add(node.hello());
             }
-            if (h.zone().equals(zone)) {
-                inZone.add(address);
+        }
+        List<String> nearest = addressesWhere(ready, node -> node.zone().equals(zone));
+        if (nearest.isEmpty()) {
+            nearest = addressesWhere(ready, node -> node.region().equals(region));
+        }
+        if (nearest.isEmpty()) {
+            Set<String> homes = homeRegions.get();
+            nearest = addressesWhere(ready, node -> homes.contains(node.region()));
+        }
+        return nearest.isEmpty() ? addressesWhere(ready, node -> true) : nearest;
+    }
+
+    private static List<String> addressesWhere(List<Hello> nodes, Predicate<Hello> wanted) {
+        return nodes.stream()
+                .filter(wanted)
+                .limit(ADDRESSES_MAX)
+                .map(node -> new NodeId(node.front()).toString())
+                .toList();
+    }
+
+    /** Notes which control nodes are in touch: what one has told of data nodes does not outlast it by much. */
+    void tick(long nowMs) {
+        for (SessionTable.Peer peer : sessions.peers()) {
+            NodeId node = peer.hello().node();
+            if (peer.hello().kind() == NodeKind.CONTROL && sessions.linked(me, node)) {
+                lastLinkedMs.put(node, nowMs);
             }
         }
-        List<String> out = !inZone.isEmpty() ? inZone : !inRegion.isEmpty() ? inRegion : all;
-        return out.size() > ADDRESSES_MAX ? out.subList(0, ADDRESSES_MAX) : out;
     }
 
     private boolean linkedHere(DataNodeFact r) {
@@ -110,11 +131,8 @@
         if (r.via().equals(me)) {
             return linkedHere(r);
         }
-        if (sessions.linked(me, r.via())) {
-            viaLostMs.remove(r.via());
-            return true;
-        }
-        return nowMs - viaLostMs.computeIfAbsent(r.via(), k -> nowMs) < VIA_MS;
+        return sessions.linked(me, r.via())
+                || nowMs - lastLinkedMs.getOrDefault(r.via(), SessionTable.NEVER_MS) < VIA_MS;
     }
 
     /** Data nodes as known here, and whether their facts still hold. */
--- a/src/main/java/ringspindle/controlplane/FleetQueries.java
+++ b/src/main/java/ringspindle/controlplane/FleetQueries.java
@@ -39,12 +39,15 @@
     /**
      * Addresses of data nodes for a client, nearest first. Without a majority only those that this node itself is in touch
      * with: what others said of them may be old.
+     *
+     * @param host the host that the client asks for
      */
-    List<String> frontends(String region, String zone) {
+    List<String> frontends(String host, String region, String zone) {
         synchronized (fleet.lock) {
             long nowMs = context.nowMs();
             fleet.sessions().advance(nowMs);
-            return fleet.dataNodes().addresses(region, zone, quorum.inTouch(nowMs), nowMs);
+            return fleet.dataNodes()
+                    .addresses(region, zone, () -> fleet.homeRegions().of(host), quorum.inTouch(nowMs), nowMs);
         }
     }
 
--- a/src/main/java/ringspindle/controlplane/FleetState.java
+++ b/src/main/java/ringspindle/controlplane/FleetState.java
@@ -23,6 +23,7 @@
     private final SessionTable sessions;
     private final FleetFacts facts;
     private final DataNodeDirectory dataNodes;
+    private final HomeRegions homeRegions;
     private final LoadAggregator loads;
     private final FactDissemination dissemination;
     private final QuotaLeaseIssuer leases;
@@ -35,6 +36,7 @@
         sessions = SessionTable.forControl(me);
         facts = new FleetFacts(config, context.clock());
         dataNodes = new DataNodeDirectory(me, sessions, facts);
+        homeRegions = new HomeRegions(facts.store());
         loads = new LoadAggregator(config, self, mesh, sessions, facts);
         dissemination = new FactDissemination(mesh, sessions, facts);
         leases = new QuotaLeaseIssuer(me, facts, dataNodes);
@@ -67,6 +69,12 @@
         return facts;
     }
 
+    /** Regions that may serve a host; the lock is held. */
+    HomeRegions homeRegions() {
+        assert Thread.holdsLock(lock);
+        return homeRegions;
+    }
+
     /** Data nodes; the lock is held. */
     DataNodeDirectory dataNodes() {
         assert Thread.holdsLock(lock);
--- /dev/null
+++ b/src/test/java/ringspindle/controlplane/DataNodeDirectoryTest.java
@@ -0,0 +1,144 @@
+package ringspindle.controlplane;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Properties;
+import java.util.Set;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.NodeConfig;
+import ringspindle.config.Validated;
+import ringspindle.membership.DataNodeFact;
+import ringspindle.membership.SessionTable;
+import ringspindle.protocol.FactKind;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.Heartbeat;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.NodeFlags;
+import ringspindle.protocol.NodeId;
+import ringspindle.protocol.NodeKind;
+
+/** Clients are sent to data nodes that run, near them, and never abroad while a home of what they ask for has one. */
+class DataNodeDirectoryTest {
+    private static final NodeId ME = NodeId.of("10.0.0.1:7000");
+    private static final NodeId OTHER = NodeId.of("10.0.0.2:7000");
+    private static final Set<String> NO_HOMES = Set.of();
+    private static final long LONG_AGO_MS = 60_000;
+
+    private final Map<String, Long> versions = new HashMap<>();
+    private SessionTable sessions;
+    private FleetFacts facts;
+    private DataNodeDirectory directory;
+    private long nowMs = 1_000_000;
+
+    @BeforeEach
+    void create() {
+        Properties settings = new Properties();
+        settings.putAll(Map.of(
+                "node.name",
+                "c",
+                "node.ip",
+                "10.0.0.1",
+                "node.zone",
+                "za",
+                "node.region",
+                "a",
+                "listen.control",
+                "10.0.0.1:1",
+                "listen.registry",
+                "10.0.0.1:2",
+                "listen.inner",
+                "7000",
+                "seeds",
+                "10.0.0.1:1",
+                "node.data",
+                "/data"));
+        settings.putAll(Map.of("zone.za", "a", "zone.zb", "b", "zone.zc", "c"));
+        sessions = SessionTable.forControl(ME);
+        facts = new FleetFacts(((Validated.Valid<NodeConfig>) NodeConfig.check(settings)).value(), () -> nowMs);
+        directory = new DataNodeDirectory(ME, sessions, facts);
+    }
+
+    /** A data node as that control node tells of it; its address ends with its number. */
+    private void dataNode(int number, String region, boolean ready, NodeId via) {
+        NodeId node = NodeId.of("10.1.0." + number + ":7000");
+        Hello hello = new Hello(
+                node, 1, NodeKind.DATA, NodeId.of("10.1.0." + number + ":80").bits(), "d", "z" + region, region);
+        long version = versions.merge(node.toString(), 1L, Long::sum);
+        NodeFlags flags = ready ? NodeFlags.READY : NodeFlags.NONE;
+        facts.merge(List.of(
+                new Fact(FactKind.NODE, node.toString(), 1, version, new DataNodeFact(flags, via, hello).value())));
+    }
+
+    private List<String> addresses(String region, Set<String> homes) {
+        return directory.addresses(region, "z" + region, () -> homes, true, nowMs);
+    }
+
+    private static String address(int number) {
+        return "10.1.0." + number + ":80";
+    }
+
+    /** The other control node answers a heartbeat, so that both have heard each other. */
+    private void hearFromOther(long number) {
+        Heartbeat sent = sessions.heartbeat(OTHER, NodeFlags.NONE, 0, 0, 0, nowMs);
+        sessions.heard(OTHER, new Heartbeat(number, sent.n(), NodeFlags.NONE, 0, 0, 0, List.of(ME)), nowMs);
+        sessions.advance(nowMs);
+        directory.tick(nowMs);
+    }
+
+    @Test
+    void clientOfARegionWithoutNodesIsSentToAHome() {
+        dataNode(1, "a", true, OTHER);
+        dataNode(2, "b", false, OTHER);
+        dataNode(3, "c", true, OTHER);
+        assertEquals(List.of(address(1)), addresses("b", Set.of("a", "b")));
+        assertEquals(List.of(address(3)), addresses("c", Set.of("a", "b")));
+        assertEquals(Set.of(address(1), address(3)), Set.copyOf(addresses("b", NO_HOMES)));
+    }
+
+    @Test
+    void clientIsSentAbroadOnlyIfNoHomeHasANode() {
+        dataNode(1, "a", false, OTHER);
+        dataNode(2, "b", false, OTHER);
+        dataNode(3, "c", true, OTHER);
+        assertEquals(List.of(address(3)), addresses("b", Set.of("a", "b")));
+    }
+
+    @Test
+    void nodesOfALostControlNodeAreNotNamedHoweverLateTheFirstQuestionComes() {
+        sessions.opened(new Hello(OTHER, 1, NodeKind.CONTROL, 0, "o", "zb", "b"), nowMs);
+        dataNode(2, "b", true, OTHER);
+        for (int number = 1; number < 50; number++) {
+            nowMs += 100;
+            hearFromOther(number);
+        }
+        assertEquals(List.of(address(2)), addresses("b", NO_HOMES));
+        nowMs += LONG_AGO_MS;
+        sessions.advance(nowMs);
+        directory.tick(nowMs);
+        assertEquals(List.of(), addresses("b", NO_HOMES));
+    }
+
+    @Test
+    void homesOfAHostAreThoseOfAllItsRoutes() {
+        String route = "{\"name\":\"%s\",\"host\":\"h.example\",\"pathPrefix\":\"/%s/\",\"routeKind\":\"streaming\","
+                + "\"deadlineMs\":1000,\"targetLatencyMs\":100,\"priority\":0,\"service\":\"s\",\"maxAttempts\":1,"
+                + "\"homeRegions\":[%s]}";
+        String json = "{\"revision\":3,\"routes\":[" + route.formatted("one", "one", "\"a\",\"b\"") + ","
+                + route.formatted("two", "two", "\"b\",\"c\"") + "," + route.formatted("any", "any", "")
+                + "],\"services\":[{\"name\":\"s\",\"healthPath\":\"/h\",\"maxConnections\":9,\"warmupS\":0,"
+                + "\"warmupPerS\":0}]}";
+        FleetConfig config = ((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
+        HomeRegions homes = new HomeRegions(facts.store());
+        assertTrue(homes.of("h.example").isEmpty(), "no configuration yet");
+        facts.merge(List.of(new Fact(FactKind.CONFIG, "", 0, 3, config.packed())));
+        assertEquals(Set.of("b"), homes.of("H.example:8161"));
+        assertTrue(homes.of("other.example").isEmpty());
+    }
+}
