--- a/src/main/java/ringspindle/cli/Explain.java
+++ b/src/main/java/ringspindle/cli/Explain.java
@@ -28,46 +28,48 @@
      * @param engines engines that may serve it, none if they are not known
      */
     static List<String> lines(ServingRules rules, RequestAttributes request, String prefix, List<Candidate> engines) {
-        ServingRule rule = rules.of(request);
+        ServingRule rule = rules.match(request);
         Affinity.Key key = rule.affinity() == null
-                ? Affinity.plain(prefix)
+                ? Affinity.defaultKey(prefix)
                 : rule.affinity().key(prefix);
         List<String> lines = new ArrayList<>();
         lines.add("rule       " + ruleText(rules, rule));
         lines.add("class      " + classText(rules, rule));
         lines.add("affinity   " + affinityText(rule.affinity(), key));
-        if (key.key() != 0) {
+        if (key.hash() != 0) {
             lines.addAll(ranking(key, engines));
         }
-        lines.add("when busy  " + fallbackText(rule.busy()));
-        lines.add("when gone  " + fallbackText(rule.gone()));
+        lines.add("when busy  " + fallbackText(rule.whenBusy()));
+        lines.add("when gone  " + fallbackText(rule.whenUnavailable()));
         return lines;
     }
 
     private static String ruleText(ServingRules rules, ServingRule rule) {
-        String reason = rule.name().equals(ServingRules.PLAIN) ? "as no rule before it fits" : "the first that fits";
+        String reason =
+                rule.name().equals(ServingRules.DEFAULT_CLASS) ? "as no rule before it fits" : "the first that fits";
         return rule.name() + " of revision " + rules.revision() + ", " + reason;
     }
 
     private static String classText(ServingRules rules, ServingRule rule) {
         return "rank " + (rule.rank() < 0 ? "as the route says" : rule.rank())
                 + ", share kept " + rule.share()
-                + ", left to others " + String.format(Locale.ROOT, "%.2f", rules.kept(rule))
+                + ", left to others " + String.format(Locale.ROOT, "%.2f", rules.shareReservedForOthers(rule))
                 + ", waits " + (rule.waitMs() < 0 ? "as without rules" : rule.waitMs() + " ms");
     }
 
     private static String affinityText(Affinity affinity, Affinity.Key key) {
-        String by = affinity == null ? "as without rules" : affinity.by().name().toLowerCase(Locale.ROOT);
-        if (key.key() == 0) {
+        String by =
+                affinity == null ? "as without rules" : affinity.basis().name().toLowerCase(Locale.ROOT);
+        if (key.hash() == 0) {
             return by + ", nothing is shared, so no engine holds it";
         }
-        return by + ", key " + Long.toHexString(key.key()) + ", " + key.sharedTokens() + " tokens shared";
+        return by + ", key " + Long.toHexString(key.hash()) + ", " + key.sharedTokens() + " tokens shared";
     }
 
     /** The engines that rank first for the key, as the load balancer ranks them. */
     private static List<String> ranking(Affinity.Key key, List<Candidate> engines) {
         List<Candidate> ranked = new ArrayList<>(engines);
-        ranked.sort(Comparator.comparingLong(engine -> RendezvousHash.rank(LoadSummary.key(engine.id()), key.key())));
+        ranked.sort(Comparator.comparingLong(engine -> RendezvousHash.rank(LoadSummary.key(engine.id()), key.hash())));
         List<String> lines = new ArrayList<>();
         for (Candidate engine : ranked.subList(0, Math.min(CANDIDATES_SHOWN, ranked.size()))) {
             String label = lines.isEmpty() ? "holder     " : "next       ";
@@ -84,7 +86,7 @@
         for (FallbackTarget target : targets) {
             text.append(text.isEmpty() ? "" : ", then ")
                     .append(target.waitMs() > 0 ? "after " + target.waitMs() + " ms " : "")
-                    .append(target.to().name().toLowerCase(Locale.ROOT))
+                    .append(target.scope().name().toLowerCase(Locale.ROOT))
                     .append(target.regions().isEmpty() ? "" : " " + String.join(" or ", target.regions()));
         }
         return text + ", then refused with Retry-After";
--- a/src/main/java/ringspindle/cli/RulesCommand.java
+++ b/src/main/java/ringspindle/cli/RulesCommand.java
@@ -20,6 +20,7 @@
 import ringspindle.config.Validated.Valid;
 import ringspindle.routing.RequestAttributes;
 import ringspindle.routing.ServingRules;
+import ringspindle.routing.ServingRulesValidator;
 
 /** {@code rules}: reads, checks, replaces, compares or explains the serving rules, and shows which nodes follow them. */
 @Parameters(commandDescription = "serving rules: get | check FILE | put FILE | diff FILE | explain | status")
@@ -132,7 +133,7 @@
             }
             fleet = ((Valid<FleetConfig>) read).value();
         }
-        List<ConfigError> errors = rules.problems(fleet, new TreeSet<>(regions));
+        List<ConfigError> errors = ServingRulesValidator.validate(rules, fleet, new TreeSet<>(regions));
         if (!errors.isEmpty()) {
             return console.refused("", errors);
         }
--- a/src/main/java/ringspindle/controlplane/LedgerPage.java
+++ b/src/main/java/ringspindle/controlplane/LedgerPage.java
@@ -61,7 +61,7 @@
                 && state.config().length > 0
                 && FleetConfig.read(FleetConfig.unpack(state.config()))
                         instanceof Validated.Valid<FleetConfig> config) {
-            rules.idle(config.value()).forEach(idle::add);
+            rules.idleRules(config.value()).forEach(idle::add);
         }
         return idle;
     }
@@ -88,7 +88,7 @@
 
     private static JsonObjectBuilder ledger(NodeId node, LedgerReport report) {
         JsonArrayBuilder broken = JSON.createArrayBuilder();
-        RequestLedger.broken(report).forEach(invariant -> broken.add(invariant.name()));
+        RequestLedger.violations(report).forEach(invariant -> broken.add(invariant.name()));
         JsonArrayBuilder rows = JSON.createArrayBuilder();
         report.rows().forEach(counts -> rows.add(row(counts)));
         return JSON.createObjectBuilder()
--- a/src/main/java/ringspindle/controlplane/RulesResource.java
+++ b/src/main/java/ringspindle/controlplane/RulesResource.java
@@ -11,6 +11,7 @@
 import ringspindle.config.Validated;
 import ringspindle.replication.CallKind;
 import ringspindle.routing.ServingRules;
+import ringspindle.routing.ServingRulesValidator;
 
 /** Reads and replaces the operators' serving rules. */
 final class RulesResource {
@@ -39,7 +40,7 @@
             exchange.respond(Outcome.MALFORMED);
             return;
         }
-        exchange.readBody(ServingRules.BYTES_MAX, body -> put(exchange, base.getAsLong(), body));
+        exchange.readBody(ServingRules.MAX_BYTES, body -> put(exchange, base.getAsLong(), body));
     }
 
     private void put(ApiExchange exchange, long base, byte[] body) {
@@ -63,6 +64,7 @@
             return invalid.problems();
         }
         ServingRules rules = ((Validated.Valid<ServingRules>) read).value();
-        return rules.problems(null, new TreeSet<>(node.config().regionOfZone().values()));
+        return ServingRulesValidator.validate(
+                rules, null, new TreeSet<>(node.config().regionOfZone().values()));
     }
 }
--- a/src/main/java/ringspindle/dataplane/DataNode.java
+++ b/src/main/java/ringspindle/dataplane/DataNode.java
@@ -266,7 +266,7 @@
             collector = best;
             if (best != null && ticks % LEDGER_TICKS == 0) {
                 LedgerReport l = front.ledger(life, ++ledgerSeq);
-                Set<RequestLedger.Broken> broken = RequestLedger.broken(l);
+                Set<RequestLedger.Violation> broken = RequestLedger.violations(l);
                 if (!broken.isEmpty()) {
                     LOG.atSevere().log("the ledger breaks %s", broken);
                 }
--- a/src/main/java/ringspindle/loadbalancing/AttemptWindow.java
+++ b/src/main/java/ringspindle/loadbalancing/AttemptWindow.java
@@ -12,6 +12,7 @@
  * <p>Counts lie in one array, as there is a window for each engine and each attempt goes through it. Confined to the lock of
  * {@link EngineTableLoadBalancer}.
  */
+@SuppressWarnings("EnumOrdinal") // kinds are rows of the array, never stored or sent by it
 final class AttemptWindow {
     private static final int BUCKETS = 4;
     private static final int BUCKET_MS = 500;
--- a/src/main/java/ringspindle/loadbalancing/RoutingRulePolicy.java
+++ b/src/main/java/ringspindle/loadbalancing/RoutingRulePolicy.java
@@ -102,7 +102,7 @@
     }
 
     private List<EngineEntry> atTarget(FallbackTarget target, List<EngineEntry> open, List<EngineEntry> ranked) {
-        if (target.to() == FallbackTarget.To.NEXT) {
+        if (target.scope() == FallbackTarget.Scope.NEXT) {
             return nextByRank(open, ranked);
         }
         List<EngineEntry> engines = new ArrayList<>();
@@ -125,7 +125,7 @@
     }
 
     private boolean isWithin(EngineEntry engine, FallbackTarget target) {
-        return switch (target.to()) {
+        return switch (target.scope()) {
             case ZONE -> engine.zone().equals(settings.zone());
             case REGION -> engine.region().name().equals(settings.region());
             case REGIONS -> target.regions().contains(engine.region().name());
--- a/src/main/java/ringspindle/proxy/ProxiedRequest.java
+++ b/src/main/java/ringspindle/proxy/ProxiedRequest.java
@@ -182,7 +182,7 @@
         rules = front.rules();
         rule = rules == null
                 ? null
-                : rules.of(new RequestAttributes(
+                : rules.match(new RequestAttributes(
                         mapping.name(),
                         mapping.host(),
                         request.getHttpURI().getPath(),
@@ -191,15 +191,15 @@
                         !mapping.homes().isEmpty()));
         String prefix = header("Prompt-Prefix", "");
         Affinity.Key key = rule == null || rule.affinity() == null
-                ? Affinity.plain(prefix)
+                ? Affinity.defaultKey(prefix)
                 : rule.affinity().key(prefix);
-        affinity = key.key();
+        affinity = key.hash();
         sharedTokens = key.sharedTokens();
         front.ledger()
-                .admitted(
+                .onAdmitted(
                         action.id(),
                         rules == null ? 0 : rules.revision(),
-                        rule == null ? ServingRules.PLAIN : rule.name(),
+                        rule == null ? ServingRules.DEFAULT_CLASS : rule.name(),
                         policy.repeatable());
         String last = request.getHeaders().get("Last-Event-Id");
         lastId = last == null ? -1 : number(last);
@@ -227,18 +227,18 @@
         if (rule == null) {
             return null;
         }
-        double kept = rules.kept(rule);
+        double kept = rules.shareReservedForOthers(rule);
         if (kept <= 0
                 && rule.affinity() == null
-                && rule.busy().isEmpty()
-                && rule.gone().isEmpty()) {
+                && rule.whenBusy().isEmpty()
+                && rule.whenUnavailable().isEmpty()) {
             return null;
         }
         return new LoadBalancer.RoutingPreference(
                 kept,
-                rule.affinity() == null ? 1.5 : rule.affinity().uneven(),
-                rule.busy(),
-                rule.gone(),
+                rule.affinity() == null ? 1.5 : rule.affinity().maxImbalance(),
+                rule.whenBusy(),
+                rule.whenUnavailable(),
                 waitSinceMs < 0 ? 0 : nowMs - waitSinceMs);
     }
 
@@ -377,7 +377,7 @@
             r = compose(t, nowMs);
             t.request = r;
             t.attempt.markSent();
-            front.ledger().sent(action.id(), t.resume);
+            front.ledger().onSent(action.id(), t.resume);
             sends++;
             t.sentMs = nowMs;
             t.heardMs = nowMs;
@@ -718,7 +718,7 @@
         RetryDecision v = action.endAttempt(t.attempt, end, policy, nowMs);
         AttemptOutcome real = t.attempt.outcome();
         if (t.sentMs >= 0 && real != null && real.notRun()) {
-            front.ledger().notRun(action.id());
+            front.ledger().onNotRun(action.id());
         }
         front.picker().onAttemptEnded(t.chosen.id(), t.ask, real == null ? end : real, t.firstMs, nowMs);
         if (t.wire != null) {
--- a/src/main/java/ringspindle/proxy/ProxyHandler.java
+++ b/src/main/java/ringspindle/proxy/ProxyHandler.java
@@ -259,7 +259,7 @@
     @Override
     public void onActionEnded(TerminalEvent t) {
         active.decrement();
-        ledger.ended(t);
+        ledger.onEnded(t);
         String how = t.state() + (t.cause() == null ? "" : " " + t.cause());
         ends.computeIfAbsent(how, k -> new LongAdder()).increment();
         if (t.state() != Action.State.COMPLETED && t.cause() != CancelCause.CLIENT_GONE) {
--- a/src/main/java/ringspindle/replication/ConfigurationOrders.java
+++ b/src/main/java/ringspindle/replication/ConfigurationOrders.java
@@ -13,6 +13,7 @@
 import ringspindle.protocol.Message.Mark;
 import ringspindle.protocol.Message.State;
 import ringspindle.routing.ServingRules;
+import ringspindle.routing.ServingRulesValidator;
 
 /** Orders on the configuration and on serving rules: documents with a revision, each made for the revision it replaces. */
 final class ConfigurationOrders {
@@ -82,7 +83,7 @@
             return Decision.invalid(List.of(new ConfigError.OldRevision(next.revision(), revision)));
         }
         FleetConfig configuration = state.config().length == 0 ? null : current(state);
-        List<ConfigError> errors = next.problems(configuration, Set.of());
+        List<ConfigError> errors = ServingRulesValidator.validate(next, configuration, Set.of());
         return errors.isEmpty()
                 ? Decision.commit(order, next.revision(), digest, next.bytes())
                 : Decision.invalid(errors);
--- a/src/main/java/ringspindle/routing/Affinity.java
+++ b/src/main/java/ringspindle/routing/Affinity.java
@@ -1,16 +1,19 @@
 package ringspindle.routing;
 
 /**
- * What a request goes back by.
+ * What requests are kept together by, so that they meet an engine that has their prefix in its cache.
  *
- * @param parts at most so many of the prompt's first shared parts
- * @param tokens no part that begins behind so many tokens
- * @param uneven how many times the mean load the holder may have before it counts as busy
+ * <p>A prefix is a list of parts, each a hash and its tokens: {@code "5c1e07a2:800,91bd3f06:410,e4402b7d:250"}. The last
+ * part is the request's own, all before it are shared with other requests.
+ *
+ * @param parts most shared parts that are compared
+ * @param tokens no part that begins behind so many tokens is compared
+ * @param maxImbalance how many times the mean load the holder may have before it counts as busy
  */
-public record Affinity(By by, int parts, int tokens, double uneven) {
-    /** What is compared. */
-    public enum By {
-        /** The first shared parts of the prompt: a report, a brief. */
+public record Affinity(Basis basis, int parts, int tokens, double maxImbalance) {
+    /** What is compared. The names are those of the rules document and of command output, in lower case. */
+    public enum Basis {
+        /** The first shared parts of the prompt. */
         PROMPT,
         /** The last part, which is the session's or the request's own. */
         SESSION,
@@ -18,63 +21,83 @@
         NONE
     }
 
-    private static final int SHARED_LEAST = 1000;
+    /** Without rules, a shorter prefix is read again sooner than a request crosses to where it is cached. */
+    private static final int DEFAULT_MIN_TOKENS = 1000;
+
+    private static final Key NO_KEY = new Key(0, 0);
 
-    /** What is shared, as a number that is the same on every node, and how many tokens it spans; key 0 for none. */
-    public record Key(long key, int sharedTokens) {}
+    /**
+     * What a request shares.
+     *
+     * @param hash hash of what is compared, the same on every node; 0 if nothing is
+     * @param sharedTokens tokens of the whole shared prefix, whatever is compared of it
+     */
+    public record Key(long hash, int sharedTokens) {}
 
-    /** As without rules: all parts but the last, if they span a thousand tokens; {@code Affinity.plain("a1:800,b2:40")}. */
-    public static Key plain(String prefix) {
-        return of(prefix.split(","), Integer.MAX_VALUE, Integer.MAX_VALUE, SHARED_LEAST);
+    /** The key of a request to which no rule applies: by all shared parts, if they have a thousand tokens together. */
+    public static Key defaultKey(String prefix) {
+        return shared(prefix.split(","), Integer.MAX_VALUE, Integer.MAX_VALUE, DEFAULT_MIN_TOKENS);
     }
 
-    /** {@code affinity.key("5c1e07a2:800,91bd3f06:410,e4402b7d:250")}. */
+    /** The key of a request with that prefix; parts that cannot be read are left out. */
     public Key key(String prefix) {
-        String[] all = prefix.split(",");
-        switch (by) {
-            case SESSION: {
-                Key shared = of(all, Integer.MAX_VALUE, Integer.MAX_VALUE, 0);
-                String last = all[all.length - 1];
-                int colon = last.indexOf(':');
-                return colon <= 0
-                        ? new Key(0, 0)
-                        : new Key(spread(last.substring(0, colon).hashCode()), shared.sharedTokens());
-            }
-            case PROMPT:
-                return of(all, parts, tokens, 1);
-            default:
-                return new Key(
-                        0, of(all, Integer.MAX_VALUE, Integer.MAX_VALUE, 0).sharedTokens());
+        String[] prefixParts = prefix.split(",");
+        return switch (basis) {
+            case PROMPT -> shared(prefixParts, parts, tokens, 1);
+            case SESSION -> ofSession(prefixParts);
+            case NONE -> new Key(0, sharedTokens(prefixParts));
+        };
+    }
+
+    private static Key ofSession(String[] prefixParts) {
+        String last = prefixParts[prefixParts.length - 1];
+        int colon = last.indexOf(':');
+        if (colon <= 0) {
+            return NO_KEY;
         }
+        long hash = last.substring(0, colon).hashCode();
+        return new Key(spread(hash), sharedTokens(prefixParts));
+    }
+
+    private static int sharedTokens(String[] prefixParts) {
+        return shared(prefixParts, Integer.MAX_VALUE, Integer.MAX_VALUE, 0).sharedTokens();
     }
 
-    private static Key of(String[] all, int parts, int tokens, int least) {
+    /**
+     * Hash of the first shared parts.
+     *
+     * @param minTokens tokens that these parts must have together, else nothing is compared
+     */
+    private static Key shared(String[] prefixParts, int maxParts, int maxTokens, int minTokens) {
         long hash = 0;
-        int spanned = 0;
-        int shared = 0;
-        for (int i = 0; i < all.length - 1; i++) {
-            int colon = all[i].indexOf(':');
-            if (colon > 0) {
-                int n = number(all[i].substring(colon + 1));
-                if (i < parts && shared < tokens) {
-                    hash = hash * 31 + all[i].substring(0, colon).hashCode();
-                    spanned += n;
-                }
-                shared += n;
+        int comparedTokens = 0;
+        int sharedTokens = 0;
+        for (int i = 0; i < prefixParts.length - 1; i++) {
+            String part = prefixParts[i];
+            int colon = part.indexOf(':');
+            if (colon <= 0) {
+                continue;
+            }
+            int partTokens = tokens(part.substring(colon + 1));
+            if (i < maxParts && sharedTokens < maxTokens) {
+                hash = hash * 31 + part.substring(0, colon).hashCode();
+                comparedTokens += partTokens;
             }
+            sharedTokens += partTokens;
         }
-        // a short head is read again sooner than a request crosses to where it is kept
-        return new Key(spanned >= least && spanned > 0 ? spread(hash) : 0, shared);
+        boolean longEnough = comparedTokens >= minTokens && comparedTokens > 0;
+        return new Key(longEnough ? spread(hash) : 0, sharedTokens);
     }
 
+    /** Spreads the bits of a hash; never 0. */
     private static long spread(long hash) {
         return (hash == 0 ? 1 : hash) * 0x9E3779B97F4A7C15L;
     }
 
-    private static int number(String s) {
+    private static int tokens(String number) {
         try {
-            return Math.max(0, Integer.parseInt(s.trim()));
-        } catch (NumberFormatException x) {
+            return Math.max(0, Integer.parseInt(number.trim()));
+        } catch (NumberFormatException e) {
             return 0;
         }
     }
--- a/src/main/java/ringspindle/routing/RequestLedger.java
+++ b/src/main/java/ringspindle/routing/RequestLedger.java
@@ -14,11 +14,11 @@
 
 /**
  * A data node's own record of its actions, by revision of the rules and class: what was admitted, what is in progress, how
- * the rest ended, and what its attempts came to. No prompts, bodies or names of clients. Thread safe.
+ * the rest ended, and what its attempts came to. It holds no prompts, bodies or names of clients. Thread safe.
  */
 public final class RequestLedger {
-    /** A law that does not hold. */
-    public enum Broken {
+    /** An invariant that does not hold. The names are part of status documents. */
+    public enum Violation {
         /** Admitted is not in progress and ended together. */
         SUM,
         /** An action that may run once had two attempts that may have run. */
@@ -27,123 +27,167 @@
         ENDED_TWICE
     }
 
-    private static final class Open {
-        final Row row;
-        final boolean repeatable;
+    private static final class OpenAction {
+        final ClassRecord record;
+        final boolean idempotent;
         int sent;
         int notRun;
 
-        Open(Row row, boolean repeatable) {
-            this.row = row;
-            this.repeatable = repeatable;
+        OpenAction(ClassRecord record, boolean idempotent) {
+            this.record = record;
+            this.idempotent = idempotent;
+        }
+
+        int mayHaveRun() {
+            return sent - notRun;
         }
     }
 
-    private static final class Row {
+    /** Counts of one class under one revision of the rules. */
+    private static final class ClassRecord {
         final long revision;
-        final String cls;
+        final String requestClass;
         long admitted;
         long inProgress;
-        final long[] ended = new long[1 + CancelCause.values().length];
+        long completed;
+        long clientGone;
+        long overdue;
+        long nodeEnds;
+        long givenUp;
         long sent;
         long notRun;
         long mayHaveRun;
         long resumed;
         long runTwice;
 
-        Row(long revision, String cls) {
+        ClassRecord(long revision, String requestClass) {
             this.revision = revision;
-            this.cls = cls;
+            this.requestClass = requestClass;
+        }
+
+        /** Counts the end of an action; a cause of null is an answer. */
+        void countEnd(CancelCause cause) {
+            inProgress--;
+            if (cause == null) {
+                completed++;
+                return;
+            }
+            switch (cause) {
+                case CLIENT_GONE -> clientGone++;
+                case OVERALL_DEADLINE -> overdue++;
+                case NODE_ENDS -> nodeEnds++;
+                case GIVEN_UP -> givenUp++;
+            }
+        }
+
+        LedgerRow toRow() {
+            return new LedgerRow(
+                    revision,
+                    admitted,
+                    inProgress,
+                    completed,
+                    clientGone,
+                    overdue,
+                    nodeEnds,
+                    givenUp,
+                    sent,
+                    notRun,
+                    mayHaveRun,
+                    resumed,
+                    runTwice,
+                    requestClass);
         }
     }
 
-    private final Map<String, Open> open = new HashMap<>();
-    private final Map<String, Row> rows = new TreeMap<>();
+    private final Map<String, OpenAction> open = new HashMap<>();
+    /** By revision and class, in the order of their text, which reports keep. */
+    private final Map<String, ClassRecord> records = new TreeMap<>();
+
     private long endedTwice;
 
-    /** An action begins under a revision and class; {@code ledger.admitted("f-1", 3, "digests", false)}. */
-    public synchronized void admitted(String action, long revision, String cls, boolean repeatable) {
-        Row r = rows.computeIfAbsent(revision + " " + cls, k -> new Row(revision, cls));
-        if (open.putIfAbsent(action, new Open(r, repeatable)) != null) {
+    /**
+     * An action begins.
+     *
+     * @param revision revision of the rules that it is admitted under, 0 if there are none
+     * @param idempotent whether it may run more than once
+     */
+    public synchronized void onAdmitted(String actionId, long revision, String requestClass, boolean idempotent) {
+        ClassRecord record =
+                records.computeIfAbsent(revision + " " + requestClass, key -> new ClassRecord(revision, requestClass));
+        if (open.putIfAbsent(actionId, new OpenAction(record, idempotent)) != null) {
             endedTwice++;
             return;
         }
-        r.admitted++;
-        r.inProgress++;
+        record.admitted++;
+        record.inProgress++;
     }
 
-    /** An attempt goes out to an engine. */
-    public synchronized void sent(String action, boolean resumes) {
-        Open o = open.get(action);
-        if (o != null) {
-            o.sent++;
-            o.row.sent++;
-            o.row.resumed += resumes ? 1 : 0;
+    /** An attempt goes out to an engine; it may resume an earlier one. */
+    public synchronized void onSent(String actionId, boolean resumes) {
+        OpenAction action = open.get(actionId);
+        if (action == null) {
+            return;
         }
+        action.sent++;
+        action.record.sent++;
+        action.record.resumed += resumes ? 1 : 0;
     }
 
     /** The engine said that an attempt which was sent has not run. */
-    public synchronized void notRun(String action) {
-        Open o = open.get(action);
-        if (o != null) {
-            o.notRun++;
-            o.row.notRun++;
+    public synchronized void onNotRun(String actionId) {
+        OpenAction action = open.get(actionId);
+        if (action == null) {
+            return;
         }
+        action.notRun++;
+        action.record.notRun++;
     }
 
     /** The action's one terminal event. */
-    public synchronized void ended(TerminalEvent t) {
-        Open o = open.remove(t.actionId());
-        if (o == null) {
+    public synchronized void onEnded(TerminalEvent event) {
+        OpenAction action = open.remove(event.actionId());
+        if (action == null) {
             endedTwice++;
             return;
         }
-        Row r = o.row;
-        r.inProgress--;
-        r.ended[t.cause() == null ? 0 : 1 + t.cause().ordinal()]++;
-        int mayHaveRun = o.sent - o.notRun;
-        r.mayHaveRun += mayHaveRun;
-        r.runTwice += !o.repeatable && mayHaveRun > 1 ? 1 : 0;
+        ClassRecord record = action.record;
+        record.countEnd(event.cause());
+        record.mayHaveRun += action.mayHaveRun();
+        record.runTwice += !action.idempotent && action.mayHaveRun() > 1 ? 1 : 0;
     }
 
-    /** What a node tells of itself; {@code ledger.report(life, seq, 3, digest)}. */
+    /**
+     * What the node reports of itself.
+     *
+     * @param life the node's incarnation
+     * @param seq number of the report within it
+     * @param revision revision of the rules in force, 0 if there are none
+     * @param digest digest of the rules in force, 0 if there are none
+     */
     public synchronized LedgerReport report(long life, long seq, long revision, long digest) {
-        List<LedgerRow> out = new ArrayList<>();
-        for (Row r : rows.values()) {
-            out.add(new LedgerRow(
-                    r.revision,
-                    r.admitted,
-                    r.inProgress,
-                    r.ended[0],
-                    r.ended[1],
-                    r.ended[2],
-                    r.ended[3],
-                    r.ended[4],
-                    r.sent,
-                    r.notRun,
-                    r.mayHaveRun,
-                    r.resumed,
-                    r.runTwice,
-                    r.cls));
-        }
-        return new LedgerReport(life, seq, revision, digest, endedTwice, out);
+        List<LedgerRow> rows = new ArrayList<>();
+        records.values().forEach(record -> rows.add(record.toRow()));
+        return new LedgerReport(life, seq, revision, digest, endedTwice, rows);
     }
 
-    /** The laws that a report breaks; empty for a sound one: {@code RequestLedger.broken(report)}. */
-    public static Set<Broken> broken(LedgerReport l) {
-        Set<Broken> out = new TreeSet<>();
-        if (l.endedTwice() > 0) {
-            out.add(Broken.ENDED_TWICE);
+    /** The invariants that a report violates; empty for a sound one. */
+    public static Set<Violation> violations(LedgerReport report) {
+        Set<Violation> violations = new TreeSet<>();
+        if (report.endedTwice() > 0) {
+            violations.add(Violation.ENDED_TWICE);
         }
-        for (LedgerRow r : l.rows()) {
-            if (r.admitted()
-                    != r.inProgress() + r.completed() + r.clientGone() + r.overdue() + r.nodeEnds() + r.givenUp()) {
-                out.add(Broken.SUM);
+        for (LedgerRow row : report.rows()) {
+            if (row.admitted() != row.inProgress() + ended(row)) {
+                violations.add(Violation.SUM);
             }
-            if (r.runTwice() > 0) {
-                out.add(Broken.RUN_TWICE);
+            if (row.runTwice() > 0) {
+                violations.add(Violation.RUN_TWICE);
             }
         }
-        return out;
+        return violations;
+    }
+
+    private static long ended(LedgerRow row) {
+        return row.completed() + row.clientGone() + row.overdue() + row.nodeEnds() + row.givenUp();
     }
 }
--- a/src/main/java/ringspindle/routing/RequestMatcher.java
+++ b/src/main/java/ringspindle/routing/RequestMatcher.java
@@ -1,37 +1,43 @@
 package ringspindle.routing;
 
 /**
- * Which requests a rule is for; what is empty fits all.
+ * Which requests a rule is for. What is empty matches all.
  *
- * @param path a path prefix, as in routes
- * @param promptFrom the least prompt tokens
- * @param promptTo the most prompt tokens
- * @param home whether the request is bound to regions, null for either
+ * @param path prefix of paths, as in routes
+ * @param minPromptTokens least prompt tokens, included
+ * @param maxPromptTokens most prompt tokens, included
+ * @param homeBound whether the request must be bound to regions; null for either
  */
 public record RequestMatcher(
-        String route, String host, String path, String model, int promptFrom, int promptTo, Boolean home) {
-    /** Fits every request. */
+        String route,
+        String host,
+        String path,
+        String model,
+        int minPromptTokens,
+        int maxPromptTokens,
+        Boolean homeBound) {
+    /** Matches every request. */
     public static final RequestMatcher ALL = new RequestMatcher("", "", "", "", 0, Integer.MAX_VALUE, null);
 
-    /** {@code rule.match().fits(asked)}. */
-    public boolean fits(RequestAttributes a) {
-        return (route.isEmpty() || route.equals(a.route()))
-                && (host.isEmpty() || host.equalsIgnoreCase(a.host()))
-                && a.path().startsWith(path)
-                && (model.isEmpty() || model.equals(a.model()))
-                && a.promptTokens() >= promptFrom
-                && a.promptTokens() <= promptTo
-                && (home == null || home == a.homeBound());
+    /** Whether the request matches in all respects. */
+    public boolean matches(RequestAttributes request) {
+        return (route.isEmpty() || route.equals(request.route()))
+                && (host.isEmpty() || host.equalsIgnoreCase(request.host()))
+                && request.path().startsWith(path)
+                && (model.isEmpty() || model.equals(request.model()))
+                && request.promptTokens() >= minPromptTokens
+                && request.promptTokens() <= maxPromptTokens
+                && (homeBound == null || homeBound == request.homeBound());
     }
 
-    /** True if whatever fits the other fits this one as well; {@code RequestMatcher.ALL.covers(any)}. */
-    public boolean covers(RequestMatcher o) {
-        return (route.isEmpty() || route.equals(o.route))
-                && (host.isEmpty() || host.equalsIgnoreCase(o.host))
-                && o.path.startsWith(path)
-                && (model.isEmpty() || model.equals(o.model))
-                && promptFrom <= o.promptFrom
-                && promptTo >= o.promptTo
-                && (home == null || home.equals(o.home));
+    /** Whether each request that matches the other one matches this one as well. */
+    public boolean covers(RequestMatcher other) {
+        return (route.isEmpty() || route.equals(other.route))
+                && (host.isEmpty() || host.equalsIgnoreCase(other.host))
+                && other.path.startsWith(path)
+                && (model.isEmpty() || model.equals(other.model))
+                && minPromptTokens <= other.minPromptTokens
+                && maxPromptTokens >= other.maxPromptTokens
+                && (homeBound == null || homeBound.equals(other.homeBound));
     }
 }
--- a/src/main/java/ringspindle/routing/ServingRule.java
+++ b/src/main/java/ringspindle/routing/ServingRule.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * One serving rule; its name is the class its requests are counted under.
+ * One serving rule. Its name is the class that its requests are counted under.
  *
- * @param rank 0 is served first; below 0 for the route's own priority
- * @param share of every engine's places that are kept for this class
- * @param waitMs how long a request may wait for a place; below 0 for as long as without rules
- * @param affinity null as without rules
- * @param busy where to go when the holder has no place; empty as without rules
- * @param gone where to go when the holder is draining, ill, evacuated or cold; empty as without rules
+ * @param rank 0 is served first; {@link #RANK_OF_ROUTE} for the route's own priority
+ * @param share share of each engine's capacity that is reserved for this class, 0 to 1
+ * @param waitMs how long a request may wait for capacity, in ms; {@link #DEFAULT_WAIT} for as long as without rules
+ * @param affinity what requests are kept together by; null for as without rules
+ * @param whenBusy where to go while the holder of the prefix has no capacity; empty for as without rules
+ * @param whenUnavailable where to go while the holder is draining, unhealthy, evacuated or warming up; empty for as without
+ *     rules
  */
 public record ServingRule(
         String name,
@@ -19,5 +20,10 @@
         double share,
         int waitMs,
         Affinity affinity,
-        List<FallbackTarget> busy,
-        List<FallbackTarget> gone) {}
+        List<FallbackTarget> whenBusy,
+        List<FallbackTarget> whenUnavailable) {
+    /** Rank of a rule that leaves it to the route. Any rank below 0 means so. */
+    public static final int RANK_OF_ROUTE = -1;
+    /** Wait of a rule that says nothing of it. Any wait below 0 means so. */
+    public static final int DEFAULT_WAIT = -1;
+}
--- /dev/null
+++ b/src/main/java/ringspindle/routing/ServingRulesParser.java
@@ -0,0 +1,244 @@
+package ringspindle.routing;
+
+import jakarta.json.JsonObject;
+import jakarta.json.JsonString;
+import jakarta.json.JsonValue;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Set;
+import ringspindle.config.ConfigError;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.Validated;
+import ringspindle.config.Validated.Invalid;
+import ringspindle.config.Validated.Valid;
+
+/**
+ * Reads a document of serving rules strictly and notes each error with its place. It looks at the document alone; names of
+ * routes, models and regions are the business of {@link ServingRulesValidator}.
+ */
+final class ServingRulesParser {
+    private static final int MAX_WAIT_MS = 30_000;
+    private static final int MAX_RULES = 200;
+    private static final int MAX_NAME_LENGTH = 60;
+    private static final int MAX_RANK = 9;
+    private static final int MAX_PARTS = 64;
+    private static final int MAX_TOKENS = 100_000_000;
+    private static final double MAX_IMBALANCE = 100;
+    private static final double DEFAULT_MAX_IMBALANCE = 1.5;
+    /** Shares are sums of decimal fractions. */
+    private static final double SHARE_TOLERANCE = 1e-9;
+
+    private final List<ConfigError> errors = new ArrayList<>();
+
+    private ServingRulesParser() {}
+
+    /** Reads a document; its errors are in the order in which they are met. */
+    static Validated<ServingRules> parse(byte[] body) {
+        if (body.length > ServingRules.MAX_BYTES) {
+            return Validated.refused(new ConfigError.TooLong(body.length, ServingRules.MAX_BYTES));
+        }
+        Validated<JsonObject> json = FleetConfig.json(body);
+        if (json instanceof Invalid<JsonObject> invalid) {
+            return new Invalid<>(invalid.problems());
+        }
+        ServingRulesParser parser = new ServingRulesParser();
+        ServingRules rules = parser.document(((Valid<JsonObject>) json).value());
+        return parser.errors.isEmpty() ? new Valid<>(rules) : new Invalid<>(List.copyOf(parser.errors));
+    }
+
+    private ServingRules document(JsonObject source) {
+        JsonFields document = new JsonFields(source, "", errors);
+        document.rejectUnknown("revision", "rules", "default");
+        long revision = document.integer("revision", 1, Long.MAX_VALUE >> 1, -1L);
+        if (!document.has("revision")) {
+            errors.add(new ConfigError.Missing("revision"));
+        }
+        List<ServingRule> rules = rules(document);
+        rejectUnreachable(rules);
+        JsonFields otherwise = document.object("default");
+        otherwise.rejectUnknown("class", "affinity", "busy", "gone");
+        ServingRule defaultRule = rule(otherwise, ServingRules.DEFAULT_CLASS, RequestMatcher.ALL);
+        ServingRules result = new ServingRules(source, revision, List.copyOf(rules), defaultRule);
+        if (result.totalShare() > 1 + SHARE_TOLERANCE) {
+            String total = String.format(Locale.ROOT, "%.3f", result.totalShare());
+            errors.add(new ConfigError.OutOfRange("shares of all classes", total, "at most 1 together"));
+        }
+        return result;
+    }
+
+    private List<ServingRule> rules(JsonFields document) {
+        List<JsonValue> list = document.array("rules");
+        if (list.size() > MAX_RULES) {
+            errors.add(new ConfigError.OutOfRange("rules", list.size() + " rules", "at most " + MAX_RULES));
+        }
+        List<ServingRule> rules = new ArrayList<>();
+        Set<String> names = new HashSet<>(Set.of(ServingRules.DEFAULT_CLASS));
+        for (int i = 0; i < list.size(); i++) {
+            String path = "rules[" + i + "]";
+            if (!(list.get(i) instanceof JsonObject object)) {
+                errors.add(new ConfigError.OutOfRange(path, list.get(i).toString(), "an object"));
+                continue;
+            }
+            JsonFields fields = new JsonFields(object, path, errors);
+            fields.rejectUnknown("name", "match", "class", "affinity", "busy", "gone");
+            String name = name(fields, names);
+            RequestMatcher matcher = matcher(fields);
+            rules.add(rule(fields, name, matcher));
+        }
+        return rules;
+    }
+
+    private String name(JsonFields rule, Set<String> names) {
+        String name = rule.text("name");
+        if (name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
+            rule.outOfRange("name", name, "1 to " + MAX_NAME_LENGTH + " letters");
+        } else if (!names.add(name)) {
+            errors.add(new ConfigError.SameName(name));
+        }
+        return name;
+    }
+
+    private void rejectUnreachable(List<ServingRule> rules) {
+        for (int later = 0; later < rules.size(); later++) {
+            for (int earlier = 0; earlier < later; earlier++) {
+                ServingRule before = rules.get(earlier);
+                if (before.match().covers(rules.get(later).match())) {
+                    errors.add(new ConfigError.Unreachable("rules[" + later + "]", before.name()));
+                    break;
+                }
+            }
+        }
+    }
+
+    private RequestMatcher matcher(JsonFields rule) {
+        JsonFields match = rule.object("match");
+        match.rejectUnknown("route", "host", "path", "model", "prompt", "home");
+        JsonFields prompt = match.object("prompt");
+        prompt.rejectUnknown("from", "to");
+        int minTokens = prompt.integer("from", 0, Integer.MAX_VALUE, 0);
+        int maxTokens = prompt.integer("to", 0, Integer.MAX_VALUE, Integer.MAX_VALUE);
+        if (maxTokens < minTokens) {
+            prompt.outOfRange("to", Integer.toString(maxTokens), "no less than from");
+        }
+        Boolean homeBound = homeBound(match);
+        return new RequestMatcher(
+                match.text("route"),
+                match.text("host"),
+                match.text("path"),
+                match.text("model"),
+                minTokens,
+                maxTokens,
+                homeBound);
+    }
+
+    /** Null if the rule is for requests that are bound to regions as well as for others. */
+    private static Boolean homeBound(JsonFields match) {
+        JsonValue value = match.value("home");
+        if (value == null) {
+            return null;
+        }
+        if (value != JsonValue.TRUE && value != JsonValue.FALSE) {
+            match.outOfRange("home", value.toString(), "true or false");
+        }
+        return value == JsonValue.TRUE;
+    }
+
+    private ServingRule rule(JsonFields rule, String name, RequestMatcher matcher) {
+        JsonFields requestClass = rule.object("class");
+        requestClass.rejectUnknown("rank", "share", "waitMs");
+        int rank = requestClass.integer("rank", 0, MAX_RANK, ServingRule.RANK_OF_ROUTE);
+        double share = requestClass.decimal("share", 0, 1, 0);
+        int waitMs = requestClass.integer("waitMs", 0, MAX_WAIT_MS, ServingRule.DEFAULT_WAIT);
+        Affinity affinity = rule.has("affinity") ? affinity(rule) : null;
+        List<FallbackTarget> whenBusy = fallbackTargets(rule, "busy", waitMs);
+        List<FallbackTarget> whenUnavailable = fallbackTargets(rule, "gone", waitMs);
+        return new ServingRule(name, matcher, rank, share, waitMs, affinity, whenBusy, whenUnavailable);
+    }
+
+    private static Affinity affinity(JsonFields rule) {
+        JsonFields affinity = rule.object("affinity");
+        affinity.rejectUnknown("by", "parts", "tokens", "uneven");
+        return new Affinity(
+                basis(affinity),
+                affinity.integer("parts", 1, MAX_PARTS, MAX_PARTS),
+                affinity.integer("tokens", 1, MAX_TOKENS, Integer.MAX_VALUE),
+                affinity.decimal("uneven", 1, MAX_IMBALANCE, DEFAULT_MAX_IMBALANCE));
+    }
+
+    private static Affinity.Basis basis(JsonFields affinity) {
+        String wanted = affinity.text("by");
+        return switch (wanted) {
+            case "prompt" -> Affinity.Basis.PROMPT;
+            case "session" -> Affinity.Basis.SESSION;
+            case "none" -> Affinity.Basis.NONE;
+            default -> {
+                affinity.outOfRange("by", wanted, "prompt, session or none");
+                yield Affinity.Basis.NONE;
+            }
+        };
+    }
+
+    /** Fallback targets, whose waits together may be no longer than the class waits. */
+    private List<FallbackTarget> fallbackTargets(JsonFields rule, String key, int classWaitMs) {
+        List<JsonValue> list = rule.array(key);
+        List<FallbackTarget> targets = new ArrayList<>();
+        long totalWaitMs = 0;
+        for (int i = 0; i < list.size(); i++) {
+            String path = rule.path() + "." + key + "[" + i + "]";
+            if (!(list.get(i) instanceof JsonObject object)) {
+                errors.add(new ConfigError.OutOfRange(path, list.get(i).toString(), "an object"));
+                continue;
+            }
+            JsonFields fields = new JsonFields(object, path, errors);
+            FallbackTarget target = fallbackTarget(fields);
+            totalWaitMs += target.waitMs();
+            if (totalWaitMs > 0 && totalWaitMs > classWaitMs) {
+                fields.outOfRange(
+                        "waitMs",
+                        totalWaitMs + " with those before",
+                        "at most the class's waitMs, " + Math.max(0, classWaitMs));
+            }
+            targets.add(target);
+        }
+        return List.copyOf(targets);
+    }
+
+    private static FallbackTarget fallbackTarget(JsonFields fields) {
+        fields.rejectUnknown("to", "names", "waitMs");
+        FallbackTarget.Scope scope = scope(fields);
+        List<String> regions = regions(fields);
+        if ((scope == FallbackTarget.Scope.REGIONS) == regions.isEmpty()) {
+            fields.outOfRange("names", regions.toString(), "names where to is regions, none elsewhere");
+        }
+        return new FallbackTarget(scope, regions, fields.integer("waitMs", 0, MAX_WAIT_MS, 0));
+    }
+
+    private static FallbackTarget.Scope scope(JsonFields fields) {
+        String wanted = fields.text("to");
+        return switch (wanted) {
+            case "next" -> FallbackTarget.Scope.NEXT;
+            case "zone" -> FallbackTarget.Scope.ZONE;
+            case "region" -> FallbackTarget.Scope.REGION;
+            case "regions" -> FallbackTarget.Scope.REGIONS;
+            case "any" -> FallbackTarget.Scope.ANY;
+            default -> {
+                fields.outOfRange("to", wanted, "next, zone, region, regions or any");
+                yield FallbackTarget.Scope.ANY;
+            }
+        };
+    }
+
+    private static List<String> regions(JsonFields fields) {
+        List<String> regions = new ArrayList<>();
+        for (JsonValue value : fields.array("names")) {
+            if (value instanceof JsonString name && !name.getString().isEmpty()) {
+                regions.add(name.getString());
+            } else {
+                fields.outOfRange("names", value.toString(), "names of regions");
+            }
+        }
+        return List.copyOf(regions);
+    }
+}
--- /dev/null
+++ b/src/main/java/ringspindle/routing/ServingRulesValidator.java
@@ -0,0 +1,96 @@
+package ringspindle.routing;
+
+import jakarta.json.JsonArray;
+import jakarta.json.JsonObject;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import ringspindle.config.ConfigError;
+import ringspindle.config.FleetConfig;
+
+/** Checks the names in serving rules against the configuration and the regions of the fleet. */
+public final class ServingRulesValidator {
+    private final List<ConfigError> errors = new ArrayList<>();
+    private final FleetConfig configuration;
+    private final Set<String> regions;
+
+    private ServingRulesValidator(FleetConfig configuration, Set<String> regions) {
+        this.configuration = configuration;
+        this.regions = regions;
+    }
+
+    /**
+     * What does not fit, in the order of the rules; empty if all fits.
+     *
+     * @param configuration its routes and models are looked at; null if there is none yet, and then neither is checked
+     * @param regions the regions that there are; empty if they are not known, and then they are not checked
+     */
+    public static List<ConfigError> validate(ServingRules rules, FleetConfig configuration, Set<String> regions) {
+        ServingRulesValidator validator = new ServingRulesValidator(configuration, regions);
+        List<ServingRule> all = rules.all();
+        for (int i = 0; i < all.size(); i++) {
+            boolean isDefault = i == all.size() - 1;
+            validator.checkRule(all.get(i), isDefault ? "default" : "rules[" + i + "]");
+        }
+        return validator.errors;
+    }
+
+    private void checkRule(ServingRule rule, String path) {
+        FleetConfig.Route route = null;
+        if (configuration != null) {
+            route = route(rule.match().route());
+            if (route == null && !rule.match().route().isEmpty()) {
+                errors.add(new ConfigError.UnknownName(
+                        path + ".match.route", rule.match().route()));
+            }
+            String model = rule.match().model();
+            if (!model.isEmpty() && !models().contains(model)) {
+                errors.add(new ConfigError.UnknownName(path + ".match.model", model));
+            }
+        }
+        checkTargets(path + ".busy", rule.whenBusy(), route);
+        checkTargets(path + ".gone", rule.whenUnavailable(), route);
+    }
+
+    private void checkTargets(String path, List<FallbackTarget> targets, FleetConfig.Route route) {
+        for (int i = 0; i < targets.size(); i++) {
+            for (String region : targets.get(i).regions()) {
+                checkRegion(path + "[" + i + "].names", region, route);
+            }
+        }
+    }
+
+    private void checkRegion(String path, String region, FleetConfig.Route route) {
+        if (!regions.isEmpty() && !regions.contains(region)) {
+            errors.add(new ConfigError.UnknownName(path, region));
+            return;
+        }
+        boolean bound = route != null && !route.homes().isEmpty();
+        if (bound && !route.homes().contains(region)) {
+            errors.add(new ConfigError.OutsideHomes(path, region));
+        }
+    }
+
+    private FleetConfig.Route route(String name) {
+        return configuration.mappings().stream()
+                .filter(route -> route.name().equals(name))
+                .findFirst()
+                .orElse(null);
+    }
+
+    private Set<String> models() {
+        Set<String> models = new TreeSet<>();
+        JsonArray services = configuration.source().getJsonArray("services");
+        if (services == null) {
+            return models;
+        }
+        for (JsonObject service : services.getValuesAs(JsonObject.class)) {
+            if (service.get("engine") instanceof JsonObject engine
+                    && engine.get("models") instanceof JsonArray listed) {
+                listed.getValuesAs(JsonObject.class).forEach(model -> models.add(model.getString("name", "")));
+            }
+        }
+        return models;
+    }
+}
--- a/src/test/java/ringspindle/loadbalancing/LoadBalancerTest.java
+++ b/src/test/java/ringspindle/loadbalancing/LoadBalancerTest.java
@@ -439,7 +439,7 @@
         return new SelectionRequest("s", Set.of(), affinity, 13_000, 3000, 100, Set.of(), -1, 7, steer);
     }
 
-    private static FallbackTarget step(FallbackTarget.To to, int waitMs) {
+    private static FallbackTarget step(FallbackTarget.Scope to, int waitMs) {
         return new FallbackTarget(to, List.of(), waitMs);
     }
 
@@ -458,7 +458,8 @@
     void busyHolderIsWaitedForAndThenItsPlacesAreTriedInOrder() {
         LoadBalancer p = picker("a1", "a");
         List<String> ranked = six(p);
-        List<FallbackTarget> busy = List.of(step(FallbackTarget.To.NEXT, 100), step(FallbackTarget.To.REGION, 200));
+        List<FallbackTarget> busy =
+                List.of(step(FallbackTarget.Scope.NEXT, 100), step(FallbackTarget.Scope.REGION, 200));
         assertEquals(ranked.get(0), id(p.select(steered(new RoutingPreference(0, 1.5, busy, List.of(), 0), 4711), 10)));
         // far more than its share runs there
         Map<String, int[]> seen = new HashMap<>();
@@ -483,7 +484,7 @@
                 id(p.select(
                         steered(
                                 new RoutingPreference(
-                                        0, 1.5, List.of(step(FallbackTarget.To.NEXT, 0)), List.of(), 9000),
+                                        0, 1.5, List.of(step(FallbackTarget.Scope.NEXT, 0)), List.of(), 9000),
                                 4711),
                         80)),
                 "at the end it is refused");
@@ -509,8 +510,8 @@
             RoutingPreference steer = new RoutingPreference(
                     0,
                     1.5,
-                    List.of(step(FallbackTarget.To.NEXT, 5000)),
-                    List.of(new FallbackTarget(FallbackTarget.To.REGIONS, List.of("b"), 0)),
+                    List.of(step(FallbackTarget.Scope.NEXT, 5000)),
+                    List.of(new FallbackTarget(FallbackTarget.Scope.REGIONS, List.of("b"), 0)),
                     0);
             String got = id(p.select(steered(steer, 4711), 10));
             if (how.equals("evacuated") && !here) {
@@ -560,9 +561,11 @@
             }
             List<FallbackTarget> steps = new ArrayList<>();
             for (int i = luck.nextInt(4); i > 0; i--) {
-                FallbackTarget.To to = FallbackTarget.To.values()[luck.nextInt(5)];
+                FallbackTarget.Scope to = FallbackTarget.Scope.values()[luck.nextInt(5)];
                 steps.add(new FallbackTarget(
-                        to, to == FallbackTarget.To.REGIONS ? List.of(luck.nextBoolean() ? "a" : "b") : List.of(), 0));
+                        to,
+                        to == FallbackTarget.Scope.REGIONS ? List.of(luck.nextBoolean() ? "a" : "b") : List.of(),
+                        0));
             }
             RoutingPreference steer =
                     new RoutingPreference(luck.nextInt(2) * 0.5, 1 + luck.nextInt(3), steps, steps, luck.nextInt(500));
--- a/src/test/java/ringspindle/loadbalancing/SelectionSequence.java
+++ b/src/test/java/ringspindle/loadbalancing/SelectionSequence.java
@@ -229,8 +229,8 @@
     private List<FallbackTarget> fallbacks() {
         List<FallbackTarget> out = new ArrayList<>();
         for (int i = random.nextInt(4); i > 0; i--) {
-            FallbackTarget.To to = oneOf(FallbackTarget.To.values());
-            List<String> regions = to == FallbackTarget.To.REGIONS ? List.of(oneOf(REGIONS)) : List.of();
+            FallbackTarget.Scope to = oneOf(FallbackTarget.Scope.values());
+            List<String> regions = to == FallbackTarget.Scope.REGIONS ? List.of(oneOf(REGIONS)) : List.of();
             out.add(new FallbackTarget(to, regions, random.nextInt(3) * 100));
         }
         return out;
@@ -266,7 +266,7 @@
         Running ended = running.remove(random.nextInt(running.size()));
         boolean unlucky = Math.floorMod(ended.id().hashCode() + nowMs / 20_000, 9) == 0;
         AttemptOutcome outcome = AttemptOutcome.ANSWERED;
-        if (unlucky && random.nextInt(2) == 0 || random.nextInt(25) == 0) {
+        if ((unlucky && random.nextInt(2) == 0) || random.nextInt(25) == 0) {
             outcome = oneOf(AttemptOutcome.values());
         }
         if (outcome == AttemptOutcome.MISDIRECTED && random.nextInt(40) > 0) {
--- a/src/test/java/ringspindle/proxy/ProxyHandlerTest.java
+++ b/src/test/java/ringspindle/proxy/ProxyHandlerTest.java
@@ -424,7 +424,7 @@
         hold.countDown();
         assertTrue(all(first).startsWith("HTTP/1.1 200"));
         assertTrue(all(second).startsWith("HTTP/1.1 200"));
-        LedgerRow one = row(ServingRules.PLAIN);
+        LedgerRow one = row(ServingRules.DEFAULT_CLASS);
         LedgerRow two = row("cards");
         assertEquals(List.of(1L, 1L, 1L), List.of(one.revision(), one.admitted(), one.sent()));
         assertEquals(List.of(2L, 1L, 1L), List.of(two.revision(), two.admitted(), two.sent()));
@@ -458,13 +458,13 @@
         String got = all(send("/short/x", "q1", "Connection: close\r\nToken-Count: 383,50\r\n", ""));
         assertTrue(got.startsWith("HTTP/1.1 200"), got);
         assertEquals("q1", order.get(2), "a digest went before the question: " + order);
-        assertEquals(1, row(ServingRules.PLAIN).completed());
+        assertEquals(1, row(ServingRules.DEFAULT_CLASS).completed());
         hold.countDown();
         for (Socket s : digests) {
             all(s);
         }
         assertEquals(6, row("digests").admitted());
-        assertEquals(Set.of(), RequestLedger.broken(front.ledger(1, 1)));
+        assertEquals(Set.of(), RequestLedger.violations(front.ledger(1, 1)));
     }
 
     /** The ledger against what the stand-in engines and clients counted themselves. */
@@ -494,7 +494,7 @@
             whole += got.startsWith("HTTP/1.1 200") || got.startsWith("HTTP/1.1 500") ? 1 : 0;
             refused += got.startsWith("HTTP/1.1 50") && !got.startsWith("HTTP/1.1 500") ? 1 : 0;
         }
-        LedgerRow r = row(ServingRules.PLAIN);
+        LedgerRow r = row(ServingRules.DEFAULT_CLASS);
         long arrived =
                 bad.seen.stream().filter(x -> x.line().startsWith("POST")).count() + good.seen.size();
         assertEquals(60, r.admitted());
@@ -502,7 +502,7 @@
         assertEquals(refused, r.givenUp());
         assertEquals(arrived, r.sent());
         assertEquals(0, r.inProgress());
-        assertEquals(Set.of(), RequestLedger.broken(front.ledger(1, 1)));
+        assertEquals(Set.of(), RequestLedger.violations(front.ledger(1, 1)));
         Map<String, Integer> runs = new HashMap<>();
         good.seen.forEach(x -> runs.merge(x.heads().get("Attempt-Id"), 1, Integer::sum));
         assertTrue(runs.values().stream().allMatch(k -> k == 1), "doubled: " + runs);
--- a/src/test/java/ringspindle/routing/RequestLedgerTest.java
+++ b/src/test/java/ringspindle/routing/RequestLedgerTest.java
@@ -12,7 +12,7 @@
 import ringspindle.retry.Action;
 import ringspindle.retry.CancelCause;
 import ringspindle.retry.TerminalEvent;
-import ringspindle.routing.RequestLedger.Broken;
+import ringspindle.routing.RequestLedger.Violation;
 
 /** The laws hold on sound histories, and each broken one shows. */
 class RequestLedgerTest {
@@ -32,19 +32,19 @@
         List<String> open = new ArrayList<>();
         for (int i = 0; i < 3000; i++) {
             String id = "f-" + i;
-            l.admitted(id, luck.nextInt(3), luck.nextBoolean() ? "digests" : "questions", false);
-            l.sent(id, false);
+            l.onAdmitted(id, luck.nextInt(3), luck.nextBoolean() ? "digests" : "questions", false);
+            l.onSent(id, false);
             if (luck.nextInt(3) == 0) {
-                l.notRun(id);
-                l.sent(id, false);
+                l.onNotRun(id);
+                l.onSent(id, false);
             }
             open.add(id);
             if (luck.nextInt(3) > 0) {
                 CancelCause[] all = CancelCause.values();
                 int c = luck.nextInt(all.length + 1);
-                l.ended(end(open.remove(luck.nextInt(open.size())), c == all.length ? null : all[c]));
+                l.onEnded(end(open.remove(luck.nextInt(open.size())), c == all.length ? null : all[c]));
             }
-            assertEquals(Set.of(), RequestLedger.broken(l.report(1, i, 3, 9)));
+            assertEquals(Set.of(), RequestLedger.violations(l.report(1, i, 3, 9)));
         }
         long inProgress = l.report(1, 1, 3, 9).rows().stream()
                 .mapToLong(LedgerRow::inProgress)
@@ -55,17 +55,17 @@
     @Test
     void anActionThatMayRunOnceAndMayHaveRunTwiceShows() {
         RequestLedger l = new RequestLedger();
-        l.admitted("a", 3, "c", false);
-        l.sent("a", false);
-        l.sent("a", false);
-        l.ended(end("a", null));
-        assertEquals(Set.of(Broken.RUN_TWICE), RequestLedger.broken(l.report(1, 1, 3, 9)));
+        l.onAdmitted("a", 3, "c", false);
+        l.onSent("a", false);
+        l.onSent("a", false);
+        l.onEnded(end("a", null));
+        assertEquals(Set.of(Violation.RUN_TWICE), RequestLedger.violations(l.report(1, 1, 3, 9)));
         RequestLedger repeatable = new RequestLedger();
-        repeatable.admitted("a", 3, "c", true);
-        repeatable.sent("a", false);
-        repeatable.sent("a", true);
-        repeatable.ended(end("a", null));
-        assertEquals(Set.of(), RequestLedger.broken(repeatable.report(1, 1, 3, 9)));
+        repeatable.onAdmitted("a", 3, "c", true);
+        repeatable.onSent("a", false);
+        repeatable.onSent("a", true);
+        repeatable.onEnded(end("a", null));
+        assertEquals(Set.of(), RequestLedger.violations(repeatable.report(1, 1, 3, 9)));
         assertEquals(1, row(repeatable).resumed());
         assertEquals(2, row(repeatable).mayHaveRun());
     }
@@ -73,20 +73,20 @@
     @Test
     void secondTerminalEventsShow() {
         RequestLedger l = new RequestLedger();
-        l.admitted("a", 3, "c", false);
-        l.ended(end("a", null));
-        l.ended(end("a", CancelCause.GIVEN_UP));
-        assertEquals(Set.of(Broken.ENDED_TWICE), RequestLedger.broken(l.report(1, 1, 3, 9)));
+        l.onAdmitted("a", 3, "c", false);
+        l.onEnded(end("a", null));
+        l.onEnded(end("a", CancelCause.GIVEN_UP));
+        assertEquals(Set.of(Violation.ENDED_TWICE), RequestLedger.violations(l.report(1, 1, 3, 9)));
         RequestLedger never = new RequestLedger();
-        never.ended(end("b", null));
-        assertEquals(Set.of(Broken.ENDED_TWICE), RequestLedger.broken(never.report(1, 1, 3, 9)));
+        never.onEnded(end("b", null));
+        assertEquals(Set.of(Violation.ENDED_TWICE), RequestLedger.violations(never.report(1, 1, 3, 9)));
     }
 
     @Test
     void lostActionsShowInTheSum() {
         LedgerRow lost = new LedgerRow(3, 10, 1, 7, 1, 0, 0, 0, 9, 0, 9, 0, 0, "c");
-        assertEquals(Set.of(Broken.SUM), RequestLedger.broken(new LedgerReport(1, 1, 3, 9, 0, List.of(lost))));
+        assertEquals(Set.of(Violation.SUM), RequestLedger.violations(new LedgerReport(1, 1, 3, 9, 0, List.of(lost))));
         LedgerRow whole = new LedgerRow(3, 10, 1, 7, 1, 0, 0, 1, 9, 0, 9, 0, 0, "c");
-        assertEquals(Set.of(), RequestLedger.broken(new LedgerReport(1, 1, 3, 9, 0, List.of(whole))));
+        assertEquals(Set.of(), RequestLedger.violations(new LedgerReport(1, 1, 3, 9, 0, List.of(whole))));
     }
 }
--- a/src/test/java/ringspindle/routing/ServingRulesTest.java
+++ b/src/test/java/ringspindle/routing/ServingRulesTest.java
@@ -58,17 +58,22 @@
     @Test
     void firstThatFitsWinsAndTheDefaultClosesTheList() {
         ServingRules r = read(GOOD);
-        assertEquals("digests", r.of(asked("scrip", 17_000, true)).name());
-        assertEquals("questions", r.of(asked("scrip", 383, true)).name());
-        assertEquals(ServingRules.PLAIN, r.of(asked("scrip", 383, false)).name());
-        assertEquals(5, r.of(asked("other", 383, true)).rank());
-        assertEquals(0.5, r.kept(r.of(asked("", 17_000, true))), 1e-9, "what digests leave to questions");
-        assertEquals(0.75, r.kept(r.of(asked("other", 3, false))), 1e-9);
+        assertEquals("digests", r.match(asked("scrip", 17_000, true)).name());
+        assertEquals("questions", r.match(asked("scrip", 383, true)).name());
+        assertEquals(
+                ServingRules.DEFAULT_CLASS, r.match(asked("scrip", 383, false)).name());
+        assertEquals(5, r.match(asked("other", 383, true)).rank());
+        assertEquals(
+                0.5,
+                r.shareReservedForOthers(r.match(asked("", 17_000, true))),
+                1e-9,
+                "what digests leave to questions");
+        assertEquals(0.75, r.shareReservedForOthers(r.match(asked("other", 3, false))), 1e-9);
         assertEquals(
                 List.of(
-                        new FallbackTarget(FallbackTarget.To.REGION, List.of(), 0),
-                        new FallbackTarget(FallbackTarget.To.REGIONS, List.of("srt"), 0)),
-                r.all().get(0).gone());
+                        new FallbackTarget(FallbackTarget.Scope.REGION, List.of(), 0),
+                        new FallbackTarget(FallbackTarget.Scope.REGIONS, List.of("srt"), 0)),
+                r.all().get(0).whenUnavailable());
         assertEquals(r.digest(), read(new String(r.bytes(), UTF_8)).digest(), "the same after a round trip");
     }
 
@@ -76,25 +81,26 @@
     void keysAreTheSameForWhatIsSharedAndAsWithoutRulesWhereNothingIsSaid() {
         String one = "5c1e07a2:800,91bd3f06:410,e4402b7d:250";
         String other = "5c1e07a2:800,aaaaaaaa:410,e4402b7e:250";
-        Affinity first = new Affinity(Affinity.By.PROMPT, 1, Integer.MAX_VALUE, 1.5);
-        assertEquals(first.key(one).key(), first.key(other).key());
-        assertNotEquals(Affinity.plain(one).key(), Affinity.plain(other).key());
+        Affinity first = new Affinity(Affinity.Basis.PROMPT, 1, Integer.MAX_VALUE, 1.5);
+        assertEquals(first.key(one).hash(), first.key(other).hash());
+        assertNotEquals(
+                Affinity.defaultKey(one).hash(), Affinity.defaultKey(other).hash());
         assertEquals(1210, first.key(one).sharedTokens(), "all that is shared is still read again elsewhere");
-        assertEquals(0, Affinity.plain("a:999,b:5").key(), "short heads are held by nobody");
-        assertNotEquals(0, Affinity.plain("a:1000,b:5").key());
+        assertEquals(0, Affinity.defaultKey("a:999,b:5").hash(), "short heads are held by nobody");
+        assertNotEquals(0, Affinity.defaultKey("a:1000,b:5").hash());
         assertEquals(
-                new Affinity(Affinity.By.PROMPT, 64, 800, 1.5).key(one).key(),
-                first.key(one).key(),
+                new Affinity(Affinity.Basis.PROMPT, 64, 800, 1.5).key(one).hash(),
+                first.key(one).hash(),
                 "no part that begins behind 800");
-        Affinity session = new Affinity(Affinity.By.SESSION, 64, Integer.MAX_VALUE, 1.5);
-        assertEquals(session.key("x:1,s:9").key(), session.key("y:7,s:12").key());
+        Affinity session = new Affinity(Affinity.Basis.SESSION, 64, Integer.MAX_VALUE, 1.5);
+        assertEquals(session.key("x:1,s:9").hash(), session.key("y:7,s:12").hash());
         assertEquals(
                 0,
-                new Affinity(Affinity.By.NONE, 64, Integer.MAX_VALUE, 1.5)
+                new Affinity(Affinity.Basis.NONE, 64, Integer.MAX_VALUE, 1.5)
                         .key(one)
-                        .key());
+                        .hash());
         for (String odd : List.of("", ",", "x", "x:", ":5,y:1", "a:b,c:d")) {
-            assertEquals(0, first.key(odd).key(), odd);
+            assertEquals(0, first.key(odd).hash(), odd);
         }
     }
 
@@ -149,27 +155,27 @@
             assertFalse(problems(json).isEmpty(), json);
         }
         assertEquals(
-                List.of(new ConfigError.TooLong(ServingRules.BYTES_MAX + 1, ServingRules.BYTES_MAX)),
-                problems(" ".repeat(ServingRules.BYTES_MAX + 1)));
+                List.of(new ConfigError.TooLong(ServingRules.MAX_BYTES + 1, ServingRules.MAX_BYTES)),
+                problems(" ".repeat(ServingRules.MAX_BYTES + 1)));
     }
 
     @Test
     void namesAreCheckedAgainstConfigurationAndZones() {
-        assertEquals(List.of(), read(GOOD).problems(config(), Set.of("ahd", "srt")));
+        assertEquals(List.of(), ServingRulesValidator.validate(read(GOOD), config(), Set.of("ahd", "srt")));
         assertEquals(
                 List.of(new ConfigError.UnknownName("rules[0].gone[1].names", "srt")),
-                read(GOOD).problems(config(), Set.of("ahd")));
+                ServingRulesValidator.validate(read(GOOD), config(), Set.of("ahd")));
         String homes =
                 "{\"revision\":1,\"rules\":[{\"name\":\"a\",\"match\":{\"route\":\"scrip\"},\"gone\":[{\"to\":\"regions\",\"names\":[\"srt\"]}]}]}";
         assertEquals(
                 List.of(new ConfigError.OutsideHomes("rules[0].gone[0].names", "srt")),
-                read(homes).problems(config(), Set.of("ahd", "srt")));
+                ServingRulesValidator.validate(read(homes), config(), Set.of("ahd", "srt")));
         String names = "{\"revision\":1,\"rules\":[{\"name\":\"a\",\"match\":{\"route\":\"none\",\"model\":\"q\"}}]}";
         assertEquals(
                 List.of(
                         new ConfigError.UnknownName("rules[0].match.route", "none"),
                         new ConfigError.UnknownName("rules[0].match.model", "q")),
-                read(names).problems(config(), Set.of()));
-        assertEquals(List.of("a"), read(names).idle(config()));
+                ServingRulesValidator.validate(read(names), config(), Set.of()));
+        assertEquals(List.of("a"), read(names).idleRules(config()));
     }
 }
