--- a/src/test/java/ringspindle/controlplane/DataNodeDirectoryTest.java
+++ b/src/test/java/ringspindle/controlplane/DataNodeDirectoryTest.java
@@ -86,8 +86,8 @@
 
     /** The other control node answers a heartbeat, so that both have heard each other. */
     private void hearFromOther(long number) {
-        Heartbeat sent = sessions.heartbeat(OTHER, NodeFlags.NONE, 0, 0, 0, nowMs);
-        sessions.heard(OTHER, new Heartbeat(number, sent.n(), NodeFlags.NONE, 0, 0, 0, List.of(ME)), nowMs);
+        Heartbeat sent = sessions.nextHeartbeat(OTHER, NodeFlags.NONE, 0, 0, 0, nowMs);
+        sessions.received(OTHER, new Heartbeat(number, sent.n(), NodeFlags.NONE, 0, 0, 0, List.of(ME)), nowMs);
         sessions.advance(nowMs);
         directory.tick(nowMs);
     }
