--- a/src/main/java/ringspindle/controlplane/ControlNode.java
+++ b/src/main/java/ringspindle/controlplane/ControlNode.java
@@ -4,6 +4,7 @@
 import ringspindle.config.NodeConfig;
 import ringspindle.protocol.Message.Hello;
 import ringspindle.protocol.NodeId;
+import ringspindle.protocol.NodeKind;
 import ringspindle.replication.ReplicatedState;
 import ringspindle.transport.NodeEnvironment;
 
@@ -78,7 +79,7 @@
         return new Hello(
                 me,
                 incarnation,
-                0,
+                NodeKind.CONTROL,
                 settings.control().orElseThrow().bits(),
                 settings.name(),
                 settings.zone(),
--- a/src/main/java/ringspindle/dataplane/DataPlane.java
+++ b/src/main/java/ringspindle/dataplane/DataPlane.java
@@ -3,10 +3,12 @@
 import com.google.common.flogger.FluentLogger;
 import java.util.concurrent.CountDownLatch;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
+import org.eclipse.jetty.util.thread.Scheduler;
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Settings;
 import ringspindle.loadbalancing.LoadBalancer;
 import ringspindle.proxy.ProxyHandler;
+import ringspindle.time.MonotonicClock;
 import ringspindle.transport.NodeEnvironment;
 import ringspindle.transport.PeriodicTask;
 import ringspindle.transport.Threads;
@@ -15,37 +17,57 @@
 public final class DataPlane {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
 
+    /** Of the grace period, what is left for closing. */
+    private static final int STOP_MS = 700;
+    /** Clients that were told this node's address still use it for so long. */
+    private static final int STILL_ADDRESSED_MS = 2500;
+
+    private static final int IDLE_STEP_MS = 100;
+    private static final int IDLE_STEPS = 5;
+
     private DataPlane() {}
 
-    /** Runs until told to end; {@code DataPlane.run(settings, term)} then lets requests end. */
+    /**
+     * Runs until told to end, then lets requests end.
+     *
+     * @param settings the settings in force, which may change while running
+     * @param term counted down when the node is to end
+     * @throws Exception if ports cannot be opened
+     */
     public static void run(Settings settings, CountDownLatch term) throws Exception {
         NodeConfig config = settings.now();
         Threads threads = Threads.start("dp", 20, 8);
         QueuedThreadPool pool = threads.pool();
-        org.eclipse.jetty.util.thread.Scheduler beats = threads.timers();
-        NodeEnvironment means = NodeEnvironment.real(threads);
-        LoadBalancer picker = LoadBalancer.create(config);
-        ProxyHandler front = new ProxyHandler(config, picker, pool, beats, means.clock());
-        DataNode data = new DataNode(config, front, picker, means);
-        settings.listen(picker::updateSettings);
-        settings.listen(data::settings);
-        data.start();
-        PeriodicTask.start(data::tick, beats, DataNode.TICK_MS);
-        front.open();
+        Scheduler scheduler = threads.timers();
+        NodeEnvironment environment = NodeEnvironment.real(threads);
+        MonotonicClock clock = environment.clock();
+        LoadBalancer loadBalancer = LoadBalancer.create(config);
+        ProxyHandler proxy = new ProxyHandler(config, loadBalancer, pool, scheduler, clock);
+        DataNode node = new DataNode(config, proxy, loadBalancer, environment);
+        settings.listen(loadBalancer::updateSettings);
+        settings.listen(node::settings);
+        node.start();
+        PeriodicTask.start(node::tick, scheduler, DataNode.TICK_MS);
+        proxy.open();
         LOG.atInfo().log("data plane %s serves", config.name());
         term.await();
-        long endMs = means.clock().nowMs() + (long) (settings.now().graceS() * 1000) - 700;
-        front.leave();
-        data.leave();
-        LOG.atInfo().log("data plane %s leaves, %s under way", config.name(), front.active());
-        // consumers hold addresses for a while; what still comes is served
-        Thread.sleep(2500);
-        front.stopAccepting();
-        int calm = 0;
-        while (means.clock().nowMs() < endMs && calm < 5) {
-            Thread.sleep(100);
-            calm = front.active() == 0 ? calm + 1 : 0;
+        long endMs = clock.nowMs() + (long) (settings.now().graceS() * 1000) - STOP_MS;
+        proxy.leave();
+        node.leave();
+        LOG.atInfo().log("data plane %s leaves, %s under way", config.name(), proxy.active());
+        // clients hold addresses for a while; what still comes is served
+        Thread.sleep(STILL_ADDRESSED_MS);
+        proxy.stopAccepting();
+        awaitIdle(proxy, clock, endMs);
+        proxy.close();
+    }
+
+    /** Waits until no request has been active for a moment, and no longer than to that time. */
+    private static void awaitIdle(ProxyHandler proxy, MonotonicClock clock, long endMs) throws InterruptedException {
+        int idleSteps = 0;
+        while (clock.nowMs() < endMs && idleSteps < IDLE_STEPS) {
+            Thread.sleep(IDLE_STEP_MS);
+            idleSteps = proxy.active() == 0 ? idleSteps + 1 : 0;
         }
-        front.close();
     }
 }
--- /dev/null
+++ b/src/main/java/ringspindle/dataplane/FactApplier.java
@@ -0,0 +1,92 @@
+package ringspindle.dataplane;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import com.google.common.flogger.FluentLogger;
+import java.util.HashSet;
+import java.util.List;
+import ringspindle.config.FleetConfig;
+import ringspindle.config.Validated;
+import ringspindle.loadbalancing.LoadBalancer;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.Message.Engine;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.Lease;
+import ringspindle.proxy.Proxy;
+import ringspindle.replication.Rollout;
+import ringspindle.routing.ServingRules;
+
+/** Puts new facts into force in load balancer and proxy. Without state; called in the order in which facts were learnt. */
+final class FactApplier {
+    private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
+
+    private final LoadBalancer loadBalancer;
+    private final Proxy proxy;
+
+    FactApplier(LoadBalancer loadBalancer, Proxy proxy) {
+        this.loadBalancer = loadBalancer;
+        this.proxy = proxy;
+    }
+
+    /** Applies facts that were learnt together: what forbids comes before what allows. */
+    void apply(List<Fact> facts, long nowMs) {
+        for (Fact fact : facts) {
+            applyRestriction(fact, nowMs);
+        }
+        for (Fact fact : facts) {
+            applyPermission(fact, nowMs);
+        }
+    }
+
+    private void applyRestriction(Fact fact, long nowMs) {
+        switch (fact.kind()) {
+            case LEAVING -> loadBalancer.markDraining(fact.key(), text(fact).equals("gone"), nowMs);
+            case EVACUATED ->
+                loadBalancer.setZoneEvacuated(fact.key(), text(fact).equals("on"), nowMs);
+            case ROLLOUT -> {
+                Rollout rollout = Rollout.read(text(fact));
+                loadBalancer.setRolloutTurn(rollout.service(), new HashSet<>(rollout.turn()), nowMs);
+            }
+            case LEASE -> loadBalancer.updateLease((Lease) Codec.decode(fact.value()), nowMs);
+            default -> {
+                // applied with the permissions, or of no use here
+            }
+        }
+    }
+
+    private void applyPermission(Fact fact, long nowMs) {
+        switch (fact.kind()) {
+            case CONFIG -> applyConfiguration(fact);
+            case ENGINE ->
+                loadBalancer.updateEngine(fact.key(), (Engine) Codec.decode(fact.value()), fact.version(), nowMs);
+            case RULES -> applyRules(fact);
+            case SILENT -> loadBalancer.setHeartbeatMissing(fact.key(), fact.value()[0] == 1, nowMs);
+            default -> {
+                // applied with the restrictions, or of no use here
+            }
+        }
+    }
+
+    private void applyConfiguration(Fact fact) {
+        if (FleetConfig.read(FleetConfig.unpack(fact.value())) instanceof Validated.Valid<FleetConfig> valid) {
+            loadBalancer.updateConfiguration(valid.value());
+            proxy.config(valid.value());
+            LOG.atInfo().log("configuration %s in force", valid.value().revision());
+        } else {
+            LOG.atSevere().log("configuration %s cannot be read here", fact.version());
+        }
+    }
+
+    private void applyRules(Fact fact) {
+        if (ServingRules.read(fact.value()) instanceof Validated.Valid<ServingRules> valid) {
+            proxy.rules(valid.value());
+            LOG.atInfo().log("serving rules %s in force", valid.value().revision());
+        } else {
+            LOG.atSevere().log("serving rules of seq %s cannot be read here", fact.version());
+        }
+    }
+
+    private static String text(Fact fact) {
+        return new String(fact.value(), UTF_8);
+    }
+}
--- /dev/null
+++ b/src/main/java/ringspindle/dataplane/GossipState.java
@@ -0,0 +1,37 @@
+package ringspindle.dataplane;
+
+import ringspindle.gossip.FactStore;
+import ringspindle.membership.SessionTable;
+import ringspindle.protocol.NodeId;
+
+/**
+ * What a data node has learnt from others: sessions with peers, and facts.
+ *
+ * <p>Both are guarded by {@link #lock}, and whoever uses them holds the lock meanwhile; tests run with assertions that check
+ * it. Load balancer and proxy are told of new facts, and peers are sent messages, while the lock is held: of two threads
+ * that learnt of changes to one thing, the one with the older change must not be the last to apply it, and numbers of
+ * heartbeats and reports must rise on a connection. Neither load balancer nor proxy calls back, and sending only queues.
+ */
+final class GossipState {
+    /** Guards everything here, and the parts of a data node that say so. */
+    final Object lock = new Object();
+
+    private final SessionTable sessions;
+    private final FactStore facts = FactStore.create();
+
+    GossipState(NodeId me) {
+        sessions = SessionTable.forData(me);
+    }
+
+    /** Sessions with peers; the lock is held. */
+    SessionTable sessions() {
+        assert Thread.holdsLock(lock);
+        return sessions;
+    }
+
+    /** Facts; the lock is held. */
+    FactStore facts() {
+        assert Thread.holdsLock(lock);
+        return facts;
+    }
+}
