--- a/src/test/java/ringspindle/replication/ChainSimulationTest.java
+++ b/src/test/java/ringspindle/replication/ChainSimulationTest.java
@@ -20,7 +20,7 @@
         int acked = 0;
         for (long seed = 1; seed <= 60; seed++) {
             ChainSimulation sim = new ChainSimulation(seed, size);
-            ChainSimulation.History h = sim.run(8, 40_000);
+            SimulationHistory h = sim.run(8, 40_000);
             assertEquals(List.of(), h.problems(), () -> "seed and size " + sim.name() + sim.standing());
             assertTrue(h.readBack >= 0, "nothing could be read back, seed " + seed);
             acked += h.acked.size();
@@ -35,7 +35,7 @@
         int acked = 0;
         for (long seed = 1; seed <= 40; seed++) {
             ChainSimulation sim = new ChainSimulation(seed, size, 3, 2);
-            ChainSimulation.History h = sim.run(7, 45_000);
+            SimulationHistory h = sim.run(7, 45_000);
             assertEquals(List.of(), h.problems(), () -> "seed and size " + sim.name() + sim.standing());
             assertTrue(h.readBack >= 0, "nothing could be read back, seed " + seed);
             assertEquals(
@@ -60,7 +60,7 @@
             sim.script(
                     planned ? 14_000 : 14_100,
                     () -> sim.loseDisksAndPower(lost == 1 ? Set.of(second) : Set.of(second, (second + 1) % size)));
-            ChainSimulation.History h = sim.run(0, 22_000);
+            SimulationHistory h = sim.run(0, 22_000);
             assertEquals(List.of(), h.problems(), () -> sim.name() + sim.standing());
             assertTrue(
                     sim.acknowledgedAfter(17_500) > 0,
@@ -89,7 +89,7 @@
             }
             long lastMs = 9_000 + size * 7_500L;
             sim.script(lastMs, () -> sim.loseDisk(0, 2500));
-            ChainSimulation.History h = sim.run(0, lastMs + 8_000);
+            SimulationHistory h = sim.run(0, lastMs + 8_000);
             assertEquals(List.of(), h.problems(), () -> sim.name() + sim.standing());
             assertTrue(sim.acknowledgedAfter(lastMs + 4_000) > 0, () -> sim.name() + sim.standing());
             assertEquals(sim.running(), sim.votersOfNewest().stream().sorted().toList(), sim::name);
@@ -105,7 +105,7 @@
             int frozen = (int) (seed % size);
             sim.script(9_000, () -> sim.freezeAndJoin(frozen, 8_000));
             sim.script(15_000, () -> sim.checkVoters(size));
-            ChainSimulation.History h = sim.run(0, 24_000);
+            SimulationHistory h = sim.run(0, 24_000);
             assertEquals(List.of(), h.problems(), () -> sim.name() + sim.standing());
             assertTrue(sim.acknowledgedAfter(15_000) > 0, sim::name);
             assertEquals(sim.running(), sim.votersOfNewest().stream().sorted().toList(), sim::name);
@@ -130,7 +130,7 @@
     @Test
     void learnersPassCallsOn() {
         ChainSimulation sim = new ChainSimulation(3, 12, 3, 2);
-        ChainSimulation.History h = sim.run(0, 25_000);
+        SimulationHistory h = sim.run(0, 25_000);
         assertEquals(List.of(), h.problems(), () -> sim.name() + sim.standing());
         assertEquals(ViewConsensus.VOTERS_MAX, sim.voters());
         assertTrue(h.acked.size() > 10, "acknowledged " + h.acked.size());
@@ -144,23 +144,23 @@
             sim.checkVoters(ViewConsensus.VOTERS_MAX);
             sim.loseForGood(sim.votersOfNewest().get(1));
         });
-        ChainSimulation.History h = sim.run(0, 26_000);
+        SimulationHistory h = sim.run(0, 26_000);
         assertEquals(List.of(), h.problems(), () -> sim.name() + sim.standing());
         assertEquals(sim.running(), sim.votersOfNewest().stream().sorted().toList(), sim::standing);
     }
 
     @Test
     void quietCoreTakesEveryOrder() {
-        ChainSimulation.History h = new ChainSimulation(7, 3).run(0, 20_000);
+        SimulationHistory h = new ChainSimulation(7, 3).run(0, 20_000);
         assertEquals(List.of(), h.problems());
         assertTrue(h.acked.size() > 20, "acknowledged " + h.acked.size());
     }
 
     @Test
     void checkerSeesBrokenHistories() {
-        ChainSimulation.History h = new ChainSimulation.History();
-        h.acked.add(new ChainSimulation.History.Acked(5, 7, 0));
-        h.acked.add(new ChainSimulation.History.Acked(5, 9, 1));
+        SimulationHistory h = new SimulationHistory();
+        h.acked.add(new SimulationHistory.Acked(5, 7, 0));
+        h.acked.add(new SimulationHistory.Acked(5, 9, 1));
         h.readBack = 7;
         h.readBody = "a";
         h.sent.put(7L, "b");
