--- /dev/null
+++ b/src/test/java/ringspindle/replication/ModelSearchState.java
@@ -0,0 +1,41 @@
+package ringspindle.replication;
+
+import java.util.HashMap;
+import java.util.Map;
+
+/** The nodes' part of a state's fingerprint; each node's is kept until the node changes. */
+final class ModelSearchState {
+    private record Fingerprint(long version, long value) {}
+
+    private final ModelWorld world;
+    private final Map<Integer, Fingerprint> kept = new HashMap<>();
+
+    ModelSearchState(ModelWorld world) {
+        this.world = world;
+    }
+
+    /** Adds what every node holds and which links are cut. */
+    void addNodes(ModelFingerprint fingerprint) {
+        for (ModelNode node : world.nodes.values()) {
+            fingerprint.add(of(node));
+            world.nodes.values().forEach(other -> fingerprint.add(world.isCut(node, other)));
+        }
+    }
+
+    private long of(ModelNode node) {
+        Fingerprint known = kept.get(node.slot);
+        if (known == null || known.version() != node.version) {
+            ModelFingerprint fingerprint = new ModelFingerprint()
+                    .add(node.up())
+                    .add(node.frozen)
+                    .add(node.disk)
+                    .add(node.chain)
+                    .add(node.reachableSinceMs)
+                    .add(node.writes.size());
+            node.writes.forEach(store -> fingerprint.add(store.records()));
+            known = new Fingerprint(node.version, fingerprint.value());
+            kept.put(node.slot, known);
+        }
+        return known.value();
+    }
+}
