--- /dev/null
+++ b/src/test/java/ringspindle/replication/ModelDisks.java
@@ -0,0 +1,54 @@
+package ringspindle.replication;
+
+import java.util.HashMap;
+import java.util.Map;
+
+/** The disks of a {@link ModelWalk}: each syncs one write after the other, with delays drawn from the seed. */
+final class ModelDisks {
+    private static final int DISK_DELAY_MS = 8;
+
+    private final ModelWalk walk;
+    private final long seed;
+    private final Map<Integer, ModelRandom> diskRandom = new HashMap<>();
+    private final Map<Integer, Long> diskFreeMs = new HashMap<>();
+    private final Map<Integer, Long> diskHangsUntilMs = new HashMap<>();
+
+    ModelDisks(ModelWalk walk, long seed) {
+        this.walk = walk;
+        this.seed = seed;
+    }
+
+    /** The disk syncs nothing for that time. */
+    void hang(ModelNode node, long forMs) {
+        diskHangsUntilMs.put(node.slot, walk.world.nowMs + forMs);
+    }
+
+    /** The process ended, and its writes with it. */
+    void ended(ModelNode node) {
+        diskFreeMs.remove(node.slot);
+    }
+
+    /** Syncs the write a moment later, or once the disk no longer hangs. */
+    void writing(ModelNode node) {
+        ModelRandom random = diskRandom.computeIfAbsent(node.slot, k -> new ModelRandom(seed, k + 2_000_000));
+        long freeMs = Math.max(diskFreeMs.getOrDefault(node.slot, 0L), diskHangsUntilMs.getOrDefault(node.slot, 0L));
+        long whenMs = Math.max(walk.world.nowMs, freeMs) + 1 + random.below(DISK_DELAY_MS);
+        diskFreeMs.put(node.slot, whenMs);
+        int life = node.life;
+        walk.at(whenMs, () -> sync(node, life));
+    }
+
+    private void sync(ModelNode node, int life) {
+        if (node.life != life || !node.up()) {
+            return;
+        }
+        if (node.frozen) {
+            // the process takes note when it runs again
+            walk.in(ModelWalk.TICK_MS, () -> sync(node, life));
+            return;
+        }
+        if (!node.writes.isEmpty()) {
+            walk.world.sync(node);
+        }
+    }
+}
--- a/src/test/java/ringspindle/replication/ModelExplorer.java
+++ b/src/test/java/ringspindle/replication/ModelExplorer.java
@@ -29,6 +29,7 @@
     static final int ROUND_TICKS = 45;
     /** The longest change of members, six calm seconds, and time for the order at the end. */
     private static final int END_TICKS = 130;
+
     /** What is done instead of the default step. */
     enum Action {
         KILL,
--- a/src/test/java/ringspindle/replication/ModelWalk.java
+++ b/src/test/java/ringspindle/replication/ModelWalk.java
@@ -2,14 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.PriorityQueue;
-import java.util.Set;
-import ringspindle.protocol.Codec;
-import ringspindle.protocol.Message;
 
 /** One run over a {@link ModelPlan}: every delay is drawn from the plan's seed, so that the run is the same each time. */
 final class ModelWalk implements ModelWorld.Driver {
@@ -25,14 +19,7 @@
     /** Longest that a drawn fault goes on after the plan's end. */
     private static final long OVERHANG_MS = 2500;
 
-    private static final long BEAT_MS = 100;
-    private static final long RECONNECT_MS = 50;
-    /** Longest that a message is held up; a connection silent for that long is closed by its far end. */
-    private static final int HELD_UP_MS = 1800;
-
-    private static final long VOTER_RESTART_MS = 200;
-    private static final int LINK_DELAY_MS = 20;
-    private static final int DISK_DELAY_MS = 8;
+    static final long TICK_MS = 100;
 
     /** What a run came to. */
     record Result(
@@ -49,34 +36,27 @@
         }
     }
 
-    private record HeldUp(ModelWorld.Envelope envelope, long sinceMs) {}
-
     private record Event(long atMs, long order, Runnable run) {}
 
     private final ModelPlan plan;
     final ModelWorld world;
     final ModelOperators operators;
+    private final ModelNetwork network;
+    private final ModelDisks disks;
+    private final ModelWalkFaults faults;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::atMs).thenComparingLong(Event::order));
-    private final Map<Long, Long> linkFreeMs = new HashMap<>();
-    private final Map<Long, ModelRandom> linkRandom = new HashMap<>();
-    private final Map<Integer, ModelRandom> diskRandom = new HashMap<>();
-    private final Map<Integer, Long> diskFreeMs = new HashMap<>();
-    private final Map<Integer, Long> diskHangsUntilMs = new HashMap<>();
-    private final Map<Integer, List<ModelWorld.Envelope>> waitingForThaw = new HashMap<>();
-    private final List<HeldUp> waitingForLink = new ArrayList<>();
-    private final Set<Long> heldLinks = new HashSet<>();
     private final List<Runnable> afterAcknowledgement = new ArrayList<>();
     private long order;
-    private long noiseUntilMs;
-    private int noise;
-    private ModelFault voteCrash;
     private long impatientUntilMs;
 
     ModelWalk(ModelFactory factory, ModelPlan plan) {
         this.plan = plan;
         world = new ModelWorld(factory, plan.size(), plan.lost(), plan.seed(), this);
         operators = new ModelOperators(this, plan.seed());
+        network = new ModelNetwork(this, plan.seed());
+        disks = new ModelDisks(this, plan.seed());
+        faults = new ModelWalkFaults(this, network, disks);
     }
 
     /** {@code ModelWalk.run(ModelFactory.REAL, ModelPlan.random(7, 3, 1, 60_000, Mix.ALL))}. */
@@ -85,9 +65,9 @@
     }
 
     private Result run() {
-        world.nodes.values().forEach(this::beatOn);
+        world.nodes.values().forEach(this::tickOn);
         for (ModelFault fault : plan.faults()) {
-            at(fault.atMs(), () -> inflict(fault));
+            at(fault.atMs(), () -> faults.inflict(fault));
         }
         operators.start();
         long closing = plan.lengthMs() + OVERHANG_MS + CALM_MS;
@@ -127,95 +107,32 @@
         at(world.nowMs + delayMs, run);
     }
 
-    private void beatOn(ModelNode node) {
+    /** The process is told of time from now on. */
+    void tickOn(ModelNode node) {
         int life = node.life;
-        in(BEAT_MS, () -> beat(node, life));
+        in(TICK_MS, () -> tick(node, life));
     }
 
-    private void beat(ModelNode node, int life) {
+    private void tick(ModelNode node, int life) {
         if (node.life == life && node.up()) {
             if (!node.frozen) {
                 world.tick(node);
             }
-            in(BEAT_MS, () -> beat(node, life));
+            in(TICK_MS, () -> tick(node, life));
         }
     }
 
-    // ---- links and disks
-
-    private static long link(ModelWorld.Envelope envelope) {
-        return (long) envelope.from().slot << 32 | envelope.to().slot;
-    }
+    // ---- what machines ask for
 
     @Override
     public void sent(ModelWorld.Envelope envelope) {
-        if (voteCrash != null && Codec.decode(envelope.bytes()) instanceof Message.Accepted) {
-            ModelFault fault = voteCrash;
-            voteCrash = null;
-            // not within the machine's own step
-            in(0, () -> crashVoter(envelope.from(), envelope.to(), fault));
-        }
-        long link = link(envelope);
-        ModelRandom random = linkRandom.computeIfAbsent(link, k -> new ModelRandom(plan.seed(), k + 1_000_000));
-        int delayMs = 1 + random.below(LINK_DELAY_MS);
-        int choice = random.below(3 * 1000);
-        boolean noisy = world.nowMs < noiseUntilMs && choice / 3 % noise == 0;
-        if (noisy && choice % 3 == 0) {
-            return;
-        }
-        if (noisy && choice % 3 == 1) {
-            in(delayMs + choice % HELD_UP_MS, () -> deliver(envelope));
-            return;
-        }
-        if (noisy) {
-            in(delayMs + choice % HELD_UP_MS, () -> deliver(envelope));
-        }
-        long whenMs = Math.max(linkFreeMs.getOrDefault(link, 0L), world.nowMs + delayMs);
-        linkFreeMs.put(link, whenMs);
-        at(whenMs, () -> deliver(envelope));
-    }
-
-    private void deliver(ModelWorld.Envelope envelope) {
-        if (!world.arrives(envelope)) {
-            return;
-        }
-        if (world.isCut(envelope.from(), envelope.to())) {
-            if (heldLinks.contains(link(envelope))) {
-                waitingForLink.add(new HeldUp(envelope, world.nowMs));
-            }
-            return;
-        }
-        if (envelope.to().frozen) {
-            waitingForThaw
-                    .computeIfAbsent(envelope.to().slot, k -> new ArrayList<>())
-                    .add(envelope);
-            return;
-        }
-        world.deliver(envelope);
+        faults.sent(envelope);
+        network.sent(envelope);
     }
 
     @Override
     public void writing(ModelNode node) {
-        ModelRandom random = diskRandom.computeIfAbsent(node.slot, k -> new ModelRandom(plan.seed(), k + 2_000_000));
-        long freeMs = Math.max(diskFreeMs.getOrDefault(node.slot, 0L), diskHangsUntilMs.getOrDefault(node.slot, 0L));
-        long whenMs = Math.max(world.nowMs, freeMs) + 1 + random.below(DISK_DELAY_MS);
-        diskFreeMs.put(node.slot, whenMs);
-        int life = node.life;
-        at(whenMs, () -> sync(node, life));
-    }
-
-    private void sync(ModelNode node, int life) {
-        if (node.life != life || !node.up()) {
-            return;
-        }
-        if (node.frozen) {
-            // the process takes note when it runs again
-            in(BEAT_MS, () -> sync(node, life));
-            return;
-        }
-        if (!node.writes.isEmpty()) {
-            world.sync(node);
-        }
+        disks.writing(node);
     }
 
     @Override
@@ -223,214 +140,24 @@
         operators.answered(answer);
     }
 
+    /** For that time operators give up early. */
+    void impatientFor(long forMs) {
+        impatientUntilMs = world.nowMs + forMs;
+    }
+
     boolean impatient() {
         return world.nowMs < impatientUntilMs;
     }
 
+    /** Runs it right after the next acknowledgement. */
+    void afterAcknowledgement(Runnable run) {
+        afterAcknowledgement.add(run);
+    }
+
     void acknowledged() {
         List<Runnable> due = new ArrayList<>(afterAcknowledgement);
         afterAcknowledgement.clear();
         // not within the machine's own step
         due.forEach(run -> in(0, run));
     }
-
-    // ---- faults
-
-    private void inflict(ModelFault fault) {
-        switch (fault.kind()) {
-            case NOISE:
-                noiseUntilMs = world.nowMs + fault.forMs();
-                noise = fault.detail();
-                break;
-            case IMPATIENT:
-                impatientUntilMs = world.nowMs + fault.forMs();
-                break;
-            case VOTE_CRASH:
-                voteCrash = fault;
-                break;
-            case JOIN:
-                join(fault.slot());
-                break;
-            case KILL_ALL:
-            case POWER_ALL:
-                ModelFault.Kind each =
-                        fault.kind() == ModelFault.Kind.KILL_ALL ? ModelFault.Kind.KILL : ModelFault.Kind.POWER;
-                present().forEach(node -> stop(node, each, fault));
-                break;
-            case WIPE_ACKED:
-                afterAcknowledgement.add(() -> wipeAcknowledged(fault));
-                break;
-            default:
-                ModelNode node = world.nodes.get(fault.slot());
-                if (node != null && !node.removed) {
-                    inflict(node, fault);
-                }
-                break;
-        }
-    }
-
-    private List<ModelNode> present() {
-        return world.nodes.values().stream().filter(node -> !node.removed).toList();
-    }
-
-    private void inflict(ModelNode node, ModelFault fault) {
-        switch (fault.kind()) {
-            case KILL:
-            case POWER:
-            case WIPE:
-                stop(node, fault.kind(), fault);
-                break;
-            case FREEZE:
-                freeze(node, fault.forMs());
-                break;
-            case CUT:
-            case CUT_HELD:
-                cutAround(node, true, true, fault);
-                break;
-            case CUT_OUT:
-                cutAround(node, true, false, fault);
-                break;
-            case CUT_IN:
-                cutAround(node, false, true, fault);
-                break;
-            case LINK:
-                ModelNode other = world.nodes.get(fault.other());
-                if (other != null && other != node) {
-                    cut(node, other, fault.forMs(), fault.detail() == 1);
-                }
-                break;
-            case DISK:
-                diskHangsUntilMs.put(node.slot, world.nowMs + fault.forMs());
-                break;
-            case REMOVE:
-                world.remove(node);
-                break;
-            case REPLACE:
-                join(fault.other());
-                in(LEAVES_MS, () -> node.leaving = true);
-                in(REPLACEMENT_ENDS_MS, () -> world.remove(node));
-                break;
-            case LOSE_AND_REPLACE:
-                world.remove(node);
-                in(SUCCESSOR_MS, () -> join(fault.other()));
-                break;
-            default:
-                throw new IllegalStateException("no fault of one node: " + fault);
-        }
-    }
-
-    private void join(int slot) {
-        world.add(slot, false);
-        ModelNode node = world.nodes.get(slot);
-        beatOn(node);
-        connectSoon(node);
-    }
-
-    private void stop(ModelNode node, ModelFault.Kind kind, ModelFault fault) {
-        if (kind == ModelFault.Kind.POWER) {
-            world.losePower(node, fault.detail() / 4, fault.detail() % 4);
-        } else if (kind == ModelFault.Kind.WIPE) {
-            world.wipe(node);
-        } else {
-            world.kill(node);
-        }
-        waitingForThaw.remove(node.slot);
-        diskFreeMs.remove(node.slot);
-        int life = node.life;
-        in(fault.forMs(), () -> {
-            if (node.life == life && !node.up() && !node.removed) {
-                world.start(node, false);
-                beatOn(node);
-                connectSoon(node);
-            }
-        });
-    }
-
-    private void connectSoon(ModelNode node) {
-        int life = node.life;
-        in(ModelWorld.INTRODUCTION_MS - RECONNECT_MS, () -> {
-            if (node.life == life) {
-                present().forEach(other -> world.connect(other, node));
-            }
-        });
-    }
-
-    private void freeze(ModelNode node, long forMs) {
-        if (!node.running()) {
-            return;
-        }
-        world.freeze(node);
-        int life = node.life;
-        in(forMs, () -> {
-            if (node.life == life && node.frozen) {
-                world.thaw(node);
-                List<ModelWorld.Envelope> waiting = waitingForThaw.remove(node.slot);
-                if (waiting != null) {
-                    waiting.forEach(this::deliver);
-                }
-            }
-        });
-    }
-
-    private void cutAround(ModelNode node, boolean outwards, boolean inwards, ModelFault fault) {
-        for (ModelNode other : present()) {
-            if (other != node && outwards) {
-                cut(node, other, fault.forMs(), fault.kind() == ModelFault.Kind.CUT_HELD);
-            }
-            if (other != node && inwards) {
-                cut(other, node, fault.forMs(), fault.kind() == ModelFault.Kind.CUT_HELD);
-            }
-        }
-    }
-
-    private void cut(ModelNode from, ModelNode to, long forMs, boolean held) {
-        long link = (long) from.slot << 32 | to.slot;
-        world.cut(from, to);
-        if (held) {
-            heldLinks.add(link);
-        }
-        in(forMs, () -> {
-            world.heal(from, to);
-            if (!world.isCut(from, to)) {
-                heldLinks.remove(link);
-                release(link);
-                in(RECONNECT_MS, () -> world.connect(from, to));
-            }
-        });
-    }
-
-    private void release(long link) {
-        List<HeldUp> due = waitingForLink.stream()
-                .filter(held -> link(held.envelope()) == link)
-                .toList();
-        waitingForLink.removeAll(due);
-        for (HeldUp held : due) {
-            if (world.nowMs - held.sinceMs() < HELD_UP_MS) {
-                deliver(held.envelope());
-            }
-        }
-    }
-
-    private void crashVoter(ModelNode voter, ModelNode proposer, ModelFault fault) {
-        cutAround(proposer, true, false, fault);
-        if (voter.up()) {
-            stop(
-                    voter,
-                    ModelFault.Kind.KILL,
-                    new ModelFault(fault.atMs(), ModelFault.Kind.KILL, voter.slot, 0, VOTER_RESTART_MS, 0));
-        }
-    }
-
-    private void wipeAcknowledged(ModelFault fault) {
-        for (ModelNode node : present()) {
-            if ((fault.detail() >> node.slot & 1) == 1) {
-                stop(node, ModelFault.Kind.WIPE, fault);
-            } else if (fault.other() == 1) {
-                stop(
-                        node,
-                        ModelFault.Kind.POWER,
-                        new ModelFault(fault.atMs(), ModelFault.Kind.POWER, node.slot, 0, fault.forMs(), 0));
-            }
-        }
-    }
 }
