--- a/src/main/java/ringspindle/controlplane/ControlNode.java
+++ b/src/main/java/ringspindle/controlplane/ControlNode.java
@@ -49,11 +49,11 @@
         this.config = config;
         this.storage = storage;
         NodeId me = NodeId.of(config.ip() + ":" + config.innerPort());
-        Hello self = greeting(me, config, environment.life());
+        Hello self = greeting(me, config, environment.incarnation());
         PendingCalls calls = new PendingCalls(
-                environment.clock(), environment.pool(), environment.chance().getAsLong());
+                environment.clock(), environment.pool(), environment.random().getAsLong());
         context = new NodeContext(
-                me, this::config, environment.clock(), environment.mesh().apply(self), environment.pool());
+                me, this::config, environment.clock(), environment.meshFactory().apply(self), environment.pool());
         serving = new ServingState(context.clock(), quorum);
         fleet = new FleetState(context, self);
         CommittedFacts committedFacts = new CommittedFacts(context.pool(), fleet, serving);
@@ -62,7 +62,7 @@
                 seeds(config),
                 config.bootstrap(),
                 storage.load(),
-                environment.chance().getAsLong(),
+                environment.random().getAsLong(),
                 ReplicationDriver.votersWanted(config.lossesBorne()));
         replication = new ReplicationDriver(context, state, calls, storage, quorum, committedFacts);
         engines = new EngineRegistry(fleet, serving, replication);
--- a/src/main/java/ringspindle/controlplane/ControlNodeTasks.java
+++ b/src/main/java/ringspindle/controlplane/ControlNodeTasks.java
@@ -154,7 +154,7 @@
         boolean voter = view != null && view.voters().contains(me);
         for (NodeId node : known) {
             boolean dials = me.compareTo(node) < 0 || !voter && !me.equals(node);
-            if (dials && !context.mesh().up(node)) {
+            if (dials && !context.mesh().connected(node)) {
                 context.mesh().dial(node);
             }
         }
--- a/src/main/java/ringspindle/controlplane/ControlPlane.java
+++ b/src/main/java/ringspindle/controlplane/ControlPlane.java
@@ -37,7 +37,7 @@
         Threads threads = Threads.start("cp", 16, 6);
         QueuedThreadPool pool = threads.pool();
         pool.setStopTimeout(STOP_MS);
-        org.eclipse.jetty.util.thread.Scheduler beats = threads.timers();
+        org.eclipse.jetty.util.thread.Scheduler beats = threads.scheduler();
         EngineReportClient reports = new EngineReportClient(pool, beats);
         Path folder = Path.of(config.dataPath().isEmpty() ? "/tmp/ringspindle" : config.dataPath());
         ControlNode control =
--- a/src/main/java/ringspindle/controlplane/MessageDispatcher.java
+++ b/src/main/java/ringspindle/controlplane/MessageDispatcher.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void heard(NodeId from, Message message) {
+    public void received(NodeId from, Message message) {
         long nowMs = context.nowMs();
         if (message instanceof Heartbeat heartbeat) {
             heartbeats.received(from, heartbeat, nowMs);
--- a/src/main/java/ringspindle/dataplane/DataNode.java
+++ b/src/main/java/ringspindle/dataplane/DataNode.java
@@ -35,13 +35,13 @@
         MonotonicClock clock = environment.clock();
         // a data node talks at the second inner port, so that both programs fit on one machine
         NodeId me = NodeId.of(config.ip() + ":" + (config.innerPort() + 1));
-        mesh = environment.mesh().apply(greeting(me, config, environment.life()));
+        mesh = environment.meshFactory().apply(greeting(me, config, environment.incarnation()));
         gossip = new GossipState(me);
         heartbeats = new HeartbeatSender(clock, mesh, gossip, proxy);
         dialer = new PeerDialer(me, this::config, mesh, gossip);
         dialer.addSeeds(config);
         dispatcher = new MessageDispatcher(clock, mesh, gossip, heartbeats, dialer, loadBalancer, proxy);
-        LoadReporter reporter = new LoadReporter(environment.life(), this::config, mesh, gossip, loadBalancer, proxy);
+        LoadReporter reporter = new LoadReporter(environment.incarnation(), this::config, mesh, gossip, loadBalancer, proxy);
         tasks = new DataNodeTasks(clock, mesh, environment.pool(), gossip, heartbeats, dialer, reporter, proxy);
     }
 
--- a/src/main/java/ringspindle/dataplane/DataPlane.java
+++ b/src/main/java/ringspindle/dataplane/DataPlane.java
@@ -38,7 +38,7 @@
         NodeConfig config = settings.now();
         Threads threads = Threads.start("dp", 20, 8);
         QueuedThreadPool pool = threads.pool();
-        Scheduler scheduler = threads.timers();
+        Scheduler scheduler = threads.scheduler();
         NodeEnvironment environment = NodeEnvironment.real(threads);
         MonotonicClock clock = environment.clock();
         LoadBalancer loadBalancer = LoadBalancer.create(config);
--- a/src/main/java/ringspindle/dataplane/MessageDispatcher.java
+++ b/src/main/java/ringspindle/dataplane/MessageDispatcher.java
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public void heard(NodeId from, Message message) {
+    public void received(NodeId from, Message message) {
         long nowMs = clock.nowMs();
         synchronized (gossip.lock) {
             if (message instanceof Heartbeat heartbeat) {
--- a/src/main/java/ringspindle/dataplane/PeerDialer.java
+++ b/src/main/java/ringspindle/dataplane/PeerDialer.java
@@ -75,7 +75,7 @@
         long bestRank = Long.MAX_VALUE;
         for (NodeId node : controlNodes) {
             Long lastMs = dialledMs.get(node);
-            if (mesh.up(node) || (lastMs != null && nowMs - lastMs < CONTROL_REDIAL_MS)) {
+            if (mesh.connected(node) || (lastMs != null && nowMs - lastMs < CONTROL_REDIAL_MS)) {
                 continue;
             }
             long distance = Math.abs((node.bits() >>> PORT_BITS) - (me.bits() >>> PORT_BITS));
@@ -93,7 +93,7 @@
     /** The next data node on the ring of this region; the one before dials here. */
     private void dialDataNode(long nowMs) {
         NodeId next = nextOnRing();
-        if (next != null && !mesh.up(next) && nowMs - dialledMs.getOrDefault(next, 0L) > DATA_REDIAL_MS) {
+        if (next != null && !mesh.connected(next) && nowMs - dialledMs.getOrDefault(next, 0L) > DATA_REDIAL_MS) {
             dial(next, nowMs);
         }
     }
--- /dev/null
+++ b/src/main/java/ringspindle/transport/FrameConnection.java
@@ -0,0 +1,146 @@
+package ringspindle.transport;
+
+import com.google.common.flogger.FluentLogger;
+import java.util.concurrent.Executor;
+import org.eclipse.jetty.io.AbstractConnection;
+import org.eclipse.jetty.io.EndPoint;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.FrameException;
+import ringspindle.protocol.Message;
+import ringspindle.protocol.NodeId;
+
+/**
+ * One connection of the mesh. It greets first; its peer is known once it has greeted back and its owner took it in. Bytes
+ * that are no message close it.
+ */
+final class FrameConnection extends AbstractConnection {
+    private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
+    /** No frame is longer, in bytes. */
+    private static final int BODY_MAX = 48 << 20;
+    /** Who has not said who it is gets no more room than that takes. */
+    private static final int GREETING_MAX = 4096;
+
+    /** Whom a connection belongs to; called from pool threads. */
+    interface Owner {
+        /** The greeting of this node. */
+        Message.Hello greeting();
+
+        /** The peer said who it is; the owner calls {@link FrameConnection#admit} or closes the connection. */
+        void greeted(FrameConnection connection, Message.Hello peer);
+
+        /** A message of a peer that was admitted. */
+        void received(NodeId from, Message message);
+
+        /** What came is no message; the connection is closed after this. */
+        void refused(FrameConnection connection, FrameException reason);
+
+        /** The connection is closed. */
+        void closed(FrameConnection connection);
+    }
+
+    private final NodeId dialled;
+    private final Owner owner;
+    private final FrameDecoder decoder = new FrameDecoder();
+    private final FrameWriter writer;
+    private volatile Message.Hello peer;
+
+    /**
+     * @param dialled the address that this node dialled, null if the connection was accepted
+     */
+    FrameConnection(EndPoint endPoint, Executor executor, NodeId dialled, Owner owner) {
+        super(endPoint, executor);
+        this.dialled = dialled;
+        this.owner = owner;
+        writer = new FrameWriter(endPoint, this::close);
+    }
+
+    /** The address that this node dialled, null if the connection was accepted. */
+    NodeId dialled() {
+        return dialled;
+    }
+
+    /** The peer's greeting, null before it was admitted. */
+    Message.Hello peer() {
+        return peer;
+    }
+
+    /** The peer's address, null before it was admitted. */
+    NodeId peerNode() {
+        Message.Hello known = peer;
+        return known == null ? null : known.node();
+    }
+
+    /** The connection stands for this peer from now on. */
+    void admit(Message.Hello admitted) {
+        peer = admitted;
+    }
+
+    /** Sends a message; closes the connection if too much waits for the peer. */
+    void send(Message message) {
+        writer.write(Codec.encode(message));
+    }
+
+    @Override
+    public void onOpen() {
+        super.onOpen();
+        fillInterested();
+        send(owner.greeting());
+    }
+
+    @Override
+    public void onFillable() {
+        try {
+            readAvailable();
+        } catch (FrameException e) {
+            owner.refused(this, e);
+            close();
+        } catch (Throwable e) {
+            LOG.atFine().withCause(e).log("connection to %s fails", peerNode());
+            close();
+        }
+    }
+
+    private void readAvailable() throws Exception {
+        while (true) {
+            int filled = getEndPoint().fill(decoder.room());
+            if (filled < 0) {
+                close();
+                return;
+            }
+            if (filled == 0) {
+                fillInterested();
+                return;
+            }
+            decoder.filled(filled);
+            readFrames();
+        }
+    }
+
+    private void readFrames() {
+        for (byte[] body = decoder.next(bodyMax()); body != null; body = decoder.next(bodyMax())) {
+            receive(Codec.decode(body));
+        }
+    }
+
+    private int bodyMax() {
+        return peer == null ? GREETING_MAX : BODY_MAX;
+    }
+
+    private void receive(Message message) {
+        NodeId from = peerNode();
+        if (from != null) {
+            owner.received(from, message);
+        } else if (message instanceof Message.Hello greeting) {
+            owner.greeted(this, greeting);
+        } else {
+            throw new FrameException(
+                    FrameException.Reason.NO_HELLO, message.getClass().getSimpleName());
+        }
+    }
+
+    @Override
+    public void onClose(Throwable cause) {
+        super.onClose(cause);
+        owner.closed(this);
+    }
+}
--- a/src/main/java/ringspindle/transport/LifeCycles.java
+++ b/src/main/java/ringspindle/transport/LifeCycles.java
@@ -2,16 +2,16 @@
 
 import org.eclipse.jetty.util.component.LifeCycle;
 
-/** Stops parts at the end of a process, where a failure to stop changes nothing. */
+/** Stops components at the end of a process, where a failure to stop changes nothing. */
 public final class LifeCycles {
     private LifeCycles() {}
 
-    /** {@code LifeCycles.stopQuietly(server)}; null is fine. */
-    public static void stopQuietly(LifeCycle part) {
-        if (part != null) {
+    /** Stops the component if there is one; {@code LifeCycles.stopQuietly(server)}. */
+    public static void stopQuietly(LifeCycle component) {
+        if (component != null) {
             try {
-                part.stop();
-            } catch (Exception x) {
+                component.stop();
+            } catch (Exception e) {
                 // the process ends anyway
             }
         }
--- a/src/main/java/ringspindle/transport/Mesh.java
+++ b/src/main/java/ringspindle/transport/Mesh.java
@@ -5,41 +5,49 @@
 import ringspindle.protocol.Message;
 import ringspindle.protocol.NodeId;
 
-/** Wires to other nodes of the system. */
+/**
+ * Connections to the other nodes of the system, one for each peer at most. Messages over one connection arrive in order;
+ * those that were on their way when it ended are lost. Thread safe.
+ */
 public interface Mesh extends AutoCloseable {
 
-    /** Told of what comes over the wires; called from pool threads. */
+    /** Notified of what comes over the connections, from pool threads; calls for one connection come one at a time. */
     interface Listener {
-        /** A wire stands and its peer has said who it is. */
+        /** A connection stands and its peer has said who it is; it takes the place of an earlier one. */
         void opened(Message.Hello peer);
 
         /** A message came. */
-        void heard(NodeId from, Message m);
+        void received(NodeId from, Message message);
 
-        /** The wire to that node is gone. */
+        /** The connection to that node is gone, and none has taken its place. */
         void closed(NodeId peer);
     }
 
-    /** Listens and allows dialling; {@code mesh.open(ear)} comes before all else. */
-    void open(Listener ear) throws Exception;
+    /** Listens at the node's address and allows dialling; comes before all else. Throws if the address cannot be bound. */
+    void open(Listener listener) throws Exception;
 
-    /** Dials unless a wire stands or is being dialled; {@code mesh.dial(NodeId.of("10.0.0.2:7720"))}. */
+    /** Dials unless a connection stands or is being dialled; a failure changes nothing. */
     void dial(NodeId peer);
 
-    /** Sends if a wire stands, else drops; {@code mesh.send(peer, new Message.Relearn(1))}. */
-    void send(NodeId peer, Message m);
+    /** Sends if a connection stands, else drops the message. */
+    void send(NodeId peer, Message message);
 
-    /** True while a wire to that node stands; {@code if (!mesh.up(peer)) mesh.dial(peer);}. */
-    boolean up(NodeId peer);
+    /** True while a connection to that node stands; {@code if (!mesh.connected(peer)) mesh.dial(peer);}. */
+    boolean connected(NodeId peer);
 
-    /** Cuts the wire to that node; {@code mesh.drop(peer)} after a silence. */
+    /** Closes the connection to that node, as after a silence. */
     void drop(NodeId peer);
 
+    /** Ends all connections. */
     @Override
     void close();
 
-    /** {@code Mesh.create(hello, pool, beats)} speaks for the node that the hello names. */
-    static Mesh create(Message.Hello self, Executor pool, Scheduler beats) {
-        return new JettyMesh(self, pool, beats);
+    /**
+     * A mesh over TCP that speaks for the node that the greeting names.
+     *
+     * @param pool a Jetty thread pool
+     */
+    static Mesh create(Message.Hello self, Executor pool, Scheduler scheduler) {
+        return new JettyMesh(self, pool, scheduler);
     }
 }
--- a/src/main/java/ringspindle/transport/NodeEnvironment.java
+++ b/src/main/java/ringspindle/transport/NodeEnvironment.java
@@ -8,20 +8,29 @@
 import ringspindle.time.MonotonicClock;
 
 /**
- * What an owner of state machines works with: a clock, the number of its life, chance, threads, and a mesh that speaks for
- * the node a hello names. Hollow nodes get others of these than real ones. The life is drawn from the time of day, which may
- * go back; numbers that no other process may use come from chance.
+ * What the owner of a node's state machines works with. Nodes of a simulated fleet get others of these than real ones.
+ *
+ * @param clock decides what is late
+ * @param incarnation the number of this process of the node, higher than of earlier ones; it is drawn from the time of day,
+ *     which may go back
+ * @param random numbers that no other process may use
+ * @param pool runs what must not hold up a caller
+ * @param meshFactory makes the mesh that speaks for the node a greeting names
  */
 public record NodeEnvironment(
-        MonotonicClock clock, long life, LongSupplier chance, Executor pool, Function<Message.Hello, Mesh> mesh) {
+        MonotonicClock clock,
+        long incarnation,
+        LongSupplier random,
+        Executor pool,
+        Function<Message.Hello, Mesh> meshFactory) {
 
-    /** Sockets, the steady clock and the given threads; {@code NodeEnvironment.real(Threads.start("dp", 20, 8))}. */
+    /** Sockets, the monotonic clock and the given threads; {@code NodeEnvironment.real(Threads.start("dp", 20, 8))}. */
     public static NodeEnvironment real(Threads threads) {
         return new NodeEnvironment(
                 MonotonicClock.system(),
                 System.currentTimeMillis(),
                 new SecureRandom()::nextLong,
                 threads.pool(),
-                hello -> Mesh.create(hello, threads.pool(), threads.timers()));
+                greeting -> Mesh.create(greeting, threads.pool(), threads.scheduler()));
     }
 }
--- a/src/main/java/ringspindle/transport/PeriodicTask.java
+++ b/src/main/java/ringspindle/transport/PeriodicTask.java
@@ -2,33 +2,37 @@
 
 import com.google.common.flogger.FluentLogger;
 import java.util.concurrent.TimeUnit;
+import org.eclipse.jetty.util.thread.Scheduler;
 
-/** Calls an owner at a steady pace; a call that fails is logged and does not end it. */
+/** Runs a task again and again, on the scheduler's thread; a run that fails is logged and does not end it. */
 public final class PeriodicTask implements Runnable {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
 
-    private final Runnable tick;
-    private final org.eclipse.jetty.util.thread.Scheduler timers;
-    private final int everyMs;
+    private final Runnable task;
+    private final Scheduler scheduler;
+    private final int intervalMs;
 
-    private PeriodicTask(Runnable tick, org.eclipse.jetty.util.thread.Scheduler timers, int everyMs) {
-        this.tick = tick;
-        this.timers = timers;
-        this.everyMs = everyMs;
+    private PeriodicTask(Runnable task, Scheduler scheduler, int intervalMs) {
+        this.task = task;
+        this.scheduler = scheduler;
+        this.intervalMs = intervalMs;
     }
 
-    /** {@code PeriodicTask.start(this::tick, timers, 100)} ticks at once and then every 100 ms after the last tick. */
-    public static void start(Runnable tick, org.eclipse.jetty.util.thread.Scheduler timers, int everyMs) {
-        new PeriodicTask(tick, timers, everyMs).run();
+    /**
+     * Runs the task at once on this thread, and from then on each time {@code intervalMs} milliseconds after its last run
+     * ended; {@code PeriodicTask.start(this::tick, scheduler, 100)}. It ends with the scheduler.
+     */
+    public static void start(Runnable task, Scheduler scheduler, int intervalMs) {
+        new PeriodicTask(task, scheduler, intervalMs).run();
     }
 
     @Override
     public void run() {
         try {
-            tick.run();
-        } catch (RuntimeException x) {
-            LOG.atSevere().withCause(x).log("tick fails");
+            task.run();
+        } catch (RuntimeException e) {
+            LOG.atSevere().withCause(e).log("tick fails");
         }
-        timers.schedule(this, everyMs, TimeUnit.MILLISECONDS);
+        scheduler.schedule(this, intervalMs, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/test/java/ringspindle/controlplane/CallIdsTest.java
+++ b/src/test/java/ringspindle/controlplane/CallIdsTest.java
@@ -49,7 +49,7 @@
         }
 
         @Override
-        public boolean up(NodeId peer) {
+        public boolean connected(NodeId peer) {
             return true;
         }
 
@@ -100,7 +100,7 @@
         for (NodeId n : List.of(HEAD, THIRD)) {
             mesh.ear.opened(new Hello(n, 1, 0, n.bits(), n.toString(), "z", "r"));
             // one heartbeat goes out when a connection opens
-            mesh.ear.heard(n, new Heartbeat(1, n.equals(HEAD) ? 1 : 2, NodeFlags.READY, 1, 0, 0, List.of()));
+            mesh.ear.received(n, new Heartbeat(1, n.equals(HEAD) ? 1 : 2, NodeFlags.READY, 1, 0, 0, List.of()));
         }
         control.tick();
     }
@@ -120,10 +120,10 @@
         long chance = 0x7123456789abcdefL;
         start(chance);
         assertEquals(chance + 1, call());
-        mesh.ear.heard(HEAD, new Reply((LIFE << 20) + 1, Outcome.TAKEN.ordinal(), new byte[0]));
-        mesh.ear.heard(HEAD, new Reply(chance, Outcome.TAKEN.ordinal(), new byte[0]));
+        mesh.ear.received(HEAD, new Reply((LIFE << 20) + 1, Outcome.TAKEN.ordinal(), new byte[0]));
+        mesh.ear.received(HEAD, new Reply(chance, Outcome.TAKEN.ordinal(), new byte[0]));
         assertEquals(List.of(), outcomes, "replies to calls of an earlier process");
-        mesh.ear.heard(HEAD, new Reply(chance + 1, Outcome.OTHER_VERSION.ordinal(), new byte[0]));
+        mesh.ear.received(HEAD, new Reply(chance + 1, Outcome.OTHER_VERSION.ordinal(), new byte[0]));
         assertEquals(List.of(Outcome.OTHER_VERSION), outcomes);
     }
 
@@ -131,7 +131,7 @@
     void theNumbersMayRunOver() throws Exception {
         start(Long.MAX_VALUE);
         assertEquals(Long.MIN_VALUE, call());
-        mesh.ear.heard(HEAD, new Reply(Long.MIN_VALUE, Outcome.TAKEN.ordinal(), new byte[0]));
+        mesh.ear.received(HEAD, new Reply(Long.MIN_VALUE, Outcome.TAKEN.ordinal(), new byte[0]));
         assertEquals(List.of(Outcome.TAKEN), outcomes);
     }
 }
--- a/src/test/java/ringspindle/scale/SimulatedNetwork.java
+++ b/src/test/java/ringspindle/scale/SimulatedNetwork.java
@@ -214,11 +214,11 @@
             Meter in = meters.get(peer);
             in.inBytes += bytes.length + FRAME_BYTES;
             in.inMessages++;
-            charge(peer, () -> other.ear.heard(self.node(), Codec.decode(bytes)));
+            charge(peer, () -> other.ear.received(self.node(), Codec.decode(bytes)));
         }
 
         @Override
-        public boolean up(NodeId peer) {
+        public boolean connected(NodeId peer) {
             return links.contains(peer);
         }
 
--- a/src/test/java/ringspindle/transport/JettyMeshTest.java
+++ b/src/test/java/ringspindle/transport/JettyMeshTest.java
@@ -53,7 +53,7 @@
             port = s.getLocalPort();
         }
         self = NodeId.of("127.0.0.1:" + port);
-        mesh = new JettyMesh(hello(self, 1), threads.pool(), threads.timers());
+        mesh = new JettyMesh(hello(self, 1), threads.pool(), threads.scheduler());
         mesh.open(new Mesh.Listener() {
             @Override
             public void opened(Hello peer) {
@@ -61,7 +61,7 @@
             }
 
             @Override
-            public void heard(NodeId from, Message m) {
+            public void received(NodeId from, Message m) {
                 heard.add("heard " + m);
             }
 
@@ -75,7 +75,7 @@
     @AfterEach
     void close() throws Exception {
         mesh.close();
-        threads.timers().stop();
+        threads.scheduler().stop();
         threads.pool().stop();
     }
 
@@ -153,7 +153,7 @@
                 List.of("opened " + PEER + " life 1", "heard " + BEAT, "closed " + PEER),
                 List.of(next(), next(), next()));
         assertEquals(2, mesh.refused(reason));
-        assertFalse(mesh.up(PEER));
+        assertFalse(mesh.connected(PEER));
 
         try (Socket good = connect()) {
             good.getOutputStream().write(frame(hello(PEER, 1)));
