--- a/src/main/java/ringspindle/Main.java
+++ b/src/main/java/ringspindle/Main.java
@@ -18,7 +18,7 @@
 import ringspindle.config.Validated.Valid;
 import ringspindle.controlplane.ControlPlane;
 import ringspindle.dataplane.DataPlane;
-import ringspindle.logging.JsonLines;
+import ringspindle.logging.JsonLogFormatter;
 import sun.misc.Signal;
 
 /** The program: {@code data-plane}, {@code control-plane}, and the operator's command line. */
@@ -108,11 +108,11 @@
             case DATA_PLANE -> runDaemon(command, dataPlane);
             case CONTROL_PLANE -> runDaemon(command, controlPlane);
             case SELF_TEST -> {
-                JsonLines.install(Level.INFO);
+                JsonLogFormatter.install(Level.INFO);
                 yield SelfTest.run();
             }
             default -> {
-                JsonLines.install(Level.SEVERE);
+                JsonLogFormatter.install(Level.SEVERE);
                 yield cli.run(command);
             }
         };
@@ -149,7 +149,7 @@
 
     private static void installLog(String level) {
         try {
-            JsonLines.install(Level.parse(level));
+            JsonLogFormatter.install(Level.parse(level));
         } catch (IllegalArgumentException unknown) {
             throw new ParameterException("unknown log level " + level);
         }
