--- a/src/main/java/ringspindle/controlplane/ControlPlane.java
+++ b/src/main/java/ringspindle/controlplane/ControlPlane.java
@@ -42,7 +42,7 @@
         Path folder = Path.of(config.dataPath().isEmpty() ? "/tmp/ringspindle" : config.dataPath());
         ControlNode control =
                 new ControlNode(config, NodeEnvironment.real(threads), new DiskStorage(folder, pool), reports);
-        reports.tell(control.engines()::reported);
+        reports.listener(control.engines()::reported);
         Server server = new Server(pool, beats, new ArrayByteBufferPool(0, 4096, 65536, 64, 2 << 20, 2 << 20));
         HttpConfiguration http = new HttpConfiguration();
         http.setSendServerVersion(false);
--- a/src/main/java/ringspindle/controlplane/EngineReportClient.java
+++ b/src/main/java/ringspindle/controlplane/EngineReportClient.java
@@ -12,57 +12,74 @@
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.client.Result;
 import org.eclipse.jetty.client.transport.HttpClientTransportOverHTTP;
+import org.eclipse.jetty.http.HttpStatus;
+import org.eclipse.jetty.util.thread.Scheduler;
 import ringspindle.transport.PlainConnector;
 
-/** Asks engines for their reports; started when first needed, as most nodes never are. */
+/**
+ * Asks engines how many requests they still run. The HTTP client is started when first needed, as most nodes never are.
+ * Thread safe.
+ */
 final class EngineReportClient {
-    /** Where a report goes. */
+    private static final String PATH = "/ringspindle/report";
+    private static final int TIMEOUT_MS = 800;
+    private static final int BODY_MAX = 64 << 10;
+
+    /** Where reports go. */
+    @FunctionalInterface
     interface Listener {
+        /** An engine said how many requests it runs and queues; called by threads of the pool. */
         void reported(String id, int active, int queued);
     }
 
     private final Executor pool;
-    private final org.eclipse.jetty.util.thread.Scheduler beats;
-    private volatile Listener ear = (id, active, queued) -> {};
+    private final Scheduler scheduler;
+    private volatile Listener listener = (id, active, queued) -> {};
+    /** Null until first needed; guarded by this. */
     private HttpClient client;
 
-    EngineReportClient(Executor pool, org.eclipse.jetty.util.thread.Scheduler beats) {
+    EngineReportClient(Executor pool, Scheduler scheduler) {
         this.pool = pool;
-        this.beats = beats;
+        this.scheduler = scheduler;
     }
 
-    /** Who hears of reports; {@code reports.tell(control::reported)}. */
-    EngineReportClient tell(Listener e) {
-        ear = e;
+    /** Sets who hears of reports; {@code reports.listener(engines::reported)}. */
+    EngineReportClient listener(Listener newListener) {
+        listener = newListener;
         return this;
     }
 
-    void ask(String id, String address) {
+    /**
+     * Asks an engine; without a proper answer the listener hears nothing.
+     *
+     * @param address the engine's address, null if it is not known: then nobody is asked
+     */
+    void request(String id, String address) {
         if (address == null) {
             return;
         }
         try {
-            client().newRequest(URI.create("http://" + address + "/ringspindle/report"))
-                    .timeout(800, TimeUnit.MILLISECONDS)
-                    .send(new BufferingResponseListener(64 << 10) {
+            client().newRequest(URI.create("http://" + address + PATH))
+                    .timeout(TIMEOUT_MS, TimeUnit.MILLISECONDS)
+                    .send(new BufferingResponseListener(BODY_MAX) {
                         @Override
-                        public void onComplete(Result r) {
-                            if (r.isSucceeded() && r.getResponse().getStatus() == 200) {
+                        public void onComplete(Result result) {
+                            if (result.isSucceeded() && result.getResponse().getStatus() == HttpStatus.OK_200) {
                                 read(id, getContentAsString());
                             }
                         }
                     });
-        } catch (Exception x) {
-            // asked again at the next beat
+        } catch (Exception failed) {
+            // the roll-out asks again in a moment
         }
     }
 
     private void read(String id, String json) {
-        try (JsonReader in = JsonProvider.provider().createReader(new StringReader(json))) {
-            JsonObject o = in.readObject();
-            ear.reported(id, o.getInt("active", 0), o.getInt("queued", 0));
-        } catch (JsonException | ClassCastException x) {
-            // no report
+        try (JsonReader reader = JsonProvider.provider().createReader(new StringReader(json))) {
+            JsonObject report = reader.readObject();
+            listener.reported(id, report.getInt("active", 0), report.getInt("queued", 0));
+        } catch (JsonException | ClassCastException noReport) {
+            // the roll-out asks again in a moment
         }
     }
 
@@ -70,8 +87,8 @@
         if (client == null) {
             client = new HttpClient(new HttpClientTransportOverHTTP(new PlainConnector()));
             client.setExecutor(pool);
-            client.setScheduler(beats);
-            client.setConnectTimeout(800);
+            client.setScheduler(scheduler);
+            client.setConnectTimeout(TIMEOUT_MS);
             client.setUserAgentField(null);
             client.start();
         }
--- a/src/main/java/ringspindle/controlplane/FactDissemination.java
+++ b/src/main/java/ringspindle/controlplane/FactDissemination.java
@@ -5,17 +5,20 @@
 import java.util.TreeSet;
 import ringspindle.membership.DataNodeFact;
 import ringspindle.membership.SessionTable;
-import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message.Digest;
 import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.Hello;
 import ringspindle.protocol.Message.News;
 import ringspindle.protocol.NodeId;
 import ringspindle.protocol.NodeKind;
 import ringspindle.transport.Mesh;
 
-/** Tells facts to peers: to control nodes all, to data nodes what they use. Guarded by its owner. */
+/**
+ * Spreads facts to peers: to control nodes all, to data nodes what they use. Owns which data nodes were told that they know
+ * all; guarded by the fleet's lock.
+ */
 final class FactDissemination {
-    private static final int ITEMS_MAX = 512;
+    private static final int BATCH_MAX = 512;
 
     private final Mesh mesh;
     private final SessionTable sessions;
@@ -34,6 +37,7 @@
         filled.remove(peer);
     }
 
+    /** A session is gone. */
     void closed(NodeId peer) {
         facts.store().removePeer(peer);
     }
@@ -46,47 +50,58 @@
     /** Answers a peer's digest with the facts that differ. */
     void repair(NodeId from, Digest digest, boolean quorate) {
         SessionTable.Peer peer = sessions.peer(from);
-        List<Fact> items = facts.store().differing(digest.ranges());
-        if (peer != null && mayTell(peer, quorate) && !items.isEmpty()) {
-            mesh.send(from, new News(false, items));
+        List<Fact> differing = facts.store().differing(digest.ranges());
+        if (peer != null && mayTell(peer, quorate) && !differing.isEmpty()) {
+            mesh.send(from, new News(false, differing));
         }
     }
 
     /**
      * Passes on what peers have not been sent.
      *
-     * @param merged all that is committed here is among the facts, so that a data node may be told that it is filled
+     * @param merged all that is committed here is among the facts, so that a data node may be told that it knows all
      */
     void push(boolean quorate, boolean merged) {
-        for (SessionTable.Peer p : sessions.peers()) {
-            if (mayTell(p, quorate)) {
-                push(p, merged);
+        for (SessionTable.Peer peer : sessions.peers()) {
+            if (!mayTell(peer, quorate)) {
+                continue;
             }
+            if (peer.hello().kind() == NodeKind.CONTROL) {
+                pushToControlNode(peer.hello().node());
+            } else {
+                pushToDataNode(peer.hello(), merged);
+            }
+        }
+    }
+
+    private void pushToControlNode(NodeId node) {
+        List<Fact> pending = facts.store().pending(node, BATCH_MAX);
+        if (!pending.isEmpty()) {
+            mesh.send(node, new News(false, pending));
         }
     }
 
-    private void push(SessionTable.Peer p, boolean merged) {
-        NodeId to = p.hello().node();
-        boolean toControl = p.hello().kind() == NodeKind.CONTROL;
-        String region = p.hello().region();
-        List<Fact> items = toControl
-                ? facts.store().pending(to, ITEMS_MAX)
-                : facts.store().pending(to, ITEMS_MAX, i -> usefulToData(i, region));
-        boolean first = !toControl && merged && !filled.contains(to);
-        if (items.isEmpty() && !first) {
+    private void pushToDataNode(Hello peer, boolean merged) {
+        NodeId node = peer.node();
+        String region = peer.region();
+        List<Fact> pending = facts.store().pending(node, BATCH_MAX, fact -> isOfUse(fact, region));
+        boolean notFilled = merged && !filled.contains(node);
+        if (pending.isEmpty() && !notFilled) {
             return;
         }
-        boolean full = first && items.size() < ITEMS_MAX;
+        boolean full = notFilled && pending.size() < BATCH_MAX;
         if (full) {
-            filled.add(to);
+            filled.add(node);
         }
-        mesh.send(to, new News(full, items));
+        mesh.send(node, new News(full, pending));
     }
 
     /** A data node needs the data nodes of its region, for gossip, and not what engines in turn still run. */
-    private static boolean usefulToData(Fact i, String region) {
-        return i.kind() != FactKind.TURN
-                && (i.kind() != FactKind.NODE
-                        || DataNodeFact.of(i.value()).hello().region().equals(region));
+    private static boolean isOfUse(Fact fact, String region) {
+        return switch (fact.kind()) {
+            case TURN -> false;
+            case NODE -> DataNodeFact.of(fact.value()).hello().region().equals(region);
+            default -> true;
+        };
     }
 }
--- a/src/main/java/ringspindle/controlplane/FleetFacts.java
+++ b/src/main/java/ringspindle/controlplane/FleetFacts.java
@@ -17,18 +17,22 @@
 import ringspindle.telemetry.LoadTotals;
 import ringspindle.time.MonotonicClock;
 
-/** What a control node knows of the system, and when it learned it; engines' heartbeats among it. Guarded by its owner. */
+/**
+ * The facts that a control node knows of the fleet, and when it learnt each; the presence of engines among them. Guarded by
+ * the fleet's lock.
+ */
 final class FleetFacts {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** Ours: engines silent for so long are forgotten. */
+    /** Engines silent for so long are forgotten. */
     private static final int FORGET_MS = 600_000;
     /** Engines silent for so long take no part in a roll-out. */
-    private static final int ROLL_SILENT_MS = 30_000;
+    private static final int ROLLOUT_SILENT_MS = 30_000;
 
+    /** An engine that missed so many heartbeats counts as silent in a roll-out. */
     private static final int SILENT_HEARTBEATS = 3;
 
     private final MonotonicClock clock;
-    private final FactStore book = FactStore.create();
+    private final FactStore store = FactStore.create();
     private final EnginePresence presence;
     private final Map<String, Long> seenMs = new HashMap<>();
     private NodeConfig config;
@@ -39,109 +43,146 @@
         presence = new EnginePresence(config.engineBeatMs());
     }
 
-    void settings(NodeConfig c) {
-        config = c;
+    /** Settings changed while running. */
+    void settings(NodeConfig changed) {
+        config = changed;
     }
 
+    /** The facts themselves; merge through {@link #merge}, so that it is noted when they were learnt. */
     FactStore store() {
-        return book;
+        return store;
     }
 
+    /** Which engines are heard, here and by peers. */
     EnginePresence presence() {
         return presence;
     }
 
-    void merge(List<Fact> items) {
+    /** Takes facts that are newer than those known. */
+    void merge(List<Fact> facts) {
         long nowMs = clock.nowMs();
-        for (Fact i : book.merge(items)) {
-            seenMs.put(seenKey(i.kind(), i.key()), nowMs);
-            if (i.kind() == FactKind.ENGINE) {
-                presence.told(i.key(), (Engine) Codec.decode(i.value()), i.version(), nowMs);
-            } else if (i.kind() == FactKind.SILENT
-                    && i.value()[0] == 1
-                    && presence.contradicts(i.key(), (i.version() - 1) / 2, nowMs)) {
-                book.merge(List.of(new Fact(FactKind.SILENT, i.key(), 0, 2 * presence.seq(i.key()), new byte[] {0})));
+        for (Fact fact : store.merge(facts)) {
+            seenMs.put(seenKey(fact.kind(), fact.key()), nowMs);
+            if (fact.kind() == FactKind.ENGINE) {
+                presence.told(fact.key(), (Engine) Codec.decode(fact.value()), fact.version(), nowMs);
+            } else if (fact.kind() == FactKind.SILENT && isSilent(fact)) {
+                contradict(fact, nowMs);
             }
         }
     }
 
+    /** An engine that is heard here is not silent, whoever says so: the heartbeat heard makes the newer fact. */
+    private void contradict(Fact silent, long nowMs) {
+        String id = silent.key();
+        if (presence.contradicts(id, heartbeatOf(silent), nowMs)) {
+            store.merge(List.of(silence(id, presence.seq(id), false)));
+        }
+    }
+
+    /** Its version says on which heartbeat it rests: twice the number, and one more if the engine fell silent after it. */
+    private static Fact silence(String id, long heartbeat, boolean silent) {
+        byte flag = (byte) (silent ? 1 : 0);
+        return new Fact(FactKind.SILENT, id, 0, 2 * heartbeat + flag, new byte[] {flag});
+    }
+
+    private static boolean isSilent(Fact silence) {
+        return silence.value()[0] == 1;
+    }
+
+    private static long heartbeatOf(Fact silent) {
+        return (silent.version() - 1) / 2;
+    }
+
     private static String seenKey(FactKind kind, String key) {
         return kind + " " + key;
     }
 
-    /** When a fact last moved, as this node saw it; null if never. */
+    /** When a fact last changed, as this node saw it; null if never. */
     Long seenMs(FactKind kind, String key) {
         return seenMs.get(seenKey(kind, key));
     }
 
-    /** Milliseconds since a fact last moved, as this node saw it; of engines since they were last heard. */
+    /** Milliseconds since a fact last changed, as this node saw it; of engines since they were last heard. */
     long ageMs(FactKind kind, String key) {
         if (kind == FactKind.ENGINE) {
             return presence.agoMs(key, clock.nowMs());
         }
-        Long at = seenMs(kind, key);
-        return at == null ? Long.MAX_VALUE : clock.nowMs() - at;
+        Long changedMs = seenMs(kind, key);
+        return changedMs == null ? Long.MAX_VALUE : clock.nowMs() - changedMs;
     }
 
-    /** What a holder of a duty says under its view comes after all that is known to have been said under it. */
+    /** The version of what a head says under its view: it comes after all that is known to have been said under it. */
     long nextVersion(FactKind kind, String key, long epoch) {
-        Fact old = book.get(kind, key);
-        return old == null || old.life() != epoch ? 1 : old.version() + 1;
+        Fact known = store.get(kind, key);
+        return known == null || known.life() != epoch ? 1 : known.version() + 1;
     }
 
     /** An engine's heartbeat, spread only if it says something new. */
-    void heartbeat(String id, Engine e, long seq) {
-        if (presence.heard(id, e, seq, clock.nowMs())) {
-            merge(List.of(new Fact(FactKind.ENGINE, id, 0, seq, Codec.encode(e))));
+    void heartbeat(String id, Engine engine, long sequence) {
+        if (presence.heard(id, engine, sequence, clock.nowMs())) {
+            merge(List.of(new Fact(FactKind.ENGINE, id, 0, sequence, Codec.encode(engine))));
         }
     }
 
     /** Engines of this region that fell silent or are heard again become facts. */
     void judgeEngines(long nowMs) {
-        for (EnginePresence.Change c :
-                presence.judge(e -> config.regionOf(e.zone()).equals(config.region()), nowMs)) {
-            LOG.atInfo().log("engine %s %s", c.id(), c.silent() ? "is silent" : "is heard again");
-            byte silent = (byte) (c.silent() ? 1 : 0);
-            merge(List.of(new Fact(FactKind.SILENT, c.id(), 0, 2 * c.seq() + silent, new byte[] {silent})));
+        for (EnginePresence.Change change : presence.judge(this::inThisRegion, nowMs)) {
+            LOG.atInfo().log("engine %s %s", change.id(), change.silent() ? "is silent" : "is heard again");
+            merge(List.of(silence(change.id(), change.seq(), change.silent())));
         }
         for (String id : presence.forget(FORGET_MS, nowMs)) {
-            book.forget(FactKind.ENGINE, id);
-            book.forget(FactKind.SILENT, id);
-            seenMs.remove(seenKey(FactKind.ENGINE, id));
-            seenMs.remove(seenKey(FactKind.SILENT, id));
+            forget(FactKind.ENGINE, id);
+            forget(FactKind.SILENT, id);
         }
     }
 
+    private boolean inThisRegion(Engine engine) {
+        return config.regionOf(engine.zone()).equals(config.region());
+    }
+
+    private void forget(FactKind kind, String key) {
+        store.forget(kind, key);
+        seenMs.remove(seenKey(kind, key));
+    }
+
     /** Engines that count for the load of their region. */
     List<LoadTotals.Member> loadMembers() {
-        List<LoadTotals.Member> out = new ArrayList<>();
-        for (Fact i : book.all(FactKind.ENGINE)) {
-            Fact silent = book.get(FactKind.SILENT, i.key());
-            if ((silent == null || silent.value()[0] == 0) && book.get(FactKind.LEAVING, i.key()) == null) {
-                Engine e = (Engine) Codec.decode(i.value());
-                out.add(new LoadTotals.Member(
-                        LoadSummary.key(i.key()), e.service(), config.regionOf(e.zone()), e.capacity()));
+        List<LoadTotals.Member> members = new ArrayList<>();
+        for (Fact fact : store.all(FactKind.ENGINE)) {
+            Fact silence = store.get(FactKind.SILENT, fact.key());
+            boolean heard = silence == null || silence.value()[0] == 0;
+            if (heard && !isLeaving(fact.key())) {
+                Engine engine = (Engine) Codec.decode(fact.value());
+                members.add(new LoadTotals.Member(
+                        LoadSummary.key(fact.key()),
+                        engine.service(),
+                        config.regionOf(engine.zone()),
+                        engine.capacity()));
             }
         }
-        return out;
+        return members;
+    }
+
+    private boolean isLeaving(String id) {
+        return store.get(FactKind.LEAVING, id) != null;
     }
 
     /** The engines of a service, for roll-outs. */
     List<RolloutPlanner.Member> rolloutMembers(String service) {
-        List<RolloutPlanner.Member> out = new ArrayList<>();
+        List<RolloutPlanner.Member> members = new ArrayList<>();
         long nowMs = clock.nowMs();
-        for (Fact i : book.all(FactKind.ENGINE)) {
-            Engine e = (Engine) Codec.decode(i.value());
-            long ageMs = presence.agoMs(i.key(), nowMs);
-            if (e.service().equals(service) && ageMs < ROLL_SILENT_MS) {
-                out.add(new RolloutPlanner.Member(
-                        i.key(),
-                        config.regionOf(e.zone()),
-                        e.weights(),
-                        e.draining() || book.get(FactKind.LEAVING, i.key()) != null,
+        for (Fact fact : store.all(FactKind.ENGINE)) {
+            Engine engine = (Engine) Codec.decode(fact.value());
+            long ageMs = presence.agoMs(fact.key(), nowMs);
+            if (engine.service().equals(service) && ageMs < ROLLOUT_SILENT_MS) {
+                members.add(new RolloutPlanner.Member(
+                        fact.key(),
+                        config.regionOf(engine.zone()),
+                        engine.weights(),
+                        engine.draining() || isLeaving(fact.key()),
                         ageMs > (long) SILENT_HEARTBEATS * config.engineBeatMs()));
             }
         }
-        return out;
+        return members;
     }
 }
--- a/src/main/java/ringspindle/controlplane/LedgerReportStore.java
+++ b/src/main/java/ringspindle/controlplane/LedgerReportStore.java
@@ -9,41 +9,50 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * The newest ledger of each life of each data node that reports here. Lives are in the order in which they were first heard:
- * their numbers come from the time of day, which may go back. Pure; not thread safe.
+ * The newest request ledger of each incarnation of each data node that reports here. Incarnations are in the order in which
+ * they were first heard: their numbers come from the time of day, which may go back. Guarded by the fleet's lock.
  */
 final class LedgerReportStore {
-    /** Ours: so many lives of a node are kept, and so many nodes. */
-    private static final int LIVES = 4;
-
+    private static final int INCARNATIONS_MAX = 4;
     private static final int NODES_MAX = 10_000;
 
-    /** One life's newest ledger. */
+    /**
+     * The newest ledger of an incarnation.
+     *
+     * @param newest the incarnation is the newest of its node
+     */
     record Entry(LedgerReport report, boolean newest) {}
 
-    private final Map<NodeId, LinkedHashMap<Long, LedgerReport>> of = new LinkedHashMap<>();
+    private final Map<NodeId, LinkedHashMap<Long, LedgerReport>> reportsByNode = new LinkedHashMap<>();
 
-    void put(NodeId node, LedgerReport r) {
-        LinkedHashMap<Long, LedgerReport> lives = of.computeIfAbsent(node, k -> new LinkedHashMap<>());
-        LedgerReport had = lives.get(r.life());
-        if (had == null || r.seq() > had.seq()) {
-            lives.put(r.life(), r);
-        }
-        if (lives.size() > LIVES) {
-            lives.remove(lives.keySet().iterator().next());
+    /** Keeps a report unless a newer one of the same incarnation is there; the oldest make room. */
+    void put(NodeId node, LedgerReport report) {
+        LinkedHashMap<Long, LedgerReport> reports =
+                reportsByNode.computeIfAbsent(node, unseen -> new LinkedHashMap<>());
+        LedgerReport known = reports.get(report.life());
+        if (known == null || report.seq() > known.seq()) {
+            reports.put(report.life(), report);
         }
-        if (of.size() > NODES_MAX) {
-            of.remove(of.keySet().iterator().next());
+        removeEldestAbove(INCARNATIONS_MAX, reports);
+        removeEldestAbove(NODES_MAX, reportsByNode);
+    }
+
+    private static <K> void removeEldestAbove(int max, Map<K, ?> map) {
+        if (map.size() > max) {
+            map.remove(map.keySet().iterator().next());
         }
     }
 
+    /** All reports, by node; of each node the oldest incarnation first. */
     Map<NodeId, List<Entry>> all() {
-        Map<NodeId, List<Entry>> out = new TreeMap<>();
-        of.forEach((node, lives) -> {
-            List<Entry> l = new ArrayList<>();
-            lives.values().forEach(r -> l.add(new Entry(r, l.size() == lives.size() - 1)));
-            out.put(node, l);
+        Map<NodeId, List<Entry>> entriesByNode = new TreeMap<>();
+        reportsByNode.forEach((node, reports) -> {
+            List<Entry> entries = new ArrayList<>();
+            for (LedgerReport report : reports.values()) {
+                entries.add(new Entry(report, entries.size() == reports.size() - 1));
+            }
+            entriesByNode.put(node, entries);
         });
-        return out;
+        return entriesByNode;
     }
 }
--- a/src/main/java/ringspindle/controlplane/LoadAggregator.java
+++ b/src/main/java/ringspindle/controlplane/LoadAggregator.java
@@ -20,41 +20,48 @@
 import ringspindle.telemetry.ReportVerdict;
 import ringspindle.transport.Mesh;
 
-/** What data nodes saw of engines, summed here, over the region, and by service over regions. Guarded by its owner. */
+/**
+ * Sums what data nodes saw of engines: what reports here, over the region, and by service over all regions. Guarded by the
+ * fleet's lock.
+ */
 final class LoadAggregator {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** Ours: how long a report counts, and a region's sum. */
+    /** A report counts for so long. */
     private static final int REPORT_TTL_MS = 2000;
-
+    /** A region's sum counts for so long. */
     private static final int REGION_TTL_MS = 2500;
 
     private final NodeId me;
-    private final long life;
+    private final long incarnation;
     private final Mesh mesh;
     private final SessionTable sessions;
     private final FleetFacts facts;
+    /** Reports of data nodes to this node. */
     private final ReportCollector sources = new ReportCollector(REPORT_TTL_MS);
+    /** Sums of the region's other control nodes. */
     private final ReportCollector peers = new ReportCollector(REPORT_TTL_MS);
-    private final Map<String, Long> regionMs = new TreeMap<>();
-    private final Map<String, List<RegionLoad>> regions = new TreeMap<>();
+
+    private final Map<String, Long> regionHeardMs = new TreeMap<>();
+    private final Map<String, List<RegionLoad>> regionLoads = new TreeMap<>();
     private String region;
-    private long seq;
+    private long sequence;
     private LoadSummary total = LoadSummary.NONE;
 
     LoadAggregator(NodeConfig config, Hello self, Mesh mesh, SessionTable sessions, FleetFacts facts) {
         region = config.region();
         me = self.node();
-        life = self.life();
+        incarnation = self.life();
         this.mesh = mesh;
         this.sessions = sessions;
         this.facts = facts;
     }
 
-    void settings(NodeConfig c) {
-        region = c.region();
+    /** Settings changed while running. */
+    void settings(NodeConfig changed) {
+        region = changed.region();
     }
 
-    /** A session says which life of its node counts from now on. */
+    /** A session says which incarnation of its node counts from now on. */
     void opened(Hello peer) {
         sources.restarted(peer.node(), peer.life());
         peers.restarted(peer.node(), peer.life());
@@ -65,74 +72,90 @@
         sources.drop(peer);
     }
 
-    void reported(NodeId from, Report r, long nowMs) {
-        SessionTable.Peer p = sessions.peer(from);
-        if (p == null || p.hello().life() != r.life()) {
+    /** A report came; it counts only if it is of the incarnation that the session stands for. */
+    void reported(NodeId from, Report report, long nowMs) {
+        SessionTable.Peer peer = sessions.peer(from);
+        if (peer == null || peer.hello().life() != report.life()) {
             return;
         }
-        ReportCollector of = p.hello().kind() == NodeKind.DATA ? sources : peers;
-        ReportVerdict t = of.take(from, r, nowMs);
-        if (t.refused()) {
-            LOG.atWarning().log("report of %s is %s, %s so far", p.hello().name(), t, of.count(t));
+        ReportCollector collector = peer.hello().kind() == NodeKind.DATA ? sources : peers;
+        ReportVerdict verdict = collector.take(from, report, nowMs);
+        if (verdict.refused()) {
+            LOG.atWarning().log(
+                    "report of %s is %s, %s so far", peer.hello().name(), verdict, collector.count(verdict));
             return;
         }
-        if (t == ReportVerdict.NEWEST && p.hello().kind() == NodeKind.CONTROL) {
-            facts.presence().peers(LoadSummary.of(r), nowMs);
-            r.sources().forEach(s -> sources.leave(s.node(), s.life(), s.seq()));
+        if (verdict == ReportVerdict.NEWEST && peer.hello().kind() == NodeKind.CONTROL) {
+            facts.presence().peers(LoadSummary.of(report), nowMs);
+            report.sources().forEach(source -> sources.leave(source.node(), source.life(), source.seq()));
         }
     }
 
-    /** Another region's sums. */
+    /** Another region's sums came. */
     void heard(Load load, long nowMs) {
-        for (RegionLoad g : load.regions()) {
-            if (!g.region().equals(region)) {
-                regionMs.put(g.region(), nowMs);
-                regions.put(
-                        g.region(),
-                        load.regions().stream()
-                                .filter(x -> x.region().equals(g.region()))
-                                .toList());
+        for (RegionLoad reported : load.regions()) {
+            String other = reported.region();
+            if (!other.equals(region)) {
+                regionHeardMs.put(other, nowMs);
+                regionLoads.put(other, loadsOf(other, load));
             }
         }
     }
 
+    private static List<RegionLoad> loadsOf(String region, Load load) {
+        return load.regions().stream()
+                .filter(reported -> reported.region().equals(region))
+                .toList();
+    }
+
     /** Sums go to the region's other control nodes, back to data nodes, and by service to other regions. */
     void send(long nowMs) {
         LoadSummary own = sources.sum(nowMs);
         total = own.merge(peers.sum(nowMs));
-        seq++;
-        NodeId speaker = toRegion(own, nowMs);
-        List<RegionLoad> mine = LoadTotals.region(total, facts.loadMembers(), region);
-        regions.put(region, mine);
-        regionMs.put(region, nowMs);
-        regionMs.values().removeIf(at -> nowMs - at > REGION_TTL_MS);
-        regions.keySet().retainAll(regionMs.keySet());
-        List<RegionLoad> all = new ArrayList<>();
-        regions.values().forEach(all::addAll);
-        Load back = new Load(life, seq, LoadTotals.engines(total), all);
-        Set<NodeId> asking = sources.sources(nowMs);
-        for (SessionTable.Peer p : sessions.peers()) {
-            if (p.hello().kind() == NodeKind.DATA && asking.contains(p.hello().node())) {
-                mesh.send(p.hello().node(), back);
-            } else if (p.hello().kind() == NodeKind.CONTROL
-                    && speaker.equals(me)
-                    && !p.hello().region().equals(region)) {
-                mesh.send(p.hello().node(), new Load(life, seq, List.of(), mine));
+        sequence++;
+        boolean speaks = sendToRegion(own, nowMs).equals(me);
+        List<RegionLoad> ownRegion = LoadTotals.region(total, facts.loadMembers(), region);
+        Load toDataNodes = new Load(incarnation, sequence, LoadTotals.engines(total), allRegions(ownRegion, nowMs));
+        Set<NodeId> reporting = sources.sources(nowMs);
+        for (SessionTable.Peer peer : sessions.peers()) {
+            Hello hello = peer.hello();
+            if (hello.kind() == NodeKind.DATA && reporting.contains(hello.node())) {
+                mesh.send(hello.node(), toDataNodes);
+            } else if (hello.kind() == NodeKind.CONTROL
+                    && speaks
+                    && !hello.region().equals(region)) {
+                mesh.send(hello.node(), new Load(incarnation, sequence, List.of(), ownRegion));
             }
         }
     }
 
-    /** Tells the region's other control nodes; returns which of all of them speaks for the region. */
-    private NodeId toRegion(LoadSummary own, long nowMs) {
+    /** Notes this region's sums and returns those of all regions that still count. */
+    private List<RegionLoad> allRegions(List<RegionLoad> ownRegion, long nowMs) {
+        regionLoads.put(region, ownRegion);
+        regionHeardMs.put(region, nowMs);
+        regionHeardMs.values().removeIf(heardMs -> nowMs - heardMs > REGION_TTL_MS);
+        regionLoads.keySet().retainAll(regionHeardMs.keySet());
+        List<RegionLoad> all = new ArrayList<>();
+        regionLoads.values().forEach(all::addAll);
+        return all;
+    }
+
+    /** Tells the region's other control nodes; returns the lowest of all of them, which speaks for the region. */
+    private NodeId sendToRegion(LoadSummary own, long nowMs) {
         Report report = new Report(
-                life, seq, own.report(life, seq).tallies(), facts.presence().own(nowMs), sources.holds(nowMs));
+                incarnation,
+                sequence,
+                own.report(incarnation, sequence).tallies(),
+                facts.presence().own(nowMs),
+                sources.holds(nowMs));
         NodeId speaker = me;
-        for (SessionTable.Peer p : sessions.peers()) {
-            if (p.hello().kind() == NodeKind.CONTROL
-                    && p.linked()
-                    && p.hello().region().equals(region)) {
-                mesh.send(p.hello().node(), report);
-                speaker = p.hello().node().compareTo(speaker) < 0 ? p.hello().node() : speaker;
+        for (SessionTable.Peer peer : sessions.peers()) {
+            Hello hello = peer.hello();
+            if (hello.kind() == NodeKind.CONTROL
+                    && peer.linked()
+                    && hello.region().equals(region)) {
+                mesh.send(hello.node(), report);
+                speaker = hello.node().compareTo(speaker) < 0 ? hello.node() : speaker;
             }
         }
         return speaker;
--- a/src/main/java/ringspindle/controlplane/QuotaLeaseIssuer.java
+++ b/src/main/java/ringspindle/controlplane/QuotaLeaseIssuer.java
@@ -8,18 +8,23 @@
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
 
-/** The duty of granting every data node its share of the budgets. Guarded by its owner. */
+/**
+ * Grants every data node its share of the budgets, as a lease: the singleton role of the head of the view. Guarded by the
+ * fleet's lock.
+ */
 final class QuotaLeaseIssuer {
     private static final int TTL_MS = 3000;
-    /** What another holder granted has run out so long after this node took the duty over. */
+    /** What another head granted has run out so long after this node took the role over. */
     private static final int TAKEOVER_MS = TTL_MS + 500;
 
-    private static final int EVERY_TICKS = 10;
+    private static final int PERIOD_TICKS = 10;
 
     private final NodeId me;
     private final FleetFacts facts;
     private final DataNodeDirectory dataNodes;
+    /** The head as of the last tick that knew one, null before the first. */
     private NodeId lastHead;
+
     private long grantFromMs;
 
     QuotaLeaseIssuer(NodeId me, FleetFacts facts, DataNodeDirectory dataNodes) {
@@ -28,28 +33,40 @@
         this.dataNodes = dataNodes;
     }
 
-    /** The head of the view holds the duty while it is quorate. */
+    /**
+     * Grants leases if they are due and this node is the head.
+     *
+     * @param view the newest view, null if unknown
+     * @param quorate only then this node may act as the head
+     */
     void tick(View view, boolean quorate, long ticks, long nowMs) {
-        if (view == null || !quorate || !view.head().equals(me)) {
-            lastHead = view == null ? lastHead : view.head();
+        if (view == null) {
+            return;
+        }
+        if (!quorate || !view.head().equals(me)) {
+            lastHead = view.head();
             return;
         }
         if (!me.equals(lastHead)) {
-            // at the very first start there was no other holder
-            grantFromMs = lastHead == null && view.epoch() == 1 ? nowMs : nowMs + TAKEOVER_MS;
+            boolean firstHeadEver = lastHead == null && view.epoch() == 1;
+            grantFromMs = firstHeadEver ? nowMs : nowMs + TAKEOVER_MS;
             lastHead = me;
         }
-        if (nowMs < grantFromMs || ticks % EVERY_TICKS != 0) {
-            return;
+        if (nowMs >= grantFromMs && ticks % PERIOD_TICKS == 0) {
+            grant(view.epoch(), nowMs);
         }
-        int nodes = dataNodes.sharing(nowMs);
-        if (nodes > 0) {
-            facts.merge(List.of(new Fact(
-                    FactKind.LEASE,
-                    "",
-                    view.epoch(),
-                    facts.nextVersion(FactKind.LEASE, "", view.epoch()),
-                    Codec.encode(new Lease(view.epoch(), nodes, TTL_MS)))));
+    }
+
+    private void grant(long epoch, long nowMs) {
+        int sharers = dataNodes.sharing(nowMs);
+        if (sharers == 0) {
+            return;
         }
+        facts.merge(List.of(new Fact(
+                FactKind.LEASE,
+                "",
+                epoch,
+                facts.nextVersion(FactKind.LEASE, "", epoch),
+                Codec.encode(new Lease(epoch, sharers, TTL_MS)))));
     }
 }
--- a/src/main/java/ringspindle/controlplane/RolloutController.java
+++ b/src/main/java/ringspindle/controlplane/RolloutController.java
@@ -12,20 +12,23 @@
 import ringspindle.replication.Rollout;
 import ringspindle.rollout.RolloutPlanner;
 
-/** The duty of driving roll-outs; without one this costs nothing. Called by one thread. */
+/** Drives roll-outs one order at a time; without one this costs nothing. Called by the tick alone. */
 final class RolloutController {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private static final int ASK_TICKS = 6;
+    private static final int REPORT_TICKS = 6;
 
-    /** Orders one step of a service's roll-out, and runs {@code then} once it is known what became of it. */
+    /** Where orders go. */
+    @FunctionalInterface
     interface Orders {
-        void order(String service, byte[] body, Runnable then);
+        /** Orders one step of a service's roll-out, and runs {@code completed} once it is known what became of it. */
+        void submit(String service, byte[] order, Runnable completed);
     }
 
     private final EngineReportClient reports;
     private final Orders orders;
-    private final Map<String, RolloutPlanner> plans = new HashMap<>();
-    private volatile boolean ordering;
+    private final Map<String, RolloutPlanner> planners = new HashMap<>();
+    /** Written by the tick, and by the thread that learns the outcome. */
+    private volatile boolean orderPending;
 
     RolloutController(EngineReportClient reports, Orders orders) {
         this.reports = reports;
@@ -34,10 +37,15 @@
 
     /** True while the outcome of the last order is open. */
     boolean orderPending() {
-        return ordering;
+        return orderPending;
     }
 
-    /** The next order, if there is one; {@code members} gives a service's engines, {@code addresses} an engine's address. */
+    /**
+     * Gives the next order, if there is one.
+     *
+     * @param members the engines of a service
+     * @param addresses an engine's address, null if it is not known
+     */
     void tick(
             List<Rollout> rollouts,
             Function<String, List<RolloutPlanner.Member>> members,
@@ -45,30 +53,30 @@
             long epoch,
             long ticks,
             long nowMs) {
-        for (Rollout r : rollouts) {
-            List<RolloutPlanner.Member> engines = members.apply(r.service());
-            if (r.state() == Rollout.Standing.RUNNING && ticks % ASK_TICKS == 0) {
-                r.turn().forEach(id -> reports.ask(id, addresses.apply(id)));
+        for (Rollout rollout : rollouts) {
+            List<RolloutPlanner.Member> engines = members.apply(rollout.service());
+            if (rollout.state() == Rollout.Standing.RUNNING && ticks % REPORT_TICKS == 0) {
+                rollout.turn().forEach(id -> reports.request(id, addresses.apply(id)));
             }
-            RolloutPlanner.Order o = plans.computeIfAbsent(r.service(), k -> new RolloutPlanner())
-                    .next(r, engines, nowMs);
-            if (o != null) {
-                order(r.service(), o, epoch);
+            RolloutPlanner planner = planners.computeIfAbsent(rollout.service(), service -> new RolloutPlanner());
+            RolloutPlanner.Order order = planner.next(rollout, engines, nowMs);
+            if (order != null) {
+                submit(rollout.service(), order, epoch);
                 return;
             }
         }
     }
 
-    private void order(String service, RolloutPlanner.Order o, long epoch) {
-        LOG.atInfo().log("roll-out of %s: %s %s %s", service, o.order(), o.id(), o.cause());
+    private void submit(String service, RolloutPlanner.Order order, long epoch) {
+        LOG.atInfo().log("roll-out of %s: %s %s %s", service, order.order(), order.id(), order.cause());
         String body = Json.createObjectBuilder()
-                .add("order", o.order())
-                .add("id", o.id())
-                .add("cause", o.cause().name())
+                .add("order", order.order())
+                .add("id", order.id())
+                .add("cause", order.cause().name())
                 .add("epoch", epoch)
                 .build()
                 .toString();
-        ordering = true;
-        orders.order(service, body.getBytes(UTF_8), () -> ordering = false);
+        orderPending = true;
+        orders.submit(service, body.getBytes(UTF_8), () -> orderPending = false);
     }
 }
--- a/src/test/java/ringspindle/controlplane/EngineReportClientTest.java
+++ b/src/test/java/ringspindle/controlplane/EngineReportClientTest.java
@@ -74,14 +74,14 @@
     @Test
     void reportsAreReadAndRubbishIsNot() throws Exception {
         EngineReportClient r = new EngineReportClient(pool, beats)
-                .tell((id, active, queued) -> heard.add(id + " " + active + " " + queued));
+                .listener((id, active, queued) -> heard.add(id + " " + active + " " + queued));
         String good = "{\"phase\":\"combined\",\"models\":[],\"active\":3,\"queued\":1}";
-        r.ask("i-1", engine("not json", good));
-        r.ask("i-0", null);
+        r.request("i-1", engine("not json", good));
+        r.request("i-0", null);
         String address = engine(good, "{\"active\":0,\"queued\":0}");
-        r.ask("i-2", address);
+        r.request("i-2", address);
         assertEquals("i-2 3 1", heard.poll(30, TimeUnit.SECONDS));
-        r.ask("i-2", address);
+        r.request("i-2", address);
         assertEquals("i-2 0 0", heard.poll(30, TimeUnit.SECONDS));
         assertTrue(heard.isEmpty());
     }
