--- a/src/main/java/ringspindle/controlplane/GroupCommitWriter.java
+++ b/src/main/java/ringspindle/controlplane/GroupCommitWriter.java
@@ -69,7 +69,7 @@
         List<Store> group = List.copyOf(image >= 0 ? backlog.subList(0, image + 1) : appendable());
         try {
             if (image >= 0) {
-                disk.image(backlog.get(image).records());
+                disk.snapshot(backlog.get(image).records());
                 compacting = false;
             } else {
                 disk.append(group.stream().flatMap(s -> s.records().stream()).toList());
--- a/src/main/java/ringspindle/dataplane/DataNode.java
+++ b/src/main/java/ringspindle/dataplane/DataNode.java
@@ -41,7 +41,8 @@
         dialer = new PeerDialer(me, this::config, mesh, gossip);
         dialer.addSeeds(config);
         dispatcher = new MessageDispatcher(clock, mesh, gossip, heartbeats, dialer, loadBalancer, proxy);
-        LoadReporter reporter = new LoadReporter(environment.incarnation(), this::config, mesh, gossip, loadBalancer, proxy);
+        LoadReporter reporter =
+                new LoadReporter(environment.incarnation(), this::config, mesh, gossip, loadBalancer, proxy);
         tasks = new DataNodeTasks(clock, mesh, environment.pool(), gossip, heartbeats, dialer, reporter, proxy);
     }
 
--- a/src/main/java/ringspindle/storage/Disk.java
+++ b/src/main/java/ringspindle/storage/Disk.java
@@ -6,35 +6,41 @@
 import java.util.function.Predicate;
 import ringspindle.protocol.Message;
 
-/** Keeps records: two slots written in turn, and a short log behind the newer one. */
+/** Records that outlast a loss of power: two slots for snapshots, written in turn, and a short log behind the newer one. */
 public interface Disk {
     /**
-     * What was found, oldest first: what the slot held, then the log. Empty on a new disk. What is given lasts. Throws
-     * {@link UnreadableStorageException}, with the files as they were, if something must not be passed over.
+     * What was found, oldest first: the newer snapshot, then the log. Empty on a new disk. What is returned lasts. Throws
+     * {@link UnreadableStorageException}, with the files as they were, if something must not be passed over. Comes before
+     * all else.
      */
     List<Message> load() throws IOException;
 
     /**
-     * Appends and syncs; {@code disk.append(List.of(vote))}. After a failure the first of these may be found by a load, until
-     * the next call returns.
+     * Appends the records to the log and syncs them; {@code disk.append(List.of(vote))}. After a failure the first of these
+     * may be found by a load, until the next call returns.
      */
     void append(List<Message> records) throws IOException;
 
     /**
-     * Writes the other slot with all that counts, and starts the log anew; {@code disk.image(List.of(vote, state))}. After a
-     * failure either this image or what was there before counts.
+     * Writes the other slot with all that counts, and starts the log anew; {@code disk.snapshot(List.of(vote, state))}. After
+     * a failure either this snapshot or what was there before counts.
      */
-    void image(List<Message> records) throws IOException;
+    void snapshot(List<Message> records) throws IOException;
 
-    /** Bytes in the log since the last image; {@code if (disk.logBytes() > 1 << 20) ...}. */
+    /** Bytes in the log since the last snapshot; {@code if (disk.logBytes() > LOG_MAX) ...}. */
     long logBytes();
 
-    /** Takes records of any kind; {@code Disk.open(Path.of("/data/core"))}. */
+    /** A disk in that folder, with records of any kind; {@code Disk.open(Path.of("/data/core"))}. */
     static Disk open(Path folder) {
         return open(folder, record -> true);
     }
 
-    /** A load refuses records that are not known; {@code Disk.open(folder, record -> record instanceof Vote)}. */
+    /**
+     * A disk in that folder.
+     *
+     * @param known a load refuses records for which this is false or throws;
+     *     {@code Disk.open(folder, record -> record instanceof Vote)}
+     */
     static Disk open(Path folder, Predicate<Message> known) {
         return new SlotDisk(new NioFolder(folder), known);
     }
--- a/src/main/java/ringspindle/storage/NioFolder.java
+++ b/src/main/java/ringspindle/storage/NioFolder.java
@@ -31,7 +31,7 @@
     @Override
     public List<String> list() throws IOException {
         try (Stream<Path> files = Files.list(path)) {
-            return files.map(f -> f.getFileName().toString()).toList();
+            return files.map(file -> file.getFileName().toString()).toList();
         }
     }
 
@@ -39,7 +39,7 @@
     public Optional<byte[]> read(String name) throws IOException {
         try {
             return Optional.of(Files.readAllBytes(path.resolve(name)));
-        } catch (NoSuchFileException x) {
+        } catch (NoSuchFileException e) {
             return Optional.empty();
         }
     }
--- a/src/main/java/ringspindle/storage/RecordFormat.java
+++ b/src/main/java/ringspindle/storage/RecordFormat.java
@@ -10,21 +10,35 @@
  * An empty body closes a slot.
  */
 final class RecordFormat {
-    private static final int LENGTH_AND_CRC = 4 + 4;
-    private static final int HEADER = LENGTH_AND_CRC + 8;
+    private static final int LENGTH_OFFSET = 0;
+    private static final int CRC_OFFSET = LENGTH_OFFSET + Integer.BYTES;
+    /** What stands from here on is covered by the CRC. */
+    private static final int GENERATION_OFFSET = CRC_OFFSET + Integer.BYTES;
+
+    private static final int BODY_OFFSET = GENERATION_OFFSET + Long.BYTES;
     private static final byte[] END = {};
 
-    /** The whole records that a file starts with: of one generation, {@code size} bytes; {@code closed} by an empty one. */
+    /**
+     * The whole records that a file starts with.
+     *
+     * @param generation of all of them, -1 if there are none
+     * @param size how many bytes of the file they take
+     * @param closed true if an empty record ends them
+     */
     record Records(long generation, List<byte[]> bodies, long size, boolean closed) {}
 
     private RecordFormat() {}
 
+    /** A record of that body. */
     static ByteBuffer frame(byte[] body, long generation) {
-        ByteBuffer frame = ByteBuffer.allocate(HEADER + body.length);
-        frame.putInt(0, body.length).putLong(LENGTH_AND_CRC, generation).put(HEADER, body);
-        return frame.putInt(4, crc(frame.array(), LENGTH_AND_CRC, 8 + body.length));
+        ByteBuffer frame = ByteBuffer.allocate(BODY_OFFSET + body.length);
+        frame.putInt(LENGTH_OFFSET, body.length)
+                .putLong(GENERATION_OFFSET, generation)
+                .put(BODY_OFFSET, body);
+        return frame.putInt(CRC_OFFSET, crc(frame.array(), GENERATION_OFFSET, Long.BYTES + body.length));
     }
 
+    /** The empty record that closes a slot. */
     static ByteBuffer end(long generation) {
         return frame(END, generation);
     }
@@ -35,10 +49,11 @@
         List<byte[]> bodies = new ArrayList<>();
         long generation = -1;
         long size = 0;
-        while (in.remaining() >= HEADER) {
+        while (in.remaining() >= BODY_OFFSET) {
             int length = in.getInt();
             int crc = in.getInt();
-            if (length < 0 || length > in.remaining() - 8 || crc(file, in.position(), 8 + length) != crc) {
+            boolean fits = length >= 0 && length <= in.remaining() - Long.BYTES;
+            if (!fits || crc(file, in.position(), Long.BYTES + length) != crc) {
                 break;
             }
             long found = in.getLong();
--- a/src/main/java/ringspindle/storage/SlotDisk.java
+++ b/src/main/java/ringspindle/storage/SlotDisk.java
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Predicate;
-import org.agrona.concurrent.UnsafeBuffer;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 import ringspindle.protocol.Codec;
 import ringspindle.protocol.Message;
-import ringspindle.sbe.MessageHeaderDecoder;
 import ringspindle.storage.RecordFormat.Records;
 import ringspindle.storage.StorageFolder.StorageFile;
 import ringspindle.storage.UnreadableStorageException.Reason;
 
 /**
- * Slot files {@code slot-0} and {@code slot-1} hold an image each, of generations g and g-1; {@code log-g} holds what was
+ * Slot files {@code slot-0} and {@code slot-1} hold a snapshot each, of generations g and g-1; {@code log-g} holds what was
  * appended since. The layout is that of {@link RecordFormat}. Three rules make it safe against a loss of power:
  * <ul>
  * <li>a log is created only when the slot of its generation is synced, name included, so a log newer than every whole
@@ -25,7 +25,9 @@
  * </ul>
  */
 final class SlotDisk implements Disk {
+    private static final String SLOT_PREFIX = "slot-";
     private static final String LOG_PREFIX = "log-";
+    private static final Pattern LOG_NAME = Pattern.compile(LOG_PREFIX + "(\\d{1,18})");
     private static final Records EMPTY = new Records(0, List.of(), 0, false);
 
     private final StorageFolder folder;
@@ -35,10 +37,10 @@
     private StorageFile log;
 
     private long logEnd;
-    /** An image failed: the other slot may or may not be whole, and would hide what is appended now. */
+    /** A snapshot failed: the other slot may or may not be whole, and would hide what is appended now. */
     private boolean otherSlotInDoubt;
 
-    /** {@code known} may throw on a record that it cannot read. */
+    /** {@code known} is false for a record that must not be read, or throws on it. */
     SlotDisk(StorageFolder folder, Predicate<Message> known) {
         this.folder = folder;
         this.known = known;
@@ -79,28 +81,23 @@
     }
 
     private List<Message> decode(String file, List<byte[]> bodies) throws UnreadableStorageException {
-        List<Message> out = new ArrayList<>();
+        List<Message> records = new ArrayList<>();
         for (byte[] body : bodies) {
-            out.add(decode(file, body));
+            records.add(decode(file, body));
         }
-        return out;
+        return records;
     }
 
     private Message decode(String file, byte[] body) throws UnreadableStorageException {
         try {
-            int version =
-                    new MessageHeaderDecoder().wrap(new UnsafeBuffer(body), 0).version();
-            if (version > MessageHeaderDecoder.SCHEMA_VERSION) {
-                throw new IllegalArgumentException("schema version " + version);
-            }
             Message record = Codec.decode(body);
             if (!known.test(record)) {
                 throw new IllegalArgumentException(
                         "unknown record " + record.getClass().getSimpleName());
             }
             return record;
-        } catch (RuntimeException x) {
-            throw new UnreadableStorageException(Reason.UNKNOWN_RECORD, file, x);
+        } catch (RuntimeException e) {
+            throw new UnreadableStorageException(Reason.UNKNOWN_RECORD, file, e);
         }
     }
 
@@ -109,14 +106,15 @@
     }
 
     private static String slotName(long generation) {
-        return "slot-" + (generation & 1);
+        return SLOT_PREFIX + (generation & 1);
     }
 
     /** Generations of the logs in the folder; other names are none of ours. */
     private List<Long> logGenerations() throws IOException {
         return folder.list().stream()
-                .filter(name -> name.matches(LOG_PREFIX + "\\d{1,18}"))
-                .map(name -> Long.valueOf(name.substring(LOG_PREFIX.length())))
+                .map(LOG_NAME::matcher)
+                .filter(Matcher::matches)
+                .map(log -> Long.valueOf(log.group(1)))
                 .toList();
     }
 
@@ -153,9 +151,9 @@
             file.truncate(logEnd);
             file.sync();
             folder.sync();
-        } catch (IOException x) {
-            closeAfter(x, file);
-            throw x;
+        } catch (IOException e) {
+            closeAfter(e, file);
+            throw e;
         }
         log = file;
     }
@@ -163,8 +161,8 @@
     private static void closeAfter(IOException failure, StorageFile file) {
         try {
             file.close();
-        } catch (IOException x) {
-            failure.addSuppressed(x);
+        } catch (IOException e) {
+            failure.addSuppressed(e);
         }
     }
 
@@ -181,11 +179,11 @@
             long end = writeAll(log, frames, logEnd);
             log.sync();
             logEnd = end;
-        } catch (IOException x) {
+        } catch (IOException e) {
             StorageFile failed = log;
             log = null;
-            closeAfter(x, failed);
-            throw x;
+            closeAfter(e, failed);
+            throw e;
         }
     }
 
@@ -195,7 +193,7 @@
                 .toList();
     }
 
-    /** Gives the offset behind what was written. */
+    /** Returns the offset behind what was written. */
     private static long writeAll(StorageFile file, List<ByteBuffer> frames, long offset) throws IOException {
         long next = offset;
         for (ByteBuffer frame : frames) {
@@ -215,7 +213,7 @@
     }
 
     @Override
-    public void image(List<Message> records) throws IOException {
+    public void snapshot(List<Message> records) throws IOException {
         long next = generation + 1;
         List<ByteBuffer> frames = new ArrayList<>(frames(records, next));
         frames.add(RecordFormat.end(next));
--- a/src/main/java/ringspindle/storage/UnreadableStorageException.java
+++ b/src/main/java/ringspindle/storage/UnreadableStorageException.java
@@ -3,8 +3,10 @@
 import java.io.IOException;
 
 /**
- * Whole records were found that must not be passed over: going on without them could break a vote that was told. The
- * files stay as they were.
+ * Whole records were found that must not be passed over: going on without them could break a promise that other nodes
+ * rely on. The files stay as they were. After {@link Reason#UNKNOWN_RECORD} the newer program that wrote them is to be
+ * started; after {@link Reason#LOST_SLOT} the folder is to be emptied and the node started with {@code bootstrap=false}, so
+ * that it relearns from the others.
  */
 public final class UnreadableStorageException extends IOException {
     private static final long serialVersionUID = 1;
@@ -18,14 +20,21 @@
     }
 
     private final Reason reason;
+    private final String file;
 
     UnreadableStorageException(Reason reason, String file, Throwable cause) {
         super(reason + " in " + file, cause);
         this.reason = reason;
+        this.file = file;
     }
 
-    /** Why; {@code if (x.reason() == Reason.UNKNOWN_RECORD) ...}. */
+    /** Why the file cannot be used. */
     public Reason reason() {
         return reason;
     }
+
+    /** The name of the file, in the disk's folder. */
+    public String file() {
+        return file;
+    }
 }
--- a/src/test/java/ringspindle/controlplane/DiskStorageTest.java
+++ b/src/test/java/ringspindle/controlplane/DiskStorageTest.java
@@ -45,7 +45,7 @@
         for (int i = 0; i < unknown.size(); i++) {
             Disk disk = Disk.open(folder);
             disk.load();
-            disk.image(List.of(VOTE));
+            disk.snapshot(List.of(VOTE));
             disk.append(List.of(unknown.get(i)));
             for (int start = 0; start < 2; start++) {
                 UnreadableStorageException x = assertThrows(
--- a/src/test/java/ringspindle/controlplane/GroupCommitWriterGroupsTest.java
+++ b/src/test/java/ringspindle/controlplane/GroupCommitWriterGroupsTest.java
@@ -51,7 +51,7 @@
         }
 
         @Override
-        public void image(List<Message> all) throws IOException {
+        public void snapshot(List<Message> all) throws IOException {
             refuseIf(refusesImages);
             records.clear();
             records.addAll(all);
--- a/src/test/java/ringspindle/controlplane/GroupCommitWriterTest.java
+++ b/src/test/java/ringspindle/controlplane/GroupCommitWriterTest.java
@@ -42,7 +42,7 @@
         }
 
         @Override
-        public void image(List<Message> records) throws IOException {
+        public void snapshot(List<Message> records) throws IOException {
             append(records);
         }
 
--- a/src/test/java/ringspindle/controlplane/StoredDataTest.java
+++ b/src/test/java/ringspindle/controlplane/StoredDataTest.java
@@ -199,7 +199,7 @@
         Files.delete(folder.resolve(LOG));
         Disk disk = Disk.open(folder);
         List<Message> older = disk.load();
-        disk.image(records.subList(0, 2));
+        disk.snapshot(records.subList(0, 2));
         disk.append(records.subList(2, 3));
         disk.append(records.subList(3, records.size()));
         assertArrayEquals(stored(NEWER_SLOT), Files.readAllBytes(folder.resolve(NEWER_SLOT)));
@@ -209,7 +209,7 @@
         Disk other = Disk.open(fresh);
         other.load();
         for (int generation = 1; generation <= 3; generation++) {
-            other.image(older);
+            other.snapshot(older);
         }
         assertArrayEquals(stored(OLDER_SLOT), Files.readAllBytes(fresh.resolve(OLDER_SLOT)));
     }
--- a/src/test/java/ringspindle/storage/SlotDiskCrashTest.java
+++ b/src/test/java/ringspindle/storage/SlotDiskCrashTest.java
@@ -107,7 +107,7 @@
             before.forEach(records -> allowed.addAll(partly(records, step)));
             try {
                 if (step.image()) {
-                    disk.image(step.records());
+                    disk.snapshot(step.records());
                 } else {
                     disk.append(step.records());
                 }
--- a/src/test/java/ringspindle/storage/SlotDiskRecoveryTest.java
+++ b/src/test/java/ringspindle/storage/SlotDiskRecoveryTest.java
@@ -45,15 +45,15 @@
     @Test
     void everyRefusalWithinAnImageLeavesADiskThatTakesAppends() throws Exception {
         SlotDisk disk = loaded();
-        disk.image(List.of(n(1)));
-        disk.image(List.of(n(1)));
+        disk.snapshot(List.of(n(1)));
+        disk.snapshot(List.of(n(1)));
         int before = folder.operations();
-        disk.image(List.of(n(1)));
+        disk.snapshot(List.of(n(1)));
         int operations = folder.operations() - before;
         for (int skip = 0; skip < operations; skip++) {
-            disk.image(List.of(n(1)));
+            disk.snapshot(List.of(n(1)));
             refuseNext(skip);
-            assertThrows(IOException.class, () -> disk.image(List.of(n(2))));
+            assertThrows(IOException.class, () -> disk.snapshot(List.of(n(2))));
             disk.append(List.of(n(3)));
             List<Message> found = reloaded();
             assertEquals(n(3), found.get(found.size() - 1), "refused operation " + skip + ": " + found);
@@ -72,8 +72,8 @@
     @Test
     void logsOfEarlierGenerationsAreRemovedAtLoad() throws Exception {
         SlotDisk disk = loaded();
-        disk.image(List.of(n(1)));
-        disk.image(List.of(n(2)));
+        disk.snapshot(List.of(n(1)));
+        disk.snapshot(List.of(n(2)));
         folder.put("log-0", RecordFormat.frame(Codec.encode(n(8)), 0).array());
         folder.put("log-1", RecordFormat.frame(Codec.encode(n(9)), 1).array());
         assertEquals(List.of(n(2)), new SlotDisk(folder, record -> true).load());
@@ -93,10 +93,10 @@
     @Test
     void aNewestSlotThatIsOldOrBrokenIsNotPassedOver() throws Exception {
         SlotDisk disk = loaded();
-        disk.image(List.of(n(1)));
+        disk.snapshot(List.of(n(1)));
         byte[] old = folder.read("slot-1").orElseThrow();
-        disk.image(List.of(n(2)));
-        disk.image(List.of(n(3)));
+        disk.snapshot(List.of(n(2)));
+        disk.snapshot(List.of(n(3)));
         disk.append(List.of(n(4)));
         for (byte[] stale : new byte[][] {old, {1, 2, 3}, null}) {
             folder.put("slot-1", stale);
@@ -113,7 +113,7 @@
         folder.put("log-0", RecordFormat.frame(unknown, 0).array());
         assertRefused(Reason.UNKNOWN_RECORD);
         folder.put("log-0", null);
-        loaded().image(List.of(n(1)));
+        loaded().snapshot(List.of(n(1)));
         byte[] slot = folder.read("slot-1").orElseThrow();
         System.arraycopy(
                 RecordFormat.frame(unknown, 1).array(),
--- a/src/test/java/ringspindle/storage/SlotDiskTest.java
+++ b/src/test/java/ringspindle/storage/SlotDiskTest.java
@@ -35,7 +35,7 @@
         d.append(List.of(n(1), n(2)));
         assertEquals(List.of(n(1), n(2)), Disk.open(folder).load());
         for (long i = 0; i < 5; i++) {
-            d.image(List.of(n(10 + i)));
+            d.snapshot(List.of(n(10 + i)));
             d.append(List.of(n(20 + i)));
             assertEquals(List.of(n(10 + i), n(20 + i)), Disk.open(folder).load());
         }
@@ -45,7 +45,7 @@
     void tornTailEndsTheLogAtEveryByte() throws Exception {
         Disk d = Disk.open(folder);
         d.load();
-        d.image(List.of(n(1)));
+        d.snapshot(List.of(n(1)));
         d.append(List.of(n(2)));
         int before = (int) Files.size(log());
         d.append(List.of(n(3)));
@@ -68,13 +68,13 @@
     void halfWrittenSlotLeavesTheOtherInForce() throws Exception {
         Disk d = Disk.open(folder);
         d.load();
-        d.image(List.of(n(1)));
+        d.snapshot(List.of(n(1)));
         d.append(List.of(n(2)));
         Path scratch = Files.createDirectory(folder.resolve("scratch"));
         Disk e = Disk.open(scratch);
         e.load();
-        e.image(List.of(n(5)));
-        e.image(List.of(n(6)));
+        e.snapshot(List.of(n(5)));
+        e.snapshot(List.of(n(6)));
         byte[] slot = Files.readAllBytes(scratch.resolve("slot-0"));
         for (int cut = 0; cut < slot.length; cut++) {
             // the next image would go to the other slot: no part of it may count
