--- a/src/main/java/ringspindle/dataplane/DataNodeTasks.java
+++ b/src/main/java/ringspindle/dataplane/DataNodeTasks.java
@@ -66,15 +66,15 @@
             }
             tellPeers(tick);
         }
-        proxy.probe();
+        proxy.probeEngines();
         if (tick % REPORT_TICKS == 0) {
-            proxy.tidy();
+            proxy.closeIdleConnections();
             synchronized (gossip.lock) {
                 reporter.report(tick, nowMs);
             }
         }
         if (tick % LOG_TICKS == 0) {
-            LOG.atInfo().log("actions %s", proxy.ends());
+            LOG.atInfo().log("actions %s", proxy.endCounts());
         }
     }
 
--- a/src/main/java/ringspindle/dataplane/DataPlane.java
+++ b/src/main/java/ringspindle/dataplane/DataPlane.java
@@ -52,7 +52,7 @@
         LOG.atInfo().log("data plane %s serves", config.name());
         term.await();
         long endMs = clock.nowMs() + (long) (settings.now().graceS() * 1000) - STOP_MS;
-        proxy.leave();
+        proxy.leave(endMs);
         node.leave();
         LOG.atInfo().log("data plane %s leaves, %s under way", config.name(), proxy.active());
         // clients hold addresses for a while; what still comes is served
--- a/src/main/java/ringspindle/dataplane/FactApplier.java
+++ b/src/main/java/ringspindle/dataplane/FactApplier.java
@@ -70,7 +70,7 @@
     private void applyConfiguration(Fact fact) {
         if (FleetConfig.read(FleetConfig.unpack(fact.value())) instanceof Validated.Valid<FleetConfig> valid) {
             loadBalancer.updateConfiguration(valid.value());
-            proxy.config(valid.value());
+            proxy.updateConfiguration(valid.value());
             LOG.atInfo().log("configuration %s in force", valid.value().revision());
         } else {
             LOG.atSevere().log("configuration %s cannot be read here", fact.version());
@@ -79,7 +79,7 @@
 
     private void applyRules(Fact fact) {
         if (ServingRules.read(fact.value()) instanceof Validated.Valid<ServingRules> valid) {
-            proxy.rules(valid.value());
+            proxy.updateRules(valid.value());
             LOG.atInfo().log("serving rules %s in force", valid.value().revision());
         } else {
             LOG.atSevere().log("serving rules of seq %s cannot be read here", fact.version());
--- a/src/main/java/ringspindle/dataplane/HeartbeatSender.java
+++ b/src/main/java/ringspindle/dataplane/HeartbeatSender.java
@@ -42,7 +42,7 @@
     /** Sends a heartbeat to a peer. */
     void send(NodeId to) {
         NodeFlags flags =
-                NodeFlags.READY.when(proxy.ready()).and(NodeFlags.LEAVING.when(lifecycle == Lifecycle.LEAVING));
+                NodeFlags.READY.when(proxy.isReady()).and(NodeFlags.LEAVING.when(lifecycle == Lifecycle.LEAVING));
         long digest = gossip.facts().digest();
         mesh.send(to, gossip.sessions().nextHeartbeat(to, flags, 0, 0, digest, clock.nowMs()));
     }
--- a/src/main/java/ringspindle/dataplane/LoadReporter.java
+++ b/src/main/java/ringspindle/dataplane/LoadReporter.java
@@ -98,7 +98,7 @@
     }
 
     private void reportLedger() {
-        LedgerReport ledger = proxy.ledger(incarnation, ++ledgerSequence);
+        LedgerReport ledger = proxy.ledgerReport(incarnation, ++ledgerSequence);
         Set<RequestLedger.Violation> violations = RequestLedger.violations(ledger);
         if (!violations.isEmpty()) {
             LOG.atSevere().log("the ledger breaks %s", violations);
--- a/src/main/java/ringspindle/dataplane/MessageDispatcher.java
+++ b/src/main/java/ringspindle/dataplane/MessageDispatcher.java
@@ -113,7 +113,7 @@
         applier.apply(fresh, nowMs);
         filled |= news.full();
         if (filled && gossip.facts().get(FactKind.CONFIG, "") != null) {
-            proxy.confirm();
+            proxy.markConfirmed();
         }
     }
 
--- /dev/null
+++ b/src/main/java/ringspindle/proxy/AdmittedRequest.java
@@ -0,0 +1,198 @@
+package ringspindle.proxy;
+
+import org.eclipse.jetty.http.HttpFields;
+import org.eclipse.jetty.server.Request;
+import ringspindle.config.FleetConfig;
+import ringspindle.loadbalancing.LoadBalancer;
+import ringspindle.retry.RetryPolicy;
+import ringspindle.routing.Affinity;
+import ringspindle.routing.RequestAttributes;
+import ringspindle.routing.ServingRule;
+import ringspindle.routing.ServingRules;
+
+/**
+ * A client's request that was read whole, with the route and the serving rules that it was admitted under. All that is
+ * done for it follows these, whatever configuration comes since.
+ */
+final class AdmittedRequest {
+    private static final double DEFAULT_MAX_IMBALANCE = 1.5;
+
+    private final Request request;
+    private final byte[] body;
+    private final FleetConfig.Route route;
+    private final String service;
+    private final String attemptId;
+    private final long receivedMs;
+    private final long timeLimitMs;
+    private final ServingRules rules;
+    private final ServingRule rule;
+    private final int promptTokens;
+    private final int outputTokens;
+    private final Affinity.Key affinity;
+
+    /**
+     * Reads what the head says of the request.
+     *
+     * @param service the service of the route that serves this request
+     * @param attemptId the client's id of this try
+     * @param receivedMs when its head had come, on the steady clock
+     * @param timeLimitMs how long it may take from then on: the lesser of the client's and the route's deadline
+     * @param rules the serving rules in force, null while there are none
+     */
+    AdmittedRequest(
+            Request request,
+            byte[] body,
+            FleetConfig.Route route,
+            String service,
+            String attemptId,
+            long receivedMs,
+            long timeLimitMs,
+            ServingRules rules) {
+        this.request = request;
+        this.body = body;
+        this.route = route;
+        this.service = service;
+        this.attemptId = attemptId;
+        this.receivedMs = receivedMs;
+        this.timeLimitMs = timeLimitMs;
+        this.rules = rules;
+        String[] tokens = header(Headers.TOKEN_COUNT, "0,0").split(",");
+        promptTokens = parseCount(tokens[0]);
+        outputTokens = tokens.length > 1 ? parseCount(tokens[1]) : 0;
+        rule = rules == null ? null : rules.match(attributes());
+        String prefix = header(Headers.PROMPT_PREFIX, "");
+        affinity = rule == null || rule.affinity() == null
+                ? Affinity.defaultKey(prefix)
+                : rule.affinity().key(prefix);
+    }
+
+    private RequestAttributes attributes() {
+        return new RequestAttributes(
+                route.name(),
+                route.host(),
+                request.getHttpURI().getPath(),
+                header(Headers.MODEL, ""),
+                promptTokens,
+                !route.homes().isEmpty());
+    }
+
+    Request request() {
+        return request;
+    }
+
+    HttpFields headers() {
+        return request.getHeaders();
+    }
+
+    byte[] body() {
+        return body;
+    }
+
+    FleetConfig.Route route() {
+        return route;
+    }
+
+    String service() {
+        return service;
+    }
+
+    String attemptId() {
+        return attemptId;
+    }
+
+    /** When its head had come, on the steady clock. */
+    long receivedMs() {
+        return receivedMs;
+    }
+
+    /** When it has to be answered at the latest, on the steady clock. */
+    long deadlineMs() {
+        return receivedMs + timeLimitMs;
+    }
+
+    /** The rules in force when it was admitted, null if there were none. */
+    ServingRules rules() {
+        return rules;
+    }
+
+    /** The rule that it falls under, null without rules. */
+    ServingRule rule() {
+        return rule;
+    }
+
+    /** The name that it is counted under. */
+    String className() {
+        return rule == null ? ServingRules.DEFAULT_CLASS : rule.name();
+    }
+
+    /** The revision of the rules that it was admitted under, 0 without rules. */
+    long rulesRevision() {
+        return rules == null ? 0 : rules.revision();
+    }
+
+    /** Its rank among requests that wait, 0 being served first: the rule's, else the route's. */
+    int priority() {
+        return rule == null || rule.rank() < 0 ? route.priority() : rule.rank();
+    }
+
+    /** What its rule says of the choice of an engine; null where it says nothing, so that all is as without rules. */
+    LoadBalancer.RoutingPreference routingPreference(long waitedMs) {
+        if (rule == null) {
+            return null;
+        }
+        double reservedForOthers = rules.shareReservedForOthers(rule);
+        boolean saysNothing = reservedForOthers <= 0
+                && rule.affinity() == null
+                && rule.whenBusy().isEmpty()
+                && rule.whenUnavailable().isEmpty();
+        if (saysNothing) {
+            return null;
+        }
+        double maxImbalance = rule.affinity() == null
+                ? DEFAULT_MAX_IMBALANCE
+                : rule.affinity().maxImbalance();
+        return new LoadBalancer.RoutingPreference(
+                reservedForOthers, maxImbalance, rule.whenBusy(), rule.whenUnavailable(), waitedMs);
+    }
+
+    boolean isStreaming() {
+        return route.kind() == FleetConfig.Kind.STREAMING;
+    }
+
+    RetryPolicy retryPolicy() {
+        return new RetryPolicy(route.repeatable(), route.resumable(), route.maxAttempts());
+    }
+
+    /** What identifies the shared part of its prompt on every node, 0 if it shares none worth going back for. */
+    long affinityKey() {
+        return affinity.hash();
+    }
+
+    /** Tokens of its prompt that are shared with other requests. */
+    int sharedTokens() {
+        return affinity.sharedTokens();
+    }
+
+    /** Tokens of its prompt that are its own. */
+    int ownTokens() {
+        return Math.max(0, promptTokens - affinity.sharedTokens());
+    }
+
+    /** The most tokens that it wants generated. */
+    int outputTokens() {
+        return outputTokens;
+    }
+
+    private String header(String name, String otherwise) {
+        String value = request.getHeaders().get(name);
+        return value == null ? otherwise : value;
+    }
+
+    private static int parseCount(String text) {
+        try {
+            return Integer.parseInt(text.trim());
+        } catch (NumberFormatException notANumber) {
+            return 0;
+        }
+    }
+}
--- a/src/main/java/ringspindle/proxy/EngineConnectionPool.java
+++ b/src/main/java/ringspindle/proxy/EngineConnectionPool.java
@@ -1,6 +1,5 @@
 package ringspindle.proxy;
 
-import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -11,235 +10,233 @@
 import org.eclipse.jetty.client.Destination;
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.client.Origin;
-import org.eclipse.jetty.http.HttpCookieStore;
-import org.eclipse.jetty.io.ByteBufferPool;
-import org.eclipse.jetty.io.ClientConnector;
+import org.eclipse.jetty.http.HttpFields;
+import org.eclipse.jetty.http.HttpHeader;
+import org.eclipse.jetty.http.HttpHeaderValue;
 import org.eclipse.jetty.util.Promise;
-import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import ringspindle.protocol.NodeId;
 import ringspindle.time.MonotonicClock;
-import ringspindle.transport.LifeCycles;
 
-/** Open connections to engines, owned here one by one: no pool, queue or resending of the client's own. */
+/**
+ * Open connections to engines, owned here one by one: the HTTP client has no pool or queue of its own and sends nothing
+ * again. Thread safe; each engine's connections are guarded by their own lock, and nothing is called under it.
+ */
 final class EngineConnectionPool {
     private static final int IDLE_MAX = 24;
-    /** Ours: how long an idle wire is trusted where the engine states nothing. */
-    private static final int KEEP_MS = 700;
-    /** Ours: idle for less, a wire counts as sure enough for what may run only once. */
+    /** Default: how long an idle connection is trusted where the engine states nothing. */
+    private static final int KEEP_ALIVE_MS = 700;
+    /** Default: idle for less, a connection is sure enough for what may run only once. */
     private static final int SURE_MS = 1500;
+    /** Taken off what an engine states, for the way there. */
+    private static final int KEEP_ALIVE_MARGIN_MS = 400;
 
     private static final int TRUST_LEAST_MS = 50;
-    /** Small, as one is made for each read; events are far smaller. */
-    private static final int RESPONSE_BUFFER_BYTES = 4096;
-
-    /** More than a client may send ({@code ProxyHandler.REQUEST_HEADERS_MAX}), as a few fields are added. */
-    private static final int REQUEST_HEADERS_MAX = ProxyHandler.REQUEST_HEADERS_MAX + 4096;
-
-    /** A connection to one engine. */
-    static final class Wire {
-        final EngineTransport.EngineConnection connection;
-        final String engine;
-        long idleSinceMs;
-        long keepMs = KEEP_MS;
-        /** How long it was idle before it was taken this time, below 0 if it is new. */
-        long idledMs = -1;
-
-        Wire(EngineTransport.EngineConnection connection, String engine) {
-            this.connection = connection;
-            this.engine = engine;
-        }
+
+    /** Why no connection could be had. */
+    enum Failure {
+        /** As many as the engine allows are open, and none is idle. */
+        LIMIT_REACHED,
+        /** The engine could not be reached. */
+        CONNECT_FAILED
     }
 
-    interface Ready {
-        void up(Wire w);
+    /** Told of the outcome of {@link #acquire}, once, in this thread or another. */
+    interface Acquisition {
+        void acquired(PooledConnection connection);
 
-        void failed(boolean full);
+        void failed(Failure failure);
     }
 
-    private static final class Pool {
-        final ArrayDeque<Wire> idle = new ArrayDeque<>();
+    /** The connections to one engine; guarded by itself. */
+    private static final class EngineConnections {
+        final ArrayDeque<PooledConnection> idle = new ArrayDeque<>();
         Destination destination;
-        Origin origin;
         int open;
-        /** What resets have taught of how long idle ones stay good. */
+        /** For how long resets have taught that idle ones stay good. */
         long trustMs = Long.MAX_VALUE;
+
+        /** True if the engine, or whatever stands in between, may have dropped it by now. */
+        boolean isDoubtful(PooledConnection connection, long idledMs) {
+            return connection.connection().unusable()
+                    || connection.connection().disturbed()
+                    || idledMs > Math.min(connection.keepAliveMs, trustMs);
+        }
     }
 
     private final HttpClient client;
     private final MonotonicClock clock;
-    private final Map<String, Pool> pools = new ConcurrentHashMap<>();
+    private final Map<String, EngineConnections> engines = new ConcurrentHashMap<>();
 
-    EngineConnectionPool(QueuedThreadPool pool, org.eclipse.jetty.util.thread.Scheduler beats, MonotonicClock clock)
-            throws Exception {
+    EngineConnectionPool(HttpClient client, MonotonicClock clock) {
+        this.client = client;
         this.clock = clock;
-        ClientConnector connector = new EngineEndPoint.Connector();
-        client = new HttpClient(new EngineTransport(connector));
-        client.setExecutor(pool);
-        client.setScheduler(beats);
-        // No pool: after its answer has ended, Jetty's receiver may clear the buffer that it held, at a moment when
-        // another
-        // connection has got that buffer from the pool and filled it; events were lost that way.
-        client.setByteBufferPool(new ByteBufferPool.NonPooling());
-        client.setResponseBufferSize(RESPONSE_BUFFER_BYTES);
-        client.setConnectTimeout(600);
-        // silence ends no request: the action's deadline does, and tidy() closes idle connections
-        client.setIdleTimeout(0);
-        client.setUserAgentField(null);
-        client.setFollowRedirects(false);
-        client.setDefaultRequestContentType(null);
-        client.setMaxResponseHeadersSize(16384);
-        client.setMaxRequestHeadersSize(REQUEST_HEADERS_MAX);
-        // what an engine sets for one client is never sent with the request of another
-        client.setHttpCookieStore(new HttpCookieStore.Empty());
-        client.setUseInputDirectByteBuffers(false);
-        client.setUseOutputDirectByteBuffers(false);
-        client.setSocketAddressResolver(
-                (host, port, context, promise) -> promise.succeeded(List.of(new InetSocketAddress(host, port))));
-        client.start();
-        client.getProtocolHandlers().clear();
-        client.getProtocolHandlers().put(new EngineTransport.InterimAnswers());
-        client.getContentDecoderFactories().clear();
-    }
-
-    HttpClient client() {
-        return client;
-    }
-
-    void close() {
-        LifeCycles.stopQuietly(client);
     }
 
     /**
-     * Takes the idle wire used last or opens one. What may run only once goes over no idle wire of doubtful age: an
-     * engine may have forgotten it, and after a reset nobody knows whether the request ran.
+     * Takes the idle connection used last or opens one. What may run only once goes over no idle connection of doubtful
+     * age: an engine may have forgotten it, and after a reset nobody knows whether the request ran.
+     *
+     * @param openMax how many connections this node may have open to the engine
      */
-    void take(String engine, NodeId address, int most, boolean repeatable, Ready ready) {
-        Pool p = pools.computeIfAbsent(engine, k -> new Pool());
-        Wire w = null;
+    void acquire(String instanceId, NodeId address, int openMax, boolean repeatable, Acquisition acquisition) {
+        EngineConnections engine = engines.computeIfAbsent(instanceId, id -> new EngineConnections());
+        List<PooledConnection> doubtful = new ArrayList<>(0);
+        PooledConnection reused;
         Destination destination = null;
-        synchronized (p) {
-            long nowMs = clock.nowMs();
-            while (w == null && !p.idle.isEmpty()) {
-                long idledMs = nowMs - p.idle.peekLast().idleSinceMs;
-                if (!repeatable && idledMs > Math.min(SURE_MS, p.trustMs) && p.open < most) {
-                    // the others are idle for longer still
-                    break;
-                }
-                Wire x = p.idle.pollLast();
-                x.idledMs = idledMs;
-                if (x.connection.unusable() || x.connection.disturbed() || idledMs > Math.min(x.keepMs, p.trustMs)) {
-                    p.open--;
-                    x.connection.close();
-                } else {
-                    w = x;
-                }
-            }
-            if (w == null) {
-                if (p.open < most) {
-                    p.open++;
-                    if (p.destination == null) {
-                        p.origin = new Origin(
-                                "http",
-                                address.ip(),
-                                address.port(),
-                                engine,
-                                new Origin.Protocol(List.of("http/1.1"), false));
-                        p.destination = client.resolveDestination(p.origin);
-                    }
-                    destination = p.destination;
-                }
+        synchronized (engine) {
+            reused = takeIdle(engine, repeatable, openMax, doubtful);
+            if (reused == null && engine.open < openMax) {
+                engine.open++;
+                destination = destination(engine, instanceId, address);
             }
         }
-        if (w != null) {
-            ready.up(w);
+        doubtful.forEach(connection -> connection.connection().close());
+        if (reused != null) {
+            acquisition.acquired(reused);
         } else if (destination == null) {
-            ready.failed(true);
+            acquisition.failed(Failure.LIMIT_REACHED);
         } else {
-            destination.newConnection(
-                    Promise.from(c -> ready.up(new Wire((EngineTransport.EngineConnection) c, engine)), x -> {
-                        synchronized (p) {
-                            p.open--;
-                        }
-                        ready.failed(false);
-                    }));
+            open(engine, destination, instanceId, acquisition);
         }
     }
 
-    /** A wire that had been idle was reset without a word: the engine forgets idle ones sooner than thought. */
-    void forgotten(Wire w) {
-        Pool p = pools.get(w.engine);
-        if (p != null && w.idledMs >= 0) {
-            synchronized (p) {
-                p.trustMs = Math.max(TRUST_LEAST_MS, Math.min(p.trustMs, w.idledMs * 2 / 3));
+    private PooledConnection takeIdle(
+            EngineConnections engine, boolean repeatable, int openMax, List<PooledConnection> doubtful) {
+        long nowMs = clock.nowMs();
+        while (!engine.idle.isEmpty()) {
+            long idledMs = nowMs - engine.idle.peekLast().idleSinceMs;
+            if (!repeatable && idledMs > Math.min(SURE_MS, engine.trustMs) && engine.open < openMax) {
+                // the others are idle for longer still
+                return null;
+            }
+            PooledConnection connection = engine.idle.pollLast();
+            connection.idledMs = idledMs;
+            if (!engine.isDoubtful(connection, idledMs)) {
+                return connection;
             }
+            engine.open--;
+            doubtful.add(connection);
         }
+        return null;
     }
 
-    /** Gives a wire back after a whole answer; keepS is what the engine stated, below 0 for nothing. */
-    void give(Wire w, long keepS) {
-        Pool p = pools.get(w.engine);
-        if (p == null || w.connection.unusable()) {
-            drop(w);
-            return;
+    private Destination destination(EngineConnections engine, String instanceId, NodeId address) {
+        if (engine.destination == null) {
+            // the instance id as a tag: an address may be given to another engine
+            engine.destination = client.resolveDestination(new Origin(
+                    "http", address.ip(), address.port(), instanceId, new Origin.Protocol(List.of("http/1.1"), false)));
         }
-        synchronized (p) {
-            if (p.idle.size() < IDLE_MAX) {
-                w.idleSinceMs = clock.nowMs();
-                w.connection.rest();
-                w.keepMs = keepS >= 0 ? Math.max(0, keepS * 1000 - 400) : KEEP_MS;
-                p.idle.addLast(w);
-                return;
+        return engine.destination;
+    }
+
+    private static void open(
+            EngineConnections engine, Destination destination, String instanceId, Acquisition acquisition) {
+        destination.newConnection(Promise.from(
+                connection -> acquisition.acquired(
+                        new PooledConnection((EngineTransport.EngineConnection) connection, instanceId, KEEP_ALIVE_MS)),
+                failure -> {
+                    synchronized (engine) {
+                        engine.open--;
+                    }
+                    acquisition.failed(Failure.CONNECT_FAILED);
+                }));
+    }
+
+    /** Notes that a reused connection was reset without a word: the engine forgets idle ones sooner than thought. */
+    void noteForgotten(PooledConnection connection) {
+        EngineConnections engine = engines.get(connection.instanceId());
+        if (engine != null && connection.isReused()) {
+            synchronized (engine) {
+                engine.trustMs = Math.max(TRUST_LEAST_MS, Math.min(engine.trustMs, connection.idledMs * 2 / 3));
             }
         }
-        drop(w);
     }
 
-    /** Gives back a wire over which nothing was sent since it was taken. */
-    void giveUnused(Wire w) {
-        if (w.idledMs < 0) {
-            give(w, -1);
+    /** Gives a connection back after a whole answer, whose head says whether and for how long it is kept. */
+    void release(PooledConnection connection, HttpFields answerHead) {
+        if (answerHead.contains(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString())) {
+            discard(connection);
+        } else {
+            keep(connection, KeepAlive.statedSeconds(answerHead));
+        }
+    }
+
+    /** Gives back a connection over which nothing was sent since it was acquired. */
+    void releaseUnused(PooledConnection connection) {
+        if (connection.isReused()) {
+            // its age is not known any more
+            discard(connection);
         } else {
-            // its age is not known here any more
-            drop(w);
+            keep(connection, KeepAlive.NOT_STATED);
         }
     }
 
-    /** Closes a wire. */
-    void drop(Wire w) {
-        Pool p = pools.get(w.engine);
-        if (p != null) {
-            synchronized (p) {
-                p.open--;
+    private void keep(PooledConnection connection, long keepAliveS) {
+        EngineConnections engine = engines.get(connection.instanceId());
+        if (engine == null || connection.connection().unusable()) {
+            discard(connection);
+            return;
+        }
+        synchronized (engine) {
+            if (engine.idle.size() < IDLE_MAX) {
+                connection.idleSinceMs = clock.nowMs();
+                connection.connection().rest();
+                connection.keepAliveMs = keepAliveS == KeepAlive.NOT_STATED
+                        ? KEEP_ALIVE_MS
+                        : Math.max(0, keepAliveS * 1000 - KEEP_ALIVE_MARGIN_MS);
+                engine.idle.addLast(connection);
+                return;
             }
         }
-        w.connection.close();
+        discard(connection);
     }
 
-    /** Closes what is idle too long, and all of engines that are no more. */
-    void tidy(Set<String> known) {
-        long nowMs = clock.nowMs();
-        for (Iterator<Map.Entry<String, Pool>> it = pools.entrySet().iterator(); it.hasNext(); ) {
-            Map.Entry<String, Pool> e = it.next();
-            Pool p = e.getValue();
-            List<Wire> close = new ArrayList<>();
-            boolean dead = !known.contains(e.getKey());
-            synchronized (p) {
-                p.idle.removeIf(w -> {
-                    boolean stale = dead || w.connection.isClosed() || nowMs - w.idleSinceMs > w.keepMs;
-                    if (stale) {
-                        p.open--;
-                        close.add(w);
-                    }
-                    return stale;
-                });
-                if (dead && p.open <= 0) {
-                    it.remove();
-                    if (p.destination != null) {
-                        client.removeDestination(p.destination);
+    /** Closes a connection that was acquired. */
+    void discard(PooledConnection connection) {
+        EngineConnections engine = engines.get(connection.instanceId());
+        if (engine != null) {
+            synchronized (engine) {
+                engine.open--;
+            }
+        }
+        connection.connection().close();
+    }
+
+    /** Closes what is idle for too long, and all idle ones of engines that are not among those. */
+    void closeIdle(Set<String> knownEngines) {
+        for (Iterator<Map.Entry<String, EngineConnections>> entries =
+                        engines.entrySet().iterator();
+                entries.hasNext(); ) {
+            Map.Entry<String, EngineConnections> entry = entries.next();
+            EngineConnections engine = entry.getValue();
+            boolean gone = !knownEngines.contains(entry.getKey());
+            List<PooledConnection> stale;
+            synchronized (engine) {
+                stale = takeStale(engine, gone);
+                if (gone && engine.open <= 0) {
+                    entries.remove();
+                    if (engine.destination != null) {
+                        client.removeDestination(engine.destination);
                     }
                 }
             }
-            close.forEach(w -> w.connection.close());
+            stale.forEach(connection -> connection.connection().close());
         }
     }
+
+    private List<PooledConnection> takeStale(EngineConnections engine, boolean gone) {
+        long nowMs = clock.nowMs();
+        List<PooledConnection> stale = new ArrayList<>(0);
+        engine.idle.removeIf(connection -> {
+            boolean isStale = gone
+                    || connection.connection().isClosed()
+                    || nowMs - connection.idleSinceMs > connection.keepAliveMs;
+            if (isStale) {
+                engine.open--;
+                stale.add(connection);
+            }
+            return isStale;
+        });
+        return stale;
+    }
 }
--- /dev/null
+++ b/src/main/java/ringspindle/proxy/EngineRequestFactory.java
@@ -0,0 +1,84 @@
+package ringspindle.proxy;
+
+import java.net.URI;
+import java.util.Set;
+import org.eclipse.jetty.client.BytesRequestContent;
+import org.eclipse.jetty.client.HttpClient;
+import org.eclipse.jetty.client.Request;
+import org.eclipse.jetty.http.HttpField;
+import org.eclipse.jetty.http.HttpFields;
+import ringspindle.protocol.NodeId;
+
+/**
+ * Makes the request that goes to an engine out of the client's: method, path and body as they came, header fields but
+ * those of one connection, and the fields that the proxy sets itself.
+ */
+final class EngineRequestFactory {
+    /** The least urgent value of {@code Request-Urgency}. */
+    private static final int URGENCY_MAX = 9;
+
+    private static final Set<String> SET_BY_PROXY =
+            Set.of("content-length", "deadline-ms", "target-instance", "request-urgency", "expect");
+    private static final Set<String> SET_BY_PROXY_ON_RESUME = Set.of("last-event-id", "expected-revision");
+
+    private final HttpClient client;
+
+    EngineRequestFactory(HttpClient client) {
+        this.client = client;
+    }
+
+    /**
+     * The request for one attempt.
+     *
+     * @param timeLeftMs how long the engine may work on it
+     * @param resumeFrom where the client's stream stands if this attempt goes on with it, else null
+     */
+    Request create(
+            AdmittedRequest admitted, NodeId address, String instanceId, long timeLeftMs, StreamPosition resumeFrom) {
+        Request engineRequest =
+                forAddress(address, admitted.request().getHttpURI().getPathQuery());
+        engineRequest.method(admitted.request().getMethod()).headers(fields -> {
+            copyFields(admitted.headers(), fields, resumeFrom != null);
+            fields.put(Headers.DEADLINE_MS, Long.toString(Math.max(1, timeLeftMs)));
+            fields.put(Headers.TARGET_INSTANCE, instanceId);
+            if (admitted.isStreaming()) {
+                int urgency = Math.max(0, Math.min(URGENCY_MAX, admitted.priority()));
+                fields.put(Headers.REQUEST_URGENCY, Integer.toString(urgency));
+            }
+            if (resumeFrom != null) {
+                putPosition(fields, resumeFrom);
+            }
+        });
+        if (admitted.body().length > 0) {
+            engineRequest.body(new BytesRequestContent((String) null, admitted.body()));
+        }
+        return engineRequest;
+    }
+
+    private Request forAddress(NodeId address, String pathAndQuery) {
+        try {
+            return client.newRequest(URI.create("http://" + address + pathAndQuery));
+        } catch (IllegalArgumentException notAUri) {
+            // the path is passed on as it came, also where it is no proper URI
+            return client.newRequest(address.ip(), address.port()).path(pathAndQuery);
+        }
+    }
+
+    private static void copyFields(HttpFields from, HttpFields.Mutable to, boolean resumes) {
+        Set<String> hopByHop = HopByHopHeaders.of(from);
+        for (HttpField field : from) {
+            String name = field.getLowerCaseName();
+            boolean replaced = SET_BY_PROXY.contains(name) || resumes && SET_BY_PROXY_ON_RESUME.contains(name);
+            if (!replaced && !hopByHop.contains(name)) {
+                to.add(field);
+            }
+        }
+    }
+
+    private static void putPosition(HttpFields.Mutable fields, StreamPosition position) {
+        fields.put(Headers.LAST_EVENT_ID, Long.toString(position.lastId()));
+        if (position.weightVersion() >= 0) {
+            fields.put(Headers.EXPECTED_REVISION, Long.toString(position.weightVersion()));
+        }
+    }
+}
--- a/src/main/java/ringspindle/proxy/EventSplitter.java
+++ b/src/main/java/ringspindle/proxy/EventSplitter.java
@@ -1,80 +1,76 @@
 package ringspindle.proxy;
 
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 
-/** Cuts a stream's bytes into whole events and reads their ids. */
+/** Cuts the bytes of one engine's event stream into whole events. Lines may end with LF or CR LF. Not thread safe. */
 final class EventSplitter {
-    /** The event names no id. */
-    static final long NO_ID = -1;
-    /** The event names an id that is no number. */
-    static final long UNREADABLE_ID = -2;
+    /** The largest event, and the most bytes that are held of one that is not whole yet. */
+    static final int EVENT_BYTES_MAX = 4 << 20;
 
-    private static final int EVENT_MAX = 4 << 20;
+    private static final int INITIAL_BYTES = 1024;
 
-    /** One whole event, with its closing blank line. id is NO_ID without one; weights is -1 where none are named. */
-    record Event(byte[] bytes, long id, long weights) {}
+    /** An event is larger than {@link #EVENT_BYTES_MAX}. */
+    static final class OversizedEventException extends Exception {
+        private static final long serialVersionUID = 1;
 
-    private byte[] buffer = new byte[1024];
+        private OversizedEventException() {
+            super("an event is larger than " + EVENT_BYTES_MAX + " bytes");
+        }
+    }
+
+    private byte[] buffer = new byte[INITIAL_BYTES];
     private int length;
     private int scanned;
 
-    /** Takes bytes, gives the events that are whole now; throws {@link IllegalStateException} on an endless one. */
-    List<Event> feed(ByteBuffer in) {
-        int n = in.remaining();
-        if (length + n > EVENT_MAX) {
-            throw new IllegalStateException("event over " + EVENT_MAX);
-        }
-        if (length + n > buffer.length) {
-            buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, length + n));
-        }
-        in.get(buffer, length, n);
-        length += n;
-        List<Event> out = new ArrayList<>(2);
+    /**
+     * Takes further bytes of the stream.
+     *
+     * @return the events that are whole now, in order, each with its closing blank line
+     * @throws OversizedEventException if the event at hand is too large; the stream cannot go on
+     */
+    List<StreamEvent> feed(ByteBuffer bytes) throws OversizedEventException {
+        append(bytes);
+        List<StreamEvent> events = new ArrayList<>(2);
         int start = 0;
-        int i = Math.max(scanned, 1);
-        for (; i < length; i++) {
-            if (buffer[i] == '\n'
-                    && (buffer[i - 1] == '\n' && i - 1 >= start
-                            || i >= start + 3 && buffer[i - 1] == '\r' && buffer[i - 2] == '\n')) {
-                out.add(event(Arrays.copyOfRange(buffer, start, i + 1)));
+        for (int i = Math.max(scanned, 1); i < length; i++) {
+            if (endsEvent(i, start)) {
+                events.add(StreamEvent.parse(Arrays.copyOfRange(buffer, start, i + 1)));
                 start = i + 1;
             }
         }
         System.arraycopy(buffer, start, buffer, 0, length - start);
         length -= start;
         scanned = length;
-        return out;
+        return events;
     }
 
-    /** True while bytes of an unfinished event are here. */
-    boolean partial() {
+    /** True while bytes of an event that is not whole are held. */
+    boolean hasPartialEvent() {
         return length > 0;
     }
 
-    private static Event event(byte[] bytes) {
-        long id = NO_ID;
-        long weights = -1;
-        String text = new String(bytes, StandardCharsets.ISO_8859_1);
-        for (String line : text.split("\n")) {
-            if (line.startsWith("id:")) {
-                id = number(line.substring(3), UNREADABLE_ID);
-            } else if (line.startsWith("weight-versions:")) {
-                weights = number(line.substring(16), -1);
-            }
+    private void append(ByteBuffer bytes) throws OversizedEventException {
+        int added = bytes.remaining();
+        if (length + added > EVENT_BYTES_MAX) {
+            throw new OversizedEventException();
+        }
+        if (length + added > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, length + added));
         }
-        return new Event(bytes, id, weights);
+        bytes.get(buffer, length, added);
+        length += added;
     }
 
-    private static long number(String text, long otherwise) {
-        try {
-            long number = Long.parseLong(text.trim());
-            return number < 0 ? otherwise : number;
-        } catch (NumberFormatException x) {
-            return otherwise;
+    /** True if the byte at i is the LF of the blank line that closes the event which begins at start. */
+    private boolean endsEvent(int i, int start) {
+        if (buffer[i] != '\n') {
+            return false;
         }
+        boolean afterLf = buffer[i - 1] == '\n' && i - 1 >= start;
+        boolean afterLfAndCr = i >= start + 3 && buffer[i - 1] == '\r' && buffer[i - 2] == '\n';
+        return afterLf || afterLfAndCr;
     }
 }
--- /dev/null
+++ b/src/main/java/ringspindle/proxy/ProxiedAttempt.java
@@ -0,0 +1,424 @@
+package ringspindle.proxy;
+
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import org.eclipse.jetty.client.Request;
+import org.eclipse.jetty.client.Response;
+import org.eclipse.jetty.client.Result;
+import org.eclipse.jetty.io.Content;
+import org.eclipse.jetty.util.Callback;
+import ringspindle.loadbalancing.LoadBalancer;
+import ringspindle.retry.Attempt;
+import ringspindle.retry.AttemptOutcome;
+
+/**
+ * One attempt of a request at one engine: connects, sends, reads the answer and passes a stream on event by event. It
+ * decides nothing about further attempts; that is its {@link ProxiedRequest}'s part.
+ *
+ * <p>All fields are guarded by the lock of the request. What is read from the engine is written to the client before more
+ * is read, so a slow client holds the engine back; at most one write to the client is pending.
+ */
+final class ProxiedAttempt implements Response.Listener, Runnable {
+    /** The largest answer that is held until it is complete, in bytes. */
+    private static final int BUFFERED_BYTES_MAX = 16 << 20;
+    /** An idle connection that the engine has forgotten is reset within this. */
+    private static final int FORGOTTEN_RESET_MS = 150;
+
+    private static final long NOT_YET = -1;
+
+    /** Where an attempt stands; it only moves forward. */
+    private enum Phase {
+        CONNECTING,
+        AWAITING_HEAD,
+        RECEIVING,
+        ENDED
+    }
+
+    /** The write to the client. */
+    private enum ClientWrite {
+        NONE,
+        PENDING,
+        /** The attempt's own timeout came while it was pending, when nobody read from the engine. */
+        PENDING_PAST_TIMEOUT
+    }
+
+    private final ProxiedRequest request;
+    private final ProxyHandler proxy;
+    private final Attempt scope;
+    private final LoadBalancer.SelectionRequest selection;
+    private final LoadBalancer.SelectedEngine engine;
+    private final boolean resumes;
+    private final EventSplitter events = new EventSplitter();
+
+    private Phase phase = Phase.CONNECTING;
+    private PooledConnection connection;
+    private Request engineRequest;
+    private Response head;
+    private AnswerKind kind;
+    private Content.Source content;
+    /** The answer's body as far as it has come, where it is held until it is complete; null for a stream. */
+    private ByteArrayOutputStream buffered;
+
+    private ClientWrite clientWrite = ClientWrite.NONE;
+    /** How the exchange ended, where that came while a write was pending. */
+    private Result resultAfterWrite;
+    /** An event did not follow the one before it: the attempt ends once what came before is written. */
+    private boolean outOfOrder;
+
+    private long sentMs = NOT_YET;
+    private long firstByteMs = NOT_YET;
+    private long lastHeardMs;
+
+    ProxiedAttempt(
+            ProxiedRequest request,
+            ProxyHandler proxy,
+            Attempt scope,
+            LoadBalancer.SelectionRequest selection,
+            LoadBalancer.SelectedEngine engine,
+            boolean resumes) {
+        this.request = request;
+        this.proxy = proxy;
+        this.scope = scope;
+        this.selection = selection;
+        this.engine = engine;
+        this.resumes = resumes;
+        this.lastHeardMs = proxy.nowMs();
+    }
+
+    /** Takes a connection to the engine and goes on from there. */
+    void start(boolean repeatable) {
+        EngineConnectionPool.Acquisition acquisition = new EngineConnectionPool.Acquisition() {
+            @Override
+            public void acquired(PooledConnection acquired) {
+                send(acquired);
+            }
+
+            @Override
+            public void failed(EngineConnectionPool.Failure failure) {
+                endUnsent(failure);
+            }
+        };
+        proxy.connections().acquire(engine.id(), engine.address(), engine.maxConnections(), repeatable, acquisition);
+    }
+
+    private void endUnsent(EngineConnectionPool.Failure failure) {
+        synchronized (request) {
+            if (phase != Phase.ENDED) {
+                boolean full = failure == EngineConnectionPool.Failure.LIMIT_REACHED;
+                request.onAttemptFailed(this, full ? AttemptOutcome.NOT_RUN : AttemptOutcome.NOT_SENT);
+            }
+        }
+    }
+
+    private void send(PooledConnection acquired) {
+        synchronized (request) {
+            long nowMs = proxy.nowMs();
+            // the last look before anything goes out
+            if (phase == Phase.ENDED || !request.isLive(nowMs)) {
+                proxy.connections().releaseUnused(acquired);
+                if (phase != Phase.ENDED) {
+                    request.onAttemptFailed(this, AttemptOutcome.NOT_SENT);
+                }
+                return;
+            }
+            connection = acquired;
+            engineRequest = request.createEngineRequest(engine, resumes, nowMs);
+            scope.markSent();
+            request.onSent(resumes);
+            sentMs = nowMs;
+            lastHeardMs = nowMs;
+            proxy.loadBalancer().onRequestSent(engine.id(), nowMs);
+            phase = Phase.AWAITING_HEAD;
+        }
+        acquired.connection().send(engineRequest, this);
+    }
+
+    // ---- what comes from the engine
+
+    @Override
+    public void onHeaders(Response response) {
+        synchronized (request) {
+            if (phase == Phase.ENDED) {
+                return;
+            }
+            long nowMs = proxy.nowMs();
+            head = response;
+            lastHeardMs = nowMs;
+            phase = Phase.RECEIVING;
+            if (AnswerKind.isForeign(response, request.attemptId())) {
+                kind = AnswerKind.BROKEN;
+                request.onAttemptFailed(this, AttemptOutcome.BROKEN);
+                return;
+            }
+            proxy.loadBalancer().onResponseBytes(engine.id(), nowMs);
+            kind = AnswerKind.of(response, engine.id());
+            if (isStream()) {
+                beginStream(response);
+            } else {
+                buffered = new ByteArrayOutputStream(1024);
+            }
+        }
+    }
+
+    private void beginStream(Response response) {
+        String weightVersions = response.getHeaders().get(Headers.WEIGHT_VERSIONS);
+        if (!resumes) {
+            request.position().begin(weightVersions);
+        } else if (!request.position().continuesWith(weightVersions)) {
+            request.onAttemptFailed(this, AttemptOutcome.BROKEN);
+        }
+    }
+
+    @Override
+    public void onContentSource(Response response, Content.Source source) {
+        content = source;
+        run();
+    }
+
+    /** Reads what is there; after a part that was passed on it goes on once that is written. */
+    @Override
+    public void run() {
+        while (true) {
+            Content.Chunk chunk = content.read();
+            if (chunk == null) {
+                content.demand(this);
+                return;
+            }
+            if (Content.Chunk.isFailure(chunk)) {
+                return;
+            }
+            boolean last = chunk.isLast();
+            boolean readOn = !chunk.hasRemaining() || receive(chunk.getByteBuffer(), last);
+            chunk.release();
+            if (last || !readOn) {
+                return;
+            }
+        }
+    }
+
+    /** Takes a part of the body; true if the next may be read at once. */
+    private boolean receive(ByteBuffer part, boolean last) {
+        byte[] following;
+        synchronized (request) {
+            if (phase == Phase.ENDED) {
+                return false;
+            }
+            long nowMs = proxy.nowMs();
+            lastHeardMs = nowMs;
+            proxy.loadBalancer().onResponseBytes(engine.id(), nowMs);
+            if (firstByteMs < 0) {
+                firstByteMs = nowMs - sentMs;
+            }
+            if (buffered != null) {
+                return buffer(part);
+            }
+            following = followingEvents(part);
+            if (following.length == 0) {
+                return phase != Phase.ENDED;
+            }
+            if (!request.commit(head, nowMs)) {
+                return false;
+            }
+            clientWrite = ClientWrite.PENDING;
+        }
+        request.client().write(following, Callback.from(() -> onWritten(last), failure -> request.onClientGone()));
+        return false;
+    }
+
+    private boolean buffer(ByteBuffer part) {
+        byte[] bytes = new byte[part.remaining()];
+        part.get(bytes);
+        buffered.writeBytes(bytes);
+        if (buffered.size() > BUFFERED_BYTES_MAX) {
+            request.onAttemptFailed(this, AttemptOutcome.BROKEN);
+            return false;
+        }
+        return true;
+    }
+
+    /**
+     * The events that are whole by now and follow each other, up to the first that does not. Where there are none and none
+     * can come any more, the attempt is ended here; where there are some, once they are written.
+     */
+    private byte[] followingEvents(ByteBuffer part) {
+        ByteArrayOutputStream following = new ByteArrayOutputStream();
+        try {
+            for (StreamEvent event : events.feed(part)) {
+                if (!request.position().advance(event)) {
+                    proxy.logOutOfOrder(event, request, engine.id());
+                    outOfOrder = true;
+                    break;
+                }
+                following.writeBytes(event.bytes());
+            }
+        } catch (EventSplitter.OversizedEventException oversized) {
+            request.onAttemptFailed(this, AttemptOutcome.BROKEN);
+            return following.toByteArray();
+        }
+        if (outOfOrder && following.size() == 0) {
+            request.onAttemptFailed(this, AttemptOutcome.BROKEN);
+        }
+        return following.toByteArray();
+    }
+
+    private void onWritten(boolean last) {
+        Result result;
+        synchronized (request) {
+            boolean pastTimeout = clientWrite == ClientWrite.PENDING_PAST_TIMEOUT;
+            clientWrite = ClientWrite.NONE;
+            if (outOfOrder) {
+                if (phase != Phase.ENDED) {
+                    request.onAttemptFailed(this, AttemptOutcome.BROKEN);
+                }
+                return;
+            }
+            if (pastTimeout) {
+                lastHeardMs = proxy.nowMs();
+                if (phase != Phase.ENDED) {
+                    request.armTimer();
+                }
+            }
+            result = resultAfterWrite;
+            resultAfterWrite = null;
+        }
+        if (result != null) {
+            onComplete(result);
+        } else if (!last) {
+            run();
+        }
+    }
+
+    // ---- its end
+
+    @Override
+    public void onComplete(Result result) {
+        Runnable answer = null;
+        synchronized (request) {
+            if (phase == Phase.ENDED) {
+                return;
+            }
+            if (clientWrite != ClientWrite.NONE) {
+                resultAfterWrite = result;
+                return;
+            }
+            long nowMs = proxy.nowMs();
+            if (result.isFailed()) {
+                noteIfForgotten(nowMs);
+                request.onAttemptFailed(this, AttemptOutcome.BROKEN);
+            } else {
+                answer = complete(nowMs);
+            }
+        }
+        if (answer != null) {
+            answer.run();
+        }
+    }
+
+    /** A reused connection that was reset at once had been closed by the engine before: that is no fault of the engine. */
+    private void noteIfForgotten(long nowMs) {
+        boolean reused = connection != null && connection.isReused();
+        if (head == null && reused && nowMs - sentMs < FORGOTTEN_RESET_MS) {
+            firstByteMs = LoadBalancer.STALE_MS;
+            proxy.connections().noteForgotten(connection);
+        }
+    }
+
+    /** The engine's answer has come whole; returns what writes it to the client, null if nothing does. */
+    private Runnable complete(long nowMs) {
+        switch (kind) {
+            case SUCCESS:
+                return buffered != null ? completeBuffered(nowMs) : completeStream(nowMs);
+            case FAILURE:
+                releaseConnection();
+                return request.onEngineFailure(this, nowMs);
+            case NOT_RUN:
+            case MISDIRECTED:
+                releaseConnection();
+                request.onAttemptFailed(this, kind.end().orElseThrow());
+                return null;
+            default:
+                request.onAttemptFailed(this, AttemptOutcome.BROKEN);
+                return null;
+        }
+    }
+
+    private Runnable completeBuffered(long nowMs) {
+        releaseConnection();
+        return request.onAnswered(this, nowMs) ? request.bufferedAnswer(this) : null;
+    }
+
+    private Runnable completeStream(long nowMs) {
+        if (events.hasPartialEvent() || !request.isCommitted()) {
+            request.onAttemptFailed(this, AttemptOutcome.BROKEN);
+            return null;
+        }
+        releaseConnection();
+        return request.onAnswered(this, nowMs) ? request.client()::endStream : null;
+    }
+
+    private void releaseConnection() {
+        proxy.connections().release(connection, head.getHeaders());
+        connection = null;
+    }
+
+    /** Frees what the attempt holds. Afterwards nothing that the engine still sends has any effect. */
+    void end(AttemptOutcome outcome, long nowMs) {
+        phase = Phase.ENDED;
+        proxy.loadBalancer().onAttemptEnded(engine.id(), selection, outcome, firstByteMs, nowMs);
+        if (connection != null) {
+            // closed before the exchange is aborted, so that nothing of it can be sent any more
+            PooledConnection held = connection;
+            connection = null;
+            proxy.connections().discard(held);
+        }
+        if (engineRequest != null && outcome != AttemptOutcome.ANSWERED) {
+            engineRequest.abort(new IOException("attempt over: " + outcome));
+        }
+    }
+
+    // ---- timeouts
+
+    /** True if the attempt may time out by itself now. */
+    boolean hasOwnTimeout() {
+        return scope.hasOwnTimeout() && clientWrite != ClientWrite.PENDING_PAST_TIMEOUT;
+    }
+
+    /** When it times out by itself: a stream by silence, anything else as a whole. */
+    long timeoutAtMs() {
+        return kind != null && isStream() ? lastHeardMs + request.silenceLimitMs() : scope.deadlineMs();
+    }
+
+    /** Its time is over: ends it, or leaves that until the client has taken what is being written. */
+    void onTimeout() {
+        if (clientWrite == ClientWrite.NONE) {
+            request.onAttemptFailed(this, AttemptOutcome.ATTEMPT_TIMEOUT);
+        } else {
+            clientWrite = ClientWrite.PENDING_PAST_TIMEOUT;
+        }
+    }
+
+    private boolean isStream() {
+        return kind == AnswerKind.SUCCESS && request.isStreaming();
+    }
+
+    Attempt scope() {
+        return scope;
+    }
+
+    String instanceId() {
+        return engine.id();
+    }
+
+    boolean wasSent() {
+        return sentMs != NOT_YET;
+    }
+
+    Response head() {
+        return head;
+    }
+
+    byte[] bufferedBody() {
+        return buffered.toByteArray();
+    }
+}
--- a/src/main/java/ringspindle/proxy/Proxy.java
+++ b/src/main/java/ringspindle/proxy/Proxy.java
@@ -5,29 +5,34 @@
 import ringspindle.protocol.Message.LedgerReport;
 import ringspindle.routing.ServingRules;
 
-/** The clients' side of a data node, as the owner of what the node knows sees it. */
+/** The clients' side of a data node, as the owner of what the node knows sees it. Thread safe. */
 public interface Proxy {
-    /** The newest configuration in force here; older ones are ignored. */
-    void config(FleetConfig c);
+    /** Puts a configuration in force here; one that is not newer is ignored. */
+    void updateConfiguration(FleetConfig newer);
 
-    /** The newest serving rules; older ones are ignored. */
-    void rules(ServingRules r);
+    /** Puts serving rules in force here; ones that are not newer are ignored. */
+    void updateRules(ServingRules newer);
 
-    /** What became of this node's actions, and the rules in force here; {@code edge.ledger(life, seq)}. */
-    LedgerReport ledger(long life, long seq);
+    /**
+     * What became of this node's actions, and the rules in force here.
+     *
+     * @param life the incarnation of this node
+     * @param seq the number of the report, which rises
+     */
+    LedgerReport ledgerReport(long life, long seq);
 
-    /** A control node has told all that is in force. */
-    void confirm();
+    /** A control node has told all that is in force: from now on requests are taken. */
+    void markConfirmed();
 
     /** True while new clients are welcome. */
-    boolean ready();
+    boolean isReady();
 
-    /** Asks suspect engines for their health; {@code edge.probe()} on every tick. */
-    void probe();
+    /** Asks ejected engines for their health, as far as that is due. */
+    void probeEngines();
 
-    /** Closes idle connections; {@code edge.tidy()} now and then. */
-    void tidy();
+    /** Closes connections to engines that are idle for too long, or lead to engines that are gone. */
+    void closeIdleConnections();
 
-    /** How many actions ended how; {@code edge.ends().get("COMPLETED")}. */
-    Map<String, Long> ends();
+    /** How many actions have ended how: by state, and by cause if they were cancelled. */
+    Map<String, Long> endCounts();
 }
--- a/src/main/java/ringspindle/proxy/ProxyHandler.java
+++ b/src/main/java/ringspindle/proxy/ProxyHandler.java
@@ -1,9 +1,6 @@
 package ringspindle.proxy;
 
-import static java.nio.charset.StandardCharsets.UTF_8;
-
 import com.google.common.flogger.FluentLogger;
-import java.nio.ByteBuffer;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
@@ -12,369 +9,357 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.LongAdder;
-import org.eclipse.jetty.http.HttpFields;
+import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.http.HttpHeader;
-import org.eclipse.jetty.http.UriCompliance;
-import org.eclipse.jetty.io.ArrayByteBufferPool;
-import org.eclipse.jetty.io.EndPoint;
+import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.server.Handler;
-import org.eclipse.jetty.server.HttpConfiguration;
-import org.eclipse.jetty.server.HttpConnectionFactory;
 import org.eclipse.jetty.server.Request;
 import org.eclipse.jetty.server.Response;
-import org.eclipse.jetty.server.Server;
-import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.BufferUtil;
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
+import org.eclipse.jetty.util.thread.Scheduler;
 import ringspindle.api.Outcome;
 import ringspindle.config.FleetConfig;
 import ringspindle.config.NodeConfig;
 import ringspindle.loadbalancing.LoadBalancer;
 import ringspindle.protocol.Message.LedgerReport;
-import ringspindle.protocol.NodeId;
 import ringspindle.retry.Action;
-import ringspindle.retry.CancelCause;
 import ringspindle.retry.TerminalEvent;
 import ringspindle.routing.RequestLedger;
 import ringspindle.routing.ServingRules;
 import ringspindle.time.MonotonicClock;
 import ringspindle.transport.LifeCycles;
 
-/** The consumers' side of a data node: mappings, flows, readiness. */
+/** The clients' side of a data node: takes requests, matches them to routes, and tells whether the node is ready. */
 public final class ProxyHandler extends Handler.Abstract implements Action.Listener, Proxy {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** The longest request line with header fields that a client may send. */
+    /** The longest request line with header fields that a client may send, in bytes. */
     static final int REQUEST_HEADERS_MAX = 32768;
 
-    private static final int INBOX_MS = 20;
-    /** Ours: about how long a node that has just started takes until it holds what is in force. */
+    private static final String READINESS_PATH = "/ringspindle/readiness";
+    private static final int QUEUE_PERIOD_MS = 20;
+    /** Default: about how long a node that has just started takes until it holds what is in force. */
     private static final int NOT_READY_MS = 1000;
+    /** Requests sent within this of the order to leave may be cut by the node's end; later ones may not. */
+    private static final int LEAVING_GRACE_MS = 2700;
 
     private final NodeConfig node;
-    private final LoadBalancer picker;
-    private final EngineConnectionPool wires;
+    private final LoadBalancer loadBalancer;
+    private final HttpClient engineClient;
+    private final EngineConnectionPool connections;
+    private final EngineRequestFactory engineRequests;
+    private final EngineHealthProber prober;
+    private final ProxyServer server;
     private final MonotonicClock clock;
-    private final org.eclipse.jetty.util.thread.Scheduler beats;
+    private final Scheduler scheduler;
     private final QueuedThreadPool pool;
-    private final WaitQueue inbox = new WaitQueue();
-    private final AtomicBoolean inboxBeat = new AtomicBoolean();
-    private final AtomicLong ids = new AtomicLong();
+    private final WaitQueue queue = new WaitQueue();
+    private final AtomicBoolean queueScheduled = new AtomicBoolean();
+    private final AtomicLong actionIds = new AtomicLong();
     private final LongAdder active = new LongAdder();
-    private final Map<String, LongAdder> ends = new ConcurrentHashMap<>();
+    private final Map<String, LongAdder> endCounts = new ConcurrentHashMap<>();
     private final RequestLedger ledger = new RequestLedger();
     private volatile ServingRules rules;
     private volatile FleetConfig config;
     private volatile boolean confirmed;
-    private volatile boolean leaving;
-    private Server server;
-    private ServerConnector consumers;
-
-    /** {@code new ProxyHandler(node, picker, pool, beats, clock).open()} serves. */
+    private volatile Departure departure;
+
+    /**
+     * That the node leaves.
+     *
+     * @param sinceMs when it was told to, on the steady clock
+     * @param endMs when it closes whatever is still open
+     */
+    private record Departure(long sinceMs, long endMs) {}
+
+    /**
+     * A proxy that does not listen yet.
+     *
+     * @throws Exception if the client to engines cannot start
+     */
     public ProxyHandler(
             NodeConfig node,
-            LoadBalancer picker,
+            LoadBalancer loadBalancer,
             QueuedThreadPool pool,
-            org.eclipse.jetty.util.thread.Scheduler beats,
+            Scheduler scheduler,
             MonotonicClock clock)
             throws Exception {
         this.node = node;
-        this.picker = picker;
+        this.loadBalancer = loadBalancer;
         this.pool = pool;
-        this.beats = beats;
+        this.scheduler = scheduler;
         this.clock = clock;
-        wires = new EngineConnectionPool(pool, beats, clock);
+        engineClient = EngineHttpClient.start(pool, scheduler);
+        connections = new EngineConnectionPool(engineClient, clock);
+        engineRequests = new EngineRequestFactory(engineClient);
+        prober = new EngineHealthProber(engineClient, loadBalancer, clock);
+        server = ProxyServer.create(
+                node.frontend().orElseThrow(), node.readiness().orElse(null), this, pool, scheduler);
     }
 
-    /** Listens; {@code front.open()} once. */
+    /**
+     * Listens; to be called once.
+     *
+     * @throws Exception if a port cannot be opened
+     */
     public void open() throws Exception {
-        server = new Server(pool, beats, new ArrayByteBufferPool(0, 4096, 65536, 256, 2 << 20, 4 << 20));
-        HttpConfiguration http = new HttpConfiguration();
-        http.setSendServerVersion(false);
-        http.setSendDateHeader(false);
-        http.setRequestHeaderSize(REQUEST_HEADERS_MAX);
-        http.setUriCompliance(UriCompliance.UNSAFE);
-        http.setUseInputDirectByteBuffers(false);
-        http.setUseOutputDirectByteBuffers(false);
-        http.setOutputBufferSize(16384);
-        consumers = new ClientEndPoint.Connector(server, pool, beats, new HttpConnectionFactory(http));
-        NodeId at = node.frontend().orElseThrow();
-        consumers.setHost(at.ip());
-        consumers.setPort(at.port());
-        consumers.setIdleTimeout(15000);
-        consumers.setAcceptQueueSize(512);
-        server.addConnector(consumers);
-        if (node.readiness().isPresent()) {
-            ServerConnector c = new ServerConnector(server, pool, beats, null, 0, 1, new HttpConnectionFactory(http));
-            c.setHost(node.readiness().get().ip());
-            c.setPort(node.readiness().get().port());
-            server.addConnector(c);
-        }
-        server.setStopTimeout(0);
-        server.setHandler(this);
         server.start();
     }
 
-    /** The newest configuration in force here; older ones are ignored. */
+    // ---- for the owner of what the node knows
+
     @Override
-    public void config(FleetConfig c) {
-        FleetConfig old = config;
-        if (old == null || c.revision() > old.revision()) {
-            config = c;
-            consumers.setIdleTimeout(c.limits().idleMs());
-            // open connections may rest for as long as the new limit says; what they were promised is not cut short
-            for (EndPoint open : consumers.getConnectedEndPoints()) {
-                open.setIdleTimeout(Math.max(open.getIdleTimeout(), c.limits().idleMs()));
-            }
+    public void updateConfiguration(FleetConfig newer) {
+        FleetConfig current = config;
+        if (current == null || newer.revision() > current.revision()) {
+            config = newer;
+            server.setIdleTimeout(newer.limits().idleMs());
         }
     }
 
     @Override
-    public void rules(ServingRules r) {
-        ServingRules old = rules;
-        if (old == null || r.revision() > old.revision()) {
-            rules = r;
+    public void updateRules(ServingRules newer) {
+        ServingRules current = rules;
+        if (current == null || newer.revision() > current.revision()) {
+            rules = newer;
         }
     }
 
     @Override
-    public LedgerReport ledger(long life, long seq) {
-        ServingRules r = rules;
-        return ledger.report(life, seq, r == null ? 0 : r.revision(), r == null ? 0 : r.digest());
+    public LedgerReport ledgerReport(long life, long seq) {
+        ServingRules current = rules;
+        return ledger.report(
+                life, seq, current == null ? 0 : current.revision(), current == null ? 0 : current.digest());
     }
 
-    /** A control node has told all that is in force; {@code front.confirm()}. */
     @Override
-    public void confirm() {
+    public void markConfirmed() {
         confirmed = true;
     }
 
-    /** True while new consumers are welcome; {@code front.ready()}. */
     @Override
-    public boolean ready() {
-        return confirmed && config != null && !leaving;
+    public boolean isReady() {
+        return confirmed && config != null && !isLeaving();
     }
 
-    /** Turns new consumers away in order; {@code front.leave()}. */
-    public void leave() {
-        leaving = true;
+    @Override
+    public void probeEngines() {
+        prober.probe();
+    }
+
+    @Override
+    public void closeIdleConnections() {
+        connections.closeIdle(loadBalancer.knownEngineIds());
+    }
+
+    @Override
+    public Map<String, Long> endCounts() {
+        Map<String, Long> counts = new TreeMap<>();
+        endCounts.forEach((end, count) -> counts.put(end, count.sum()));
+        return counts;
     }
 
-    /** Stops accepting wires, once consumers had time to hear of it. */
+    // ---- the end of the node
+
+    /**
+     * Sends clients elsewhere in order: each answer ends its connection.
+     *
+     * @param endMs when {@link #close} will come, on the steady clock; what could last longer is soon refused
+     */
+    public void leave(long endMs) {
+        departure = new Departure(clock.nowMs(), endMs);
+    }
+
+    /** Stops accepting connections, once clients had time to hear of it. */
     public void stopAccepting() {
-        consumers.shutdown();
+        server.stopAccepting();
     }
 
-    /** Requests under way; {@code while (front.active() > 0) ...}. */
+    /** Requests under way. */
     public long active() {
         return active.sum();
     }
 
-    /** Ends all. */
+    /** Ends all that is under way. */
     public void close() {
-        LifeCycles.stopQuietly(server);
-        wires.close();
+        server.close();
+        LifeCycles.stopQuietly(engineClient);
     }
 
-    /** Closes idle wires; {@code front.tidy()} now and then. */
-    @Override
-    public void tidy() {
-        wires.tidy(picker.knownEngineIds());
-    }
+    // ---- for requests
 
-    /** Asks suspect engines for their status; {@code front.probe()} on every beat. */
-    @Override
-    public void probe() {
-        for (LoadBalancer.HealthProbe p : picker.dueHealthProbes(clock.nowMs())) {
-            wires.client()
-                    .newRequest(p.address().ip(), p.address().port())
-                    .path(p.healthPath())
-                    .timeout(900, TimeUnit.MILLISECONDS)
-                    .headers(h -> h.put(HttpHeader.CONNECTION, "close"))
-                    .send(r -> {
-                        boolean well = r.isSucceeded()
-                                && r.getResponse().getStatus() == 200
-                                && p.id().equals(r.getResponse().getHeaders().get("Instance-Id"));
-                        int coldMs = 0;
-                        if (r.isSucceeded() && r.getResponse().getHeaders().get("Warmup-Ms") != null) {
-                            coldMs = (int) Double.parseDouble(
-                                    r.getResponse().getHeaders().get("Warmup-Ms"));
-                        }
-                        picker.onHealthProbeResult(p.id(), well, coldMs, clock.nowMs());
-                    });
-        }
+    LoadBalancer loadBalancer() {
+        return loadBalancer;
     }
 
-    // ---- for flows
-
-    LoadBalancer picker() {
-        return picker;
+    EngineConnectionPool connections() {
+        return connections;
     }
 
-    /** The serving rules in force, null while there are none. */
-    ServingRules rules() {
-        return rules;
+    EngineRequestFactory engineRequests() {
+        return engineRequests;
     }
 
     RequestLedger ledger() {
         return ledger;
     }
 
-    EngineConnectionPool wires() {
-        return wires;
-    }
-
     long nowMs() {
         return clock.nowMs();
     }
 
-    boolean leaving() {
-        return leaving;
+    boolean isLeaving() {
+        return departure != null;
     }
 
-    long luck() {
+    long nextRandom() {
         return ThreadLocalRandom.current().nextLong();
     }
 
-    String nextId() {
-        return node.name() + "-" + Long.toString(ids.incrementAndGet(), 36);
+    String nextActionId() {
+        return node.name() + "-" + Long.toString(actionIds.incrementAndGet(), 36);
     }
 
-    org.eclipse.jetty.util.thread.Scheduler.Task schedule(Runnable r, long inMs) {
-        return beats.schedule(() -> pool.execute(r), inMs, TimeUnit.MILLISECONDS);
+    Scheduler.Task schedule(Runnable task, long inMs) {
+        return scheduler.schedule(() -> pool.execute(task), inMs, TimeUnit.MILLISECONDS);
     }
 
-    WaitQueue inbox() {
-        if (inboxBeat.compareAndSet(false, true)) {
-            schedule(this::emptyInbox, INBOX_MS);
+    /** Lets a request try again soon, in the order of priority. */
+    void enqueue(ProxiedRequest request) {
+        if (queueScheduled.compareAndSet(false, true)) {
+            schedule(this::drainQueue, QUEUE_PERIOD_MS);
         }
-        return inbox;
+        queue.add(request);
     }
 
-    private void emptyInbox() {
-        inboxBeat.set(false);
-        inbox.drain().forEach(ProxiedRequest::again);
+    private void drainQueue() {
+        queueScheduled.set(false);
+        queue.drain().forEach(ProxiedRequest::onDequeued);
+    }
+
+    void logOutOfOrder(StreamEvent event, ProxiedRequest request, String engineId) {
+        LOG.atWarning().log(
+                "event out of order: action=%s attempt=%s engine=%s event=%s after=%s",
+                request.actionId(),
+                request.attemptId(),
+                engineId,
+                event.id(),
+                request.position().lastId());
     }
 
     @Override
-    public void onActionEnded(TerminalEvent t) {
+    public void onActionEnded(TerminalEvent event) {
         active.decrement();
-        ledger.onEnded(t);
-        String how = t.state() + (t.cause() == null ? "" : " " + t.cause());
-        ends.computeIfAbsent(how, k -> new LongAdder()).increment();
-        if (t.state() != Action.State.COMPLETED && t.cause() != CancelCause.CLIENT_GONE) {
+        ledger.onEnded(event);
+        String end = event.state() + (event.cause() == null ? "" : " " + event.cause());
+        endCounts.computeIfAbsent(end, key -> new LongAdder()).increment();
+        if (event.state() != Action.State.COMPLETED) {
             LOG.atFine().log(
-                    "action %s %s attempts=%s last=%s committed=%s elapsedMs=%s leftMs=%s",
-                    t.actionId(), how, t.attempts(), t.lastOutcome(), t.responseCommitted(), t.elapsedMs(), t.leftMs());
+                    "action ended: action=%s end=%s attempts=%s last=%s committed=%s elapsedMs=%s leftMs=%s",
+                    event.actionId(),
+                    end,
+                    event.attempts(),
+                    event.lastOutcome(),
+                    event.responseCommitted(),
+                    event.elapsedMs(),
+                    event.leftMs());
         }
     }
 
-    /** How many actions ended how; {@code front.ends().get("COMPLETED")}. */
+    // ---- requests as they come
+
     @Override
-    public Map<String, Long> ends() {
-        Map<String, Long> out = new TreeMap<>();
-        ends.forEach((k, v) -> out.put(k, v.sum()));
-        return out;
-    }
-
-    /** Answers with an outcome of the table. */
-    void say(Response response, Callback callback, Outcome o, long comeBackMs) {
-        response.setStatus(o.status());
-        byte[] out = ("{\"error\":\"" + o.name() + "\"}").getBytes(UTF_8);
-        HttpFields.Mutable h = response.getHeaders();
-        if (o.notRun()) {
-            h.put("Retry-After", Double.toString(Math.max(10, comeBackMs) / 1000.0));
-        }
-        h.put(HttpHeader.CONTENT_TYPE, "application/json");
-        h.put(HttpHeader.CONTENT_LENGTH, out.length);
-        if (leaving) {
-            h.put(HttpHeader.CONNECTION, "close");
+    public boolean handle(Request request, Response response, Callback callback) {
+        ClientResponse client = new ClientResponse(request, response, callback);
+        if (server.isFromClient(request)) {
+            handleClient(request, client);
+        } else if (request.getHttpURI().getPath().equals(READINESS_PATH)) {
+            response.setStatus(isReady() ? HttpStatus.OK_200 : HttpStatus.SERVICE_UNAVAILABLE_503);
+            response.write(true, BufferUtil.EMPTY_BUFFER, callback);
+        } else {
+            client.respond(Outcome.NO_SUCH, 0, isLeaving());
         }
-        response.write(true, ByteBuffer.wrap(out), callback);
+        return true;
     }
 
-    // ---- requests
-
-    @Override
-    public boolean handle(Request request, Response response, Callback callback) {
-        String path = request.getHttpURI().getPath();
-        if (((ServerConnector) request.getConnectionMetaData().getConnector()) != consumers) {
-            if (path.equals("/ringspindle/readiness")) {
-                response.setStatus(ready() ? 200 : 503);
-                response.write(true, BufferUtil.EMPTY_BUFFER, callback);
-            } else {
-                say(response, callback, Outcome.NO_SUCH, 0);
-            }
-            return true;
+    private void handleClient(Request request, ClientResponse client) {
+        long receivedMs = clock.nowMs();
+        FleetConfig current = config;
+        if (current == null || !confirmed) {
+            client.respond(Outcome.NOT_READY, NOT_READY_MS, isLeaving());
+            return;
         }
-        long sinceMs = clock.nowMs();
-        FleetConfig c = config;
-        if (c == null || !confirmed) {
-            say(response, callback, Outcome.NOT_READY, NOT_READY_MS);
-            return true;
+        String host = request.getHeaders().get(HttpHeader.HOST);
+        FleetConfig.Route route = current.find(host, request.getHttpURI().getPath());
+        if (route == null) {
+            client.respond(Outcome.NO_MAPPING, 0, isLeaving());
+            return;
         }
-        FleetConfig.Route m = c.find(request.getHeaders().get(HttpHeader.HOST), path);
-        if (m == null) {
-            say(response, callback, Outcome.NO_MAPPING, 0);
-            return true;
+        String attemptId = request.getHeaders().get(Headers.ATTEMPT_ID);
+        if (attemptId == null || attemptId.isEmpty()) {
+            client.respond(Outcome.MALFORMED, 0, isLeaving());
+            return;
         }
-        String id = request.getHeaders().get("Attempt-Id");
-        if (id == null || id.isEmpty()) {
-            say(response, callback, Outcome.MALFORMED, 0);
-            return true;
+        long timeLimitMs;
+        try {
+            timeLimitMs = timeLimitMs(route, request.getHeaders().get(Headers.DEADLINE_MS));
+        } catch (NumberFormatException notANumber) {
+            client.respond(Outcome.MALFORMED, 0, isLeaving());
+            return;
         }
-        long deadlineMs = m.deadlineMs();
-        String given = request.getHeaders().get("Deadline-Ms");
-        if (given != null) {
-            try {
-                deadlineMs = Math.min(deadlineMs, (long) Double.parseDouble(given.trim()));
-            } catch (NumberFormatException x) {
-                say(response, callback, Outcome.MALFORMED, 0);
-                return true;
-            }
+        if (mayOutliveNode(receivedMs, timeLimitMs)) {
+            client.respond(Outcome.LEAVING, 0, true);
+            return;
         }
-        long heldMs = deadlineMs;
+        readBody(
+                request,
+                client,
+                route,
+                attemptId,
+                receivedMs,
+                timeLimitMs,
+                current.limits().bodyBytes());
+    }
+
+    /** How long a request may take: the lesser of the route's deadline and what the client states, if it does. */
+    private static long timeLimitMs(FleetConfig.Route route, String stated) {
+        return stated == null
+                ? route.deadlineMs()
+                : Math.min(route.deadlineMs(), (long) Double.parseDouble(stated.trim()));
+    }
+
+    private boolean mayOutliveNode(long receivedMs, long timeLimitMs) {
+        Departure leaving = departure;
+        return leaving != null
+                && receivedMs - leaving.sinceMs() >= LEAVING_GRACE_MS
+                && receivedMs + timeLimitMs > leaving.endMs();
+    }
+
+    private void readBody(
+            Request request,
+            ClientResponse client,
+            FleetConfig.Route route,
+            String attemptId,
+            long receivedMs,
+            long timeLimitMs,
+            int bytesMax) {
         new BoundedBody(
                         request,
-                        c.limits().bodyBytes(),
+                        bytesMax,
                         body -> {
                             if (body == null) {
-                                say(response, callback, Outcome.TOO_LARGE, 0);
+                                client.respond(Outcome.TOO_LARGE, 0, isLeaving());
                                 return;
                             }
-                            long nowMs = clock.nowMs();
-                            String service = target(m, id);
-                            picker.onRequestReceived(service, nowMs);
+                            String service = RouteSplit.service(route, attemptId);
+                            loadBalancer.onRequestReceived(service, clock.nowMs());
                             active.increment();
-                            new ProxiedRequest(this, request, response, callback, m, service, id, body, sinceMs, heldMs)
-                                    .begin();
+                            AdmittedRequest admitted = new AdmittedRequest(
+                                    request, body, route, service, attemptId, receivedMs, timeLimitMs, rules);
+                            new ProxiedRequest(this, admitted, client).begin();
                         },
-                        x -> callback.failed(x))
+                        client::breakOff)
                 .run();
-        return true;
-    }
-
-    /** Splits by weight; one try always goes the same way. */
-    private static String target(FleetConfig.Route m, String id) {
-        if (m.targets().size() == 1) {
-            return m.targets().get(0).service();
-        }
-        double sum = 0;
-        for (FleetConfig.Target t : m.targets()) {
-            sum += t.weight();
-        }
-        double at = (com.google.common.hash.Hashing.murmur3_32_fixed()
-                                .hashUnencodedChars(id)
-                                .asInt()
-                        >>> 1)
-                / (double) (1L << 31)
-                * sum;
-        for (FleetConfig.Target t : m.targets()) {
-            at -= t.weight();
-            if (at < 0) {
-                return t.service();
-            }
-        }
-        return m.targets().get(m.targets().size() - 1).service();
     }
 }
--- /dev/null
+++ b/src/main/java/ringspindle/proxy/ProxyServer.java
@@ -0,0 +1,102 @@
+package ringspindle.proxy;
+
+import org.eclipse.jetty.http.UriCompliance;
+import org.eclipse.jetty.io.ArrayByteBufferPool;
+import org.eclipse.jetty.io.EndPoint;
+import org.eclipse.jetty.server.Handler;
+import org.eclipse.jetty.server.HttpConfiguration;
+import org.eclipse.jetty.server.HttpConnectionFactory;
+import org.eclipse.jetty.server.Request;
+import org.eclipse.jetty.server.Server;
+import org.eclipse.jetty.server.ServerConnector;
+import org.eclipse.jetty.util.thread.QueuedThreadPool;
+import org.eclipse.jetty.util.thread.Scheduler;
+import ringspindle.protocol.NodeId;
+import ringspindle.transport.LifeCycles;
+
+/** The listening side of a data node: one port for clients, one where the platform asks for readiness. */
+final class ProxyServer {
+    private static final int IDLE_MS = 15_000;
+    private static final int ACCEPT_QUEUE = 512;
+    private static final int OUTPUT_BUFFER_BYTES = 16_384;
+
+    private final Server server;
+    private final ServerConnector clients;
+
+    private ProxyServer(Server server, ServerConnector clients) {
+        this.server = server;
+        this.clients = clients;
+    }
+
+    /**
+     * A server that does not listen yet.
+     *
+     * @param readiness where the platform asks for readiness, null if nowhere
+     */
+    static ProxyServer create(
+            NodeId address, NodeId readiness, Handler handler, QueuedThreadPool pool, Scheduler scheduler) {
+        // buffers are bounded for a small machine
+        Server server = new Server(pool, scheduler, new ArrayByteBufferPool(0, 4096, 65536, 256, 2 << 20, 4 << 20));
+        HttpConnectionFactory http = new HttpConnectionFactory(httpConfiguration());
+        ServerConnector clients = new ClientEndPoint.Connector(server, pool, scheduler, http);
+        clients.setHost(address.ip());
+        clients.setPort(address.port());
+        clients.setIdleTimeout(IDLE_MS);
+        clients.setAcceptQueueSize(ACCEPT_QUEUE);
+        server.addConnector(clients);
+        if (readiness != null) {
+            ServerConnector platform = new ServerConnector(
+                    server, pool, scheduler, null, 0, 1, new HttpConnectionFactory(httpConfiguration()));
+            platform.setHost(readiness.ip());
+            platform.setPort(readiness.port());
+            server.addConnector(platform);
+        }
+        server.setStopTimeout(0);
+        server.setHandler(handler);
+        return new ProxyServer(server, clients);
+    }
+
+    /**
+     * Listens; to be called once.
+     *
+     * @throws Exception if a port cannot be opened
+     */
+    void start() throws Exception {
+        server.start();
+    }
+
+    private static HttpConfiguration httpConfiguration() {
+        HttpConfiguration http = new HttpConfiguration();
+        http.setSendServerVersion(false);
+        http.setSendDateHeader(false);
+        http.setRequestHeaderSize(ProxyHandler.REQUEST_HEADERS_MAX);
+        http.setUriCompliance(UriCompliance.UNSAFE);
+        http.setUseInputDirectByteBuffers(false);
+        http.setUseOutputDirectByteBuffers(false);
+        http.setOutputBufferSize(OUTPUT_BUFFER_BYTES);
+        return http;
+    }
+
+    /** True if the request came to the clients' port. */
+    boolean isFromClient(Request request) {
+        return request.getConnectionMetaData().getConnector() == clients;
+    }
+
+    /** For how long clients may rest between requests, from now on; what open connections were promised is not cut short. */
+    void setIdleTimeout(int idleMs) {
+        clients.setIdleTimeout(idleMs);
+        for (EndPoint open : clients.getConnectedEndPoints()) {
+            open.setIdleTimeout(Math.max(open.getIdleTimeout(), idleMs));
+        }
+    }
+
+    /** Accepts no further connections; those that stand go on. */
+    void stopAccepting() {
+        clients.shutdown();
+    }
+
+    /** Closes everything. */
+    void close() {
+        LifeCycles.stopQuietly(server);
+    }
+}
--- /dev/null
+++ b/src/main/java/ringspindle/proxy/RouteSplit.java
@@ -0,0 +1,38 @@
+package ringspindle.proxy;
+
+import com.google.common.hash.Hashing;
+import java.util.List;
+import ringspindle.config.FleetConfig;
+
+/** Splits the requests of a route over its services by weight. */
+final class RouteSplit {
+    private static final double HASH_RANGE = 1L << 31;
+
+    private RouteSplit() {}
+
+    /** The service for a request; one attempt id always goes the same way. */
+    static String service(FleetConfig.Route route, String attemptId) {
+        List<FleetConfig.Target> targets = route.targets();
+        if (targets.size() == 1) {
+            return targets.get(0).service();
+        }
+        double totalWeight = 0;
+        for (FleetConfig.Target target : targets) {
+            totalWeight += target.weight();
+        }
+        double remaining = fraction(attemptId) * totalWeight;
+        for (FleetConfig.Target target : targets) {
+            remaining -= target.weight();
+            if (remaining < 0) {
+                return target.service();
+            }
+        }
+        return targets.get(targets.size() - 1).service();
+    }
+
+    /** A number from 0 to below 1, drawn from the id. */
+    private static double fraction(String attemptId) {
+        int hash = Hashing.murmur3_32_fixed().hashUnencodedChars(attemptId).asInt();
+        return (hash >>> 1) / HASH_RANGE;
+    }
+}
--- a/src/main/java/ringspindle/proxy/WaitQueue.java
+++ b/src/main/java/ringspindle/proxy/WaitQueue.java
@@ -5,31 +5,32 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** Requests that wait for room, by rank; the rank counts less the longer one waits, so that none starves. */
+/**
+ * Requests that wait for capacity, by priority. Waiting makes up for priority, so that none starves. Thread safe; guarded
+ * by itself.
+ */
 final class WaitQueue {
-    /** Ours: one rank is worth so much waiting. */
-    private static final int RANK_MS = 250;
+    /** Default: one step of priority is worth so much waiting. */
+    private static final int PRIORITY_STEP_MS = 250;
 
-    private record Slot(ProxiedRequest flow, long key, long order) {}
+    private record Entry(ProxiedRequest request, long rankMs, long arrival) {}
 
-    private final PriorityQueue<Slot> slots =
-            new PriorityQueue<>(Comparator.comparingLong(Slot::key).thenComparingLong(Slot::order));
-    private long order;
+    private final PriorityQueue<Entry> entries =
+            new PriorityQueue<>(Comparator.comparingLong(Entry::rankMs).thenComparingLong(Entry::arrival));
+    private long arrivals;
 
-    synchronized void add(ProxiedRequest f, long nowMs) {
-        slots.add(new Slot(f, f.sinceMs() + (long) f.rank() * RANK_MS, order++));
+    synchronized void add(ProxiedRequest request) {
+        AdmittedRequest admitted = request.admitted();
+        long rankMs = admitted.receivedMs() + (long) admitted.priority() * PRIORITY_STEP_MS;
+        entries.add(new Entry(request, rankMs, arrivals++));
     }
 
-    synchronized boolean isEmpty() {
-        return slots.isEmpty();
-    }
-
-    /** All that wait, in the order in which they may try. */
+    /** Removes all that wait, in the order in which they may try. */
     synchronized List<ProxiedRequest> drain() {
-        List<ProxiedRequest> out = new ArrayList<>(slots.size());
-        while (!slots.isEmpty()) {
-            out.add(slots.poll().flow());
+        List<ProxiedRequest> requests = new ArrayList<>(entries.size());
+        while (!entries.isEmpty()) {
+            requests.add(entries.poll().request());
         }
-        return out;
+        return requests;
     }
 }
--- a/src/test/java/ringspindle/dataplane/HollowDataNode.java
+++ b/src/test/java/ringspindle/dataplane/HollowDataNode.java
@@ -47,12 +47,12 @@
     }
 
     @Override
-    public void config(FleetConfig c) {
+    public void updateConfiguration(FleetConfig c) {
         revision = c.revision();
     }
 
     @Override
-    public void rules(ServingRules r) {
+    public void updateRules(ServingRules r) {
         if (r.revision() > rules) {
             rules = r.revision();
             digest = r.digest();
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public LedgerReport ledger(long life, long seq) {
+    public LedgerReport ledgerReport(long life, long seq) {
         return new RequestLedger().report(life, seq, rules, digest);
     }
 
@@ -70,27 +70,27 @@
     }
 
     @Override
-    public void confirm() {
+    public void markConfirmed() {
         confirmed = true;
     }
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
         return confirmed && revision >= 0;
     }
 
     @Override
-    public void probe() {
+    public void probeEngines() {
         picker.dueHealthProbes(0);
     }
 
     @Override
-    public void tidy() {
+    public void closeIdleConnections() {
         // no connections here
     }
 
     @Override
-    public Map<String, Long> ends() {
+    public Map<String, Long> endCounts() {
         return Map.of();
     }
 }
--- a/src/test/java/ringspindle/proxy/BrokenStreamTest.java
+++ b/src/test/java/ringspindle/proxy/BrokenStreamTest.java
@@ -126,4 +126,45 @@
         assertTrue(looksComplete(got), got);
         assertEquals("0123", got.replaceAll("(?s)^.*?\r\n\r\n", "").replaceAll("(?s)[^<]*<(\\d+)>[^<]*", "$1"));
     }
+
+    /** A resumed run with other weights than the stream had is not joined to it. */
+    @Test
+    void resumedRunWithOtherWeightsIsNotPassedOn() throws Exception {
+        StandInEngine.Script script = (seen, out, socket) -> {
+            boolean first = seen.heads().get("Last-Event-Id") == null;
+            String head = StandInEngine.streamHead(seen);
+            if (first) {
+                StandInEngine.say(out, head + StandInEngine.chunk(event(0) + event(2)) + END_OF_CHUNKS);
+            } else {
+                String others = head.replace("Weight-Versions: 1", "Weight-Versions: 2");
+                StandInEngine.say(out, others + StandInEngine.chunk(event(1)) + END_OF_CHUNKS);
+            }
+        };
+        engine("i-1", "z", script);
+        engine("i-2", "z", script);
+        String got = ok("/long/x", "t1");
+        assertTrue(got.contains("<0>"), got);
+        assertFalse(got.contains("<1>") || looksComplete(got), got);
+    }
+
+    /** Behind an event without an id nobody knows where another engine would have to go on. */
+    @Test
+    void streamIsNotResumedBehindAnEventWithoutAnId() throws Exception {
+        StandInEngine.Script script = (seen, out, socket) -> {
+            if (seen.heads().get("Last-Event-Id") == null) {
+                StandInEngine.say(
+                        out,
+                        StandInEngine.streamHead(seen)
+                                + StandInEngine.chunk(event(0) + "data: <unnumbered>\n\n" + event(2))
+                                + END_OF_CHUNKS);
+            } else {
+                StandInEngine.say(out, StandInEngine.streamHead(seen) + StandInEngine.chunk(event(1)) + END_OF_CHUNKS);
+            }
+        };
+        engine("i-1", "z", script);
+        engine("i-2", "z", script);
+        String got = ok("/long/x", "t1");
+        assertTrue(got.contains("<unnumbered>"), got);
+        assertFalse(got.contains("<1>") || looksComplete(got), got);
+    }
 }
--- a/src/test/java/ringspindle/proxy/EngineAnswersTest.java
+++ b/src/test/java/ringspindle/proxy/EngineAnswersTest.java
@@ -262,7 +262,7 @@
             throw new IOException("break off");
         });
         if (leaving) {
-            front.leave();
+            front.leave(Long.MAX_VALUE);
         }
         String head = "HTTP/1.1 200";
         String broken = all(send("/short/x", "t1", leaving ? "" : CLOSE, ""));
--- a/src/test/java/ringspindle/proxy/EngineConnectionPoolTest.java
+++ b/src/test/java/ringspindle/proxy/EngineConnectionPoolTest.java
@@ -11,8 +11,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 import org.eclipse.jetty.client.BytesRequestContent;
+import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.client.Request;
 import org.eclipse.jetty.client.Result;
+import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.io.ByteBufferPool;
 import org.eclipse.jetty.io.RetainableByteBuffer;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
@@ -27,9 +29,12 @@
 /** Connections to engines: what is given up is never sent, and what saw anything unexpected carries nothing more. */
 @Timeout(60)
 class EngineConnectionPoolTest {
+    private static final HttpFields KEPT = HttpFields.build().put("Keep-Alive", "timeout=30");
+
     private QueuedThreadPool pool;
     private ScheduledExecutorScheduler scheduler;
-    private EngineConnectionPool wires;
+    private HttpClient client;
+    private EngineConnectionPool connections;
     private StandInEngine engine;
     private final BlockingQueue<Socket> sockets = new LinkedBlockingQueue<>();
 
@@ -41,7 +46,8 @@
         pool.start();
         scheduler = new ScheduledExecutorScheduler("ticks", true, 1);
         scheduler.start();
-        wires = new EngineConnectionPool(pool, scheduler, MonotonicClock.system());
+        client = EngineHttpClient.start(pool, scheduler);
+        connections = new EngineConnectionPool(client, MonotonicClock.system());
         engine = new StandInEngine((seen, out, socket) -> {
             sockets.add(socket);
             StandInEngine.whole(200, "hello", "").run(seen, out, socket);
@@ -50,46 +56,45 @@
 
     @AfterEach
     void close() throws Exception {
-        wires.close();
+        client.stop();
         engine.close();
         pool.stop();
         scheduler.stop();
     }
 
-    private EngineConnectionPool.Wire take() {
-        CompletableFuture<EngineConnectionPool.Wire> taken = new CompletableFuture<>();
-        wires.take("i-1", NodeId.of(engine.address()), 1, true, new EngineConnectionPool.Ready() {
+    private PooledConnection acquire() {
+        CompletableFuture<PooledConnection> taken = new CompletableFuture<>();
+        connections.acquire("i-1", NodeId.of(engine.address()), 1, true, new EngineConnectionPool.Acquisition() {
             @Override
-            public void up(EngineConnectionPool.Wire wire) {
-                taken.complete(wire);
+            public void acquired(PooledConnection connection) {
+                taken.complete(connection);
             }
 
             @Override
-            public void failed(boolean full) {
-                taken.completeExceptionally(new AssertionError(full ? "full" : "no connection"));
+            public void failed(EngineConnectionPool.Failure failure) {
+                taken.completeExceptionally(new AssertionError(failure.toString()));
             }
         });
         return taken.join();
     }
 
     private Request request() {
-        return wires.client()
-                .newRequest("http://" + engine.address() + "/x")
+        return client.newRequest("http://" + engine.address() + "/x")
                 .method("POST")
                 .headers(h -> h.put("Attempt-Id", "t1"))
                 .body(new BytesRequestContent(new byte[100_000]));
     }
 
-    private static CompletableFuture<Result> send(EngineConnectionPool.Wire wire, Request request) {
+    private static CompletableFuture<Result> send(PooledConnection connection, Request request) {
         CompletableFuture<Result> result = new CompletableFuture<>();
-        wire.connection.send(request, result::complete);
+        connection.connection().send(request, result::complete);
         return result;
     }
 
     /** Jetty's receiver may touch a buffer after it has given it back, so no other connection may ever get it. */
     @Test
     void noBufferIsSharedBetweenConnections() {
-        ByteBufferPool buffers = wires.client().getByteBufferPool();
+        ByteBufferPool buffers = client.getByteBufferPool();
         RetainableByteBuffer first = buffers.acquire(4096, false);
         byte[] array = first.getByteBuffer().array();
         first.release();
@@ -98,67 +103,67 @@
 
     @Test
     void connectionIsKeptAfterAWholeAnswer() {
-        EngineConnectionPool.Wire first = take();
+        PooledConnection first = acquire();
         assertTrue(send(first, request()).join().isSucceeded());
-        wires.give(first, 30);
-        assertSame(first, take());
+        connections.release(first, KEPT);
+        assertSame(first, acquire());
     }
 
     /** The attempt may be given up between the choice of its connection and the send. */
     @Test
     void whatWasGivenUpBeforeTheSendIsNeverSent() {
-        EngineConnectionPool.Wire wire = take();
+        PooledConnection connection = acquire();
         Request request = request();
-        wires.drop(wire);
+        connections.discard(connection);
         request.abort(new IllegalStateException("given up"));
-        assertTrue(send(wire, request).join().isFailed());
-        assertTrue(send(take(), request()).join().isSucceeded());
+        assertTrue(send(connection, request).join().isFailed());
+        assertTrue(send(acquire(), request()).join().isSucceeded());
         assertEquals(1, engine.seen.size());
     }
 
     /** Half an answer that nobody asked for, on a connection at rest. */
     @Test
     void connectionThatSpeaksAtRestCarriesNothingMore() throws Exception {
-        EngineConnectionPool.Wire first = take();
+        PooledConnection first = acquire();
         assertTrue(send(first, request()).join().isSucceeded());
-        wires.give(first, 30);
-        long had = first.connection.getBytesIn();
+        connections.release(first, KEPT);
+        long had = first.connection().getBytesIn();
         StandInEngine.say(sockets.take().getOutputStream(), "HTTP/1.1 200 OK\r\nAttempt-Id: t");
-        while (first.connection.getBytesIn() == had) {
+        while (first.connection().getBytesIn() == had) {
             Thread.onSpinWait();
         }
-        assertNotSame(first, take());
-        assertTrue(first.connection.isClosed());
+        assertNotSame(first, acquire());
+        assertTrue(first.connection().isClosed());
     }
 
     /** One connection may be open: an unused one given back is counted once, and used again if it is new. */
     @Test
     void unusedConnectionIsCountedOnce() {
-        EngineConnectionPool.Wire fresh = take();
-        wires.giveUnused(fresh);
-        EngineConnectionPool.Wire again = take();
+        PooledConnection fresh = acquire();
+        connections.releaseUnused(fresh);
+        PooledConnection again = acquire();
         assertSame(fresh, again);
-        wires.giveUnused(again);
-        assertTrue(again.connection.isClosed(), "how long it rested is not known any more");
-        EngineConnectionPool.Wire other = take();
+        connections.releaseUnused(again);
+        assertTrue(again.connection().isClosed(), "how long it rested is not known any more");
+        PooledConnection other = acquire();
         CompletableFuture<Boolean> full = new CompletableFuture<>();
-        wires.take("i-1", NodeId.of(engine.address()), 1, true, new EngineConnectionPool.Ready() {
+        connections.acquire("i-1", NodeId.of(engine.address()), 1, true, new EngineConnectionPool.Acquisition() {
             @Override
-            public void up(EngineConnectionPool.Wire wire) {
+            public void acquired(PooledConnection connection) {
                 full.complete(false);
             }
 
             @Override
-            public void failed(boolean noneFree) {
-                full.complete(noneFree);
+            public void failed(EngineConnectionPool.Failure failure) {
+                full.complete(failure == EngineConnectionPool.Failure.LIMIT_REACHED);
             }
         });
         assertTrue(full.join(), "more connections than allowed");
-        assertFalse(other.connection.isClosed());
+        assertFalse(other.connection().isClosed());
     }
 
     @Test
     void silenceAloneEndsNoRequest() {
-        assertEquals(0, wires.client().getIdleTimeout());
+        assertEquals(0, client.getIdleTimeout());
     }
 }
--- a/src/test/java/ringspindle/proxy/LimitsTest.java
+++ b/src/test/java/ringspindle/proxy/LimitsTest.java
@@ -138,9 +138,29 @@
                 Thread.onSpinWait();
             }
             assertEquals(0, e.seen.size(), "taken up at the engine again though the client held it up");
-            assertEquals(1L, front.ends().get("CANCELED OVERALL_DEADLINE"));
+            assertEquals(1L, front.endCounts().get("CANCELED OVERALL_DEADLINE"));
             assertTrue(scheduled.sum() < 100, scheduled + " timers");
             assertTrue(s.isConnected());
         }
     }
+
+    /** A node that leaves takes no more what may last longer than it does itself, but for those sent right after its order. */
+    @Test
+    void requestThatMayOutliveALeavingNodeIsRefused() throws Exception {
+        StandInEngine e = engine("i-1", "z", StandInEngine.whole(200, "hello", ""));
+        front.leave(clock.nowMs() + 7300);
+        assertTrue(ok("/once/x", "t1").startsWith("HTTP/1.1 200"));
+        onMs += 5500;
+        String refused = all(send("/once/x", "t2", "", ""));
+        assertTrue(refused.startsWith("HTTP/1.1 503") && refused.contains("Retry-After"), refused);
+        assertTrue(refused.contains("Connection: close"), refused);
+        Socket client = new Socket("127.0.0.1", port);
+        StandInEngine.say(
+                client.getOutputStream(),
+                "POST /once/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: t3\r\nDeadline-Ms: 900\r\n"
+                        + "Content-Length: 0\r\n\r\n");
+        String served = all(client);
+        assertTrue(served.startsWith("HTTP/1.1 200"), served);
+        assertEquals(2, e.seen.size());
+    }
 }
--- a/src/test/java/ringspindle/proxy/ProxyFixture.java
+++ b/src/test/java/ringspindle/proxy/ProxyFixture.java
@@ -85,7 +85,7 @@
         front = new ProxyHandler(node, picker, pool, beats, clock);
         front.open();
         config(3, "");
-        front.confirm();
+        front.markConfirmed();
         picker.updateLease(new Lease(1, 1, 60_000), clock.nowMs());
     }
 
@@ -101,7 +101,7 @@
                 + more + "}";
         FleetConfig c = ((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
         picker.updateConfiguration(c);
-        front.config(c);
+        front.updateConfiguration(c);
     }
 
     static String route(
--- a/src/test/java/ringspindle/proxy/ProxyHandlerTest.java
+++ b/src/test/java/ringspindle/proxy/ProxyHandlerTest.java
@@ -92,7 +92,7 @@
         s.close();
         assertEquals("closed", e.closed.poll(10, TimeUnit.SECONDS), "the engine's wire stays open");
         assertTrue(all(send("/card/x", "t2", "Connection: close\r\n", "")).startsWith("HTTP/1.1 200"));
-        assertEquals(1L, front.ends().get("CANCELED CLIENT_GONE"));
+        assertEquals(1L, front.endCounts().get("CANCELED CLIENT_GONE"));
     }
 
     @Test
@@ -369,12 +369,12 @@
         engine("i-3", "z", StandInEngine.whole(200, "hello", ""));
         for (int i = 0; i < 40; i++) {
             ok("/card/x", "t" + i);
-            front.probe();
+            front.probeEngines();
         }
         int early = grey.seen.size();
         for (int i = 40; i < 120; i++) {
             ok("/card/x", "t" + i);
-            front.probe();
+            front.probeEngines();
         }
         int late = grey.seen.size() - early;
         assertTrue(late <= 12, "of 80 requests " + late + " went to an engine that fails them all");
@@ -385,7 +385,7 @@
     }
 
     private LedgerRow row(String cls) {
-        return front.ledger(1, 1).rows().stream()
+        return front.ledgerReport(1, 1).rows().stream()
                 .filter(r -> r.cls().equals(cls))
                 .findFirst()
                 .orElseThrow();
@@ -397,14 +397,14 @@
             StandInEngine.say(
                     out, StandInEngine.streamHead(seen) + StandInEngine.chunk("id: 0\ndata: x\n\n") + "0\r\n\r\n");
         });
-        front.rules(
+        front.updateRules(
                 rules(
                         "{\"revision\":5,\"rules\":[{\"name\":\"q\",\"match\":{\"route\":\"short\"},\"class\":{\"rank\":3}}]}"));
-        front.rules(rules("{\"revision\":4,\"default\":{\"class\":{\"rank\":9}}}"));
+        front.updateRules(rules("{\"revision\":4,\"default\":{\"class\":{\"rank\":9}}}"));
         ok("/short/x", "t1");
         assertEquals("3", e.seen.take().heads().get("Request-Urgency"));
         assertEquals(5, row("q").revision());
-        assertEquals(5, front.ledger(1, 1).revision());
+        assertEquals(5, front.ledgerReport(1, 1).revision());
     }
 
     /** One action, one revision: what waits when the rules change goes on under those it was admitted with. */
@@ -415,10 +415,10 @@
             hold.await();
             StandInEngine.whole(200, "hello", "").run(seen, out, socket);
         });
-        front.rules(rules("{\"revision\":1,\"default\":{\"class\":{\"rank\":1}}}"));
+        front.updateRules(rules("{\"revision\":1,\"default\":{\"class\":{\"rank\":1}}}"));
         Socket first = send("/card/x", "t1", "Connection: close\r\n", "");
         e.seen.take();
-        front.rules(rules("{\"revision\":2,\"rules\":[{\"name\":\"cards\",\"match\":{\"route\":\"card\"}}]}"));
+        front.updateRules(rules("{\"revision\":2,\"rules\":[{\"name\":\"cards\",\"match\":{\"route\":\"card\"}}]}"));
         Socket second = send("/card/x", "t2", "Connection: close\r\n", "");
         e.seen.take();
         hold.countDown();
@@ -443,7 +443,7 @@
             StandInEngine.say(
                     out, StandInEngine.streamHead(seen) + StandInEngine.chunk("id: 0\ndata: x\n\n") + "0\r\n\r\n");
         });
-        front.rules(
+        front.updateRules(
                 rules(
                         "{\"revision\":1,\"rules\":[{\"name\":\"digests\",\"match\":{\"prompt\":{\"from\":5000}},"
                                 + "\"class\":{\"rank\":2,\"waitMs\":2000}}],\"default\":{\"class\":{\"rank\":0,\"share\":0.75,\"waitMs\":100}}}"));
@@ -464,7 +464,7 @@
             all(s);
         }
         assertEquals(6, row("digests").admitted());
-        assertEquals(Set.of(), RequestLedger.violations(front.ledger(1, 1)));
+        assertEquals(Set.of(), RequestLedger.violations(front.ledgerReport(1, 1)));
     }
 
     /** The ledger against what the stand-in engines and clients counted themselves. */
@@ -502,7 +502,7 @@
         assertEquals(refused, r.givenUp());
         assertEquals(arrived, r.sent());
         assertEquals(0, r.inProgress());
-        assertEquals(Set.of(), RequestLedger.violations(front.ledger(1, 1)));
+        assertEquals(Set.of(), RequestLedger.violations(front.ledgerReport(1, 1)));
         Map<String, Integer> runs = new HashMap<>();
         good.seen.forEach(x -> runs.merge(x.heads().get("Attempt-Id"), 1, Integer::sum));
         assertTrue(runs.values().stream().allMatch(k -> k == 1), "doubled: " + runs);
