--- a/src/main/java/ringspindle/Main.java
+++ b/src/main/java/ringspindle/Main.java
@@ -19,6 +19,7 @@
 import ringspindle.controlplane.ControlPlane;
 import ringspindle.dataplane.DataPlane;
 import ringspindle.logging.JsonLogFormatter;
+import ringspindle.logging.LogField;
 import sun.misc.Signal;
 
 /** The program: {@code data-plane}, {@code control-plane}, and the operator's command line. */
@@ -158,8 +159,9 @@
     private static void reload(Settings settings, Path file) {
         Settings.Reload reload = settings.reload(NodeConfig.read(file));
         if (reload.problems().isEmpty()) {
-            LOG.atInfo().log(
-                    "settings read again; taken over: %s; after a restart: %s", reload.taken(), reload.restart());
+            LOG.atInfo()
+                    .with(LogField.SETTINGS, reload.taken())
+                    .log("settings read again and in force; after a restart: %s", reload.restart());
         }
         reload.problems().forEach(error -> LOG.atWarning().log("settings, kept as they were: %s", error.text()));
     }
--- a/src/main/java/ringspindle/controlplane/ControlPlane.java
+++ b/src/main/java/ringspindle/controlplane/ControlPlane.java
@@ -11,6 +11,7 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Settings;
+import ringspindle.logging.LogField;
 import ringspindle.protocol.NodeId;
 import ringspindle.transport.LifeCycles;
 import ringspindle.transport.NodeEnvironment;
@@ -63,10 +64,10 @@
         control.start();
         PeriodicTask.start(control::tick, beats, ControlNode.TICK_MS);
         server.start();
-        LOG.atInfo().log("control plane %s serves", config.name());
+        LOG.atInfo().with(LogField.NODE, config.name()).log("control plane serves");
         term.await();
         control.leave();
-        LOG.atInfo().log("control plane %s leaves", config.name());
+        LOG.atInfo().with(LogField.NODE, config.name()).log("control plane shuts down");
         // peers and data nodes hear of it with the next heartbeats; calls under way get their answers; the others take
         // over
         for (int ms = 0; ms < LEAVE_MOST_MS && (ms < LEAVE_LEAST_MS || !control.handedOver()); ms += LEAVE_STEP_MS) {
--- a/src/main/java/ringspindle/controlplane/FleetFacts.java
+++ b/src/main/java/ringspindle/controlplane/FleetFacts.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import ringspindle.config.NodeConfig;
 import ringspindle.gossip.FactStore;
+import ringspindle.logging.LogField;
 import ringspindle.protocol.Codec;
 import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message.Engine;
@@ -127,7 +128,9 @@
     /** Engines of this region that fell silent or are heard again become facts. */
     void judgeEngines(long nowMs) {
         for (EnginePresence.Change change : presence.judge(this::inThisRegion, nowMs)) {
-            LOG.atInfo().log("engine %s %s", change.id(), change.silent() ? "is silent" : "is heard again");
+            LOG.atInfo()
+                    .with(LogField.ENGINE, change.id())
+                    .log(change.silent() ? "engine is silent" : "engine is heard again");
             merge(List.of(silence(change.id(), change.seq(), change.silent())));
         }
         for (String id : presence.forget(FORGET_MS, nowMs)) {
--- a/src/main/java/ringspindle/controlplane/InstanceResource.java
+++ b/src/main/java/ringspindle/controlplane/InstanceResource.java
@@ -9,6 +9,7 @@
 import ringspindle.api.Outcome;
 import ringspindle.config.FleetConfig;
 import ringspindle.config.Validated;
+import ringspindle.logging.LogField;
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.NodeId;
 import ringspindle.replication.CallKind;
@@ -61,7 +62,10 @@
             registration = registration(json.value());
             taken = node.engines().heartbeat(id, registration.engine(), registration.sequence());
         } catch (RuntimeException unreadable) {
-            LOG.atInfo().log("engine %s registers badly: %s", id, unreadable);
+            LOG.atInfo()
+                    .with(LogField.ENGINE, id)
+                    .with(LogField.REASON, unreadable)
+                    .log("heartbeat of an engine cannot be read");
             exchange.respond(Outcome.MALFORMED);
             return;
         }
--- a/src/main/java/ringspindle/controlplane/LoadAggregator.java
+++ b/src/main/java/ringspindle/controlplane/LoadAggregator.java
@@ -7,6 +7,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import ringspindle.config.NodeConfig;
+import ringspindle.logging.LogField;
 import ringspindle.membership.SessionTable;
 import ringspindle.protocol.Message.Hello;
 import ringspindle.protocol.Message.Load;
@@ -81,8 +82,11 @@
         ReportCollector collector = peer.hello().kind() == NodeKind.DATA ? sources : peers;
         ReportVerdict verdict = collector.take(from, report, nowMs);
         if (verdict.refused()) {
-            LOG.atWarning().log(
-                    "report of %s is %s, %s so far", peer.hello().name(), verdict, collector.count(verdict));
+            LOG.atWarning()
+                    .with(LogField.NODE, peer.hello().name())
+                    .with(LogField.REASON, verdict)
+                    .with(LogField.COUNT, collector.count(verdict))
+                    .log("load report rejected");
             return;
         }
         if (verdict == ReportVerdict.NEWEST && peer.hello().kind() == NodeKind.CONTROL) {
--- a/src/main/java/ringspindle/controlplane/ReplicationDriver.java
+++ b/src/main/java/ringspindle/controlplane/ReplicationDriver.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import ringspindle.api.Outcome;
 import ringspindle.consensus.Connectivity;
+import ringspindle.logging.LogField;
 import ringspindle.protocol.Message;
 import ringspindle.protocol.Message.State;
 import ringspindle.protocol.Message.View;
@@ -216,7 +217,11 @@
     }
 
     private void logView(View view) {
-        LOG.atInfo().log("view %s chain %s voters %s", view.epoch(), view.chain(), view.voters());
+        LOG.atInfo()
+                .with(LogField.EPOCH, view.epoch())
+                .with(LogField.CHAIN, view.chain())
+                .with(LogField.VOTERS, view.voters())
+                .log("view in force");
         int losses = context.config().lossesBorne();
         if (view.voters().size() < votersWanted(losses)) {
             LOG.atWarning().log(
--- a/src/main/java/ringspindle/controlplane/RolloutController.java
+++ b/src/main/java/ringspindle/controlplane/RolloutController.java
@@ -9,6 +9,7 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
+import ringspindle.logging.LogField;
 import ringspindle.replication.Rollout;
 import ringspindle.rollout.RolloutPlanner;
 
@@ -68,7 +69,11 @@
     }
 
     private void submit(String service, RolloutPlanner.Order order, long epoch) {
-        LOG.atInfo().log("roll-out of %s: %s %s %s", service, order.order(), order.id(), order.cause());
+        LOG.atInfo()
+                .with(LogField.SERVICE, service)
+                .with(LogField.ENGINE, order.id())
+                .with(LogField.REASON, order.cause())
+                .log("roll-out order: %s", order.order());
         String body = Json.createObjectBuilder()
                 .add("order", order.order())
                 .add("id", order.id())
--- a/src/main/java/ringspindle/dataplane/DataPlane.java
+++ b/src/main/java/ringspindle/dataplane/DataPlane.java
@@ -7,6 +7,7 @@
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Settings;
 import ringspindle.loadbalancing.LoadBalancer;
+import ringspindle.logging.LogField;
 import ringspindle.proxy.ProxyHandler;
 import ringspindle.time.MonotonicClock;
 import ringspindle.transport.NodeEnvironment;
@@ -49,12 +50,15 @@
         node.start();
         PeriodicTask.start(node::tick, scheduler, DataNode.TICK_MS);
         proxy.open();
-        LOG.atInfo().log("data plane %s serves", config.name());
+        LOG.atInfo().with(LogField.NODE, config.name()).log("data plane serves");
         term.await();
         long endMs = clock.nowMs() + (long) (settings.now().graceS() * 1000) - STOP_MS;
         proxy.leave(endMs);
         node.leave();
-        LOG.atInfo().log("data plane %s leaves, %s under way", config.name(), proxy.active());
+        LOG.atInfo()
+                .with(LogField.NODE, config.name())
+                .with(LogField.COUNT, proxy.active())
+                .log("data plane shuts down with requests in flight");
         // clients hold addresses for a while; what still comes is served
         Thread.sleep(STILL_ADDRESSED_MS);
         proxy.stopAccepting();
--- a/src/main/java/ringspindle/dataplane/FactApplier.java
+++ b/src/main/java/ringspindle/dataplane/FactApplier.java
@@ -8,6 +8,7 @@
 import ringspindle.config.FleetConfig;
 import ringspindle.config.Validated;
 import ringspindle.loadbalancing.LoadBalancer;
+import ringspindle.logging.LogField;
 import ringspindle.protocol.Codec;
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.Message.Fact;
@@ -71,16 +72,16 @@
         if (FleetConfig.read(FleetConfig.unpack(fact.value())) instanceof Validated.Valid<FleetConfig> valid) {
             loadBalancer.updateConfiguration(valid.value());
             proxy.updateConfiguration(valid.value());
-            LOG.atInfo().log("configuration %s in force", valid.value().revision());
+            LOG.atInfo().with(LogField.REVISION, valid.value().revision()).log("configuration in force");
         } else {
-            LOG.atSevere().log("configuration %s cannot be read here", fact.version());
+            LOG.atSevere().with(LogField.REVISION, fact.version()).log("configuration cannot be read here");
         }
     }
 
     private void applyRules(Fact fact) {
         if (ServingRules.read(fact.value()) instanceof Validated.Valid<ServingRules> valid) {
             proxy.updateRules(valid.value());
-            LOG.atInfo().log("serving rules %s in force", valid.value().revision());
+            LOG.atInfo().with(LogField.REVISION, valid.value().revision()).log("serving rules in force");
         } else {
             LOG.atSevere().log("serving rules of seq %s cannot be read here", fact.version());
         }
--- a/src/main/java/ringspindle/proxy/ProxyHandler.java
+++ b/src/main/java/ringspindle/proxy/ProxyHandler.java
@@ -23,6 +23,7 @@
 import ringspindle.config.FleetConfig;
 import ringspindle.config.NodeConfig;
 import ringspindle.loadbalancing.LoadBalancer;
+import ringspindle.logging.LogField;
 import ringspindle.protocol.Message.LedgerReport;
 import ringspindle.retry.Action;
 import ringspindle.retry.TerminalEvent;
@@ -255,15 +256,15 @@
         String end = event.state() + (event.cause() == null ? "" : " " + event.cause());
         endCounts.computeIfAbsent(end, key -> new LongAdder()).increment();
         if (event.state() != Action.State.COMPLETED) {
-            LOG.atFine().log(
-                    "action ended: action=%s end=%s attempts=%s last=%s committed=%s elapsedMs=%s leftMs=%s",
-                    event.actionId(),
-                    end,
-                    event.attempts(),
-                    event.lastOutcome(),
-                    event.responseCommitted(),
-                    event.elapsedMs(),
-                    event.leftMs());
+            LOG.atFine()
+                    .with(LogField.REQUEST, event.actionId())
+                    .with(LogField.OUTCOME, end)
+                    .with(LogField.ATTEMPTS, event.attempts())
+                    .with(LogField.LAST_ATTEMPT, event.lastOutcome())
+                    .with(LogField.COMMITTED, event.responseCommitted())
+                    .with(LogField.ELAPSED_MS, event.elapsedMs())
+                    .with(LogField.REMAINING_MS, event.leftMs())
+                    .log("request did not complete");
         }
     }
 
--- a/src/test/java/ringspindle/ArchitectureTest.java
+++ b/src/test/java/ringspindle/ArchitectureTest.java
@@ -266,6 +266,7 @@
         String usedPackage = packageOf(used);
         return usedPackage.equals(using)
                 || MAY_USE.get(using).contains(usedPackage)
+                || usedPackage.equals("logging") // the names of fields; every package may log
                 || EXCEPTIONS.contains(using + " -> " + outermost(used).substring(ROOT.length() + 1));
     }
 
