--- a/src/main/java/ringspindle/protocol/Message.java
+++ b/src/main/java/ringspindle/protocol/Message.java
@@ -176,8 +176,24 @@
     /** A mark of the control state: an evacuated zone, an engine that leaves, a roll-out. */
     record Mark(int kind, String key, long version, String value) {}
 
-    /** The whole control state, as in a snapshot. */
-    record State(long lineage, long seq, long revision, List<long[]> past, List<Mark> marks, byte[] config)
+    /**
+     * An order on a document that was taken, so that it is known again when it is sent again.
+     *
+     * @param revision the revision that the order made, -1 if it was on serving rules
+     * @param digest of the order's kind, base and body
+     */
+    record TakenOrder(long revision, long digest) {}
+
+    /**
+     * The whole control state, as in a snapshot.
+     *
+     * @param lineage the epoch of the view that the state stems from
+     * @param seq the number of the last operation in it
+     * @param revision of the configuration
+     * @param past the last orders that were taken, oldest first
+     * @param config the packed configuration, empty before the first
+     */
+    record State(long lineage, long seq, long revision, List<TakenOrder> past, List<Mark> marks, byte[] config)
             implements Message {}
 
     /** A voter's durable consensus state. */
--- a/src/main/java/ringspindle/protocol/ReplicationCodec.java
+++ b/src/main/java/ringspindle/protocol/ReplicationCodec.java
@@ -18,6 +18,7 @@
 import ringspindle.protocol.Message.Mark;
 import ringspindle.protocol.Message.State;
 import ringspindle.protocol.Message.Synced;
+import ringspindle.protocol.Message.TakenOrder;
 import ringspindle.sbe.ConfirmDecoder;
 import ringspindle.sbe.ConfirmEncoder;
 import ringspindle.sbe.ConfirmedDecoder;
@@ -150,7 +151,7 @@
                 .seq(message.seq())
                 .revision(message.revision());
         StateEncoder.PastEncoder past = encoder.pastCount(message.past().size());
-        message.past().forEach(order -> past.next().revision(order[0]).digest(order[1]));
+        message.past().forEach(order -> past.next().revision(order.revision()).digest(order.digest()));
         StateEncoder.MarksEncoder marks = encoder.marksCount(message.marks().size());
         for (Mark mark : message.marks()) {
             marks.next().kind((short) mark.kind()).version(mark.version());
@@ -163,9 +164,9 @@
 
     private static State readState(DirectBuffer buffer, MessageHeaderDecoder header) {
         StateDecoder decoder = new StateDecoder().wrapAndApplyHeader(buffer, 0, header);
-        List<long[]> past = new ArrayList<>();
+        List<TakenOrder> past = new ArrayList<>();
         for (StateDecoder.PastDecoder row : decoder.past()) {
-            past.add(new long[] {row.revision(), row.digest()});
+            past.add(new TakenOrder(row.revision(), row.digest()));
         }
         List<Mark> marks = new ArrayList<>();
         for (StateDecoder.MarksDecoder row : decoder.marks()) {
--- a/src/main/java/ringspindle/replication/ControlState.java
+++ b/src/main/java/ringspindle/replication/ControlState.java
@@ -8,6 +8,7 @@
 import ringspindle.protocol.Message.Op;
 import ringspindle.protocol.Message.Position;
 import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.TakenOrder;
 
 /** What the control state holds, and how a committed operation changes it. Pure: the same on every member. */
 final class ControlState {
@@ -70,18 +71,18 @@
         };
     }
 
-    private static State next(State state, List<long[]> past, List<Mark> marks) {
+    private static State next(State state, List<TakenOrder> past, List<Mark> marks) {
         return new State(state.lineage(), state.seq() + 1, state.revision(), past, marks, state.config());
     }
 
     private static State configured(State state, Op op) {
-        List<long[]> past = TakenOrders.with(state.past(), op.revision(), op.digest());
+        List<TakenOrder> past = TakenOrders.with(state.past(), op.revision(), op.digest());
         return new State(state.lineage(), state.seq() + 1, op.revision(), past, state.marks(), op.body());
     }
 
     private static State ruled(State state, Op op) {
         State marked = marked(state, MarkKind.RULES, RULES_KEY, new String(op.body(), UTF_8));
-        List<long[]> past = TakenOrders.with(state.past(), TakenOrders.NO_REVISION, op.digest());
+        List<TakenOrder> past = TakenOrders.with(state.past(), TakenOrders.NO_REVISION, op.digest());
         return new State(marked.lineage(), marked.seq(), marked.revision(), past, marked.marks(), marked.config());
     }
 
--- a/src/main/java/ringspindle/replication/TakenOrders.java
+++ b/src/main/java/ringspindle/replication/TakenOrders.java
@@ -5,10 +5,11 @@
 import java.util.List;
 import ringspindle.protocol.Message.Call;
 import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.TakenOrder;
 
 /**
  * Orders on configurations and serving rules that the control state remembers, so that one that is sent again is known.
- * {@link State#past} holds them, oldest first, as pairs of revision and digest.
+ * {@link State#past} holds them, oldest first.
  */
 final class TakenOrders {
     /** So many orders are known again when they are sent again. */
@@ -16,9 +17,6 @@
     /** In place of a revision: the order was on serving rules. */
     static final long NO_REVISION = -1;
 
-    private static final int REVISION = 0;
-    private static final int DIGEST = 1;
-
     private TakenOrders() {}
 
     /**
@@ -37,8 +35,8 @@
 
     /** True if an order of that digest was taken and is remembered. */
     static boolean contain(State state, long digest) {
-        for (long[] order : state.past()) {
-            if (order[DIGEST] == digest) {
+        for (TakenOrder order : state.past()) {
+            if (order.digest() == digest) {
                 return true;
             }
         }
@@ -51,18 +49,18 @@
     }
 
     private static long oldestRevision(State state) {
-        for (long[] order : state.past()) {
-            if (order[REVISION] != NO_REVISION) {
-                return order[REVISION];
+        for (TakenOrder order : state.past()) {
+            if (order.revision() != NO_REVISION) {
+                return order.revision();
             }
         }
         return state.revision();
     }
 
     /** What is remembered after one more order. */
-    static List<long[]> with(List<long[]> past, long revision, long digest) {
-        List<long[]> orders = new ArrayList<>(past);
-        orders.add(new long[] {revision, digest});
+    static List<TakenOrder> with(List<TakenOrder> past, long revision, long digest) {
+        List<TakenOrder> orders = new ArrayList<>(past);
+        orders.add(new TakenOrder(revision, digest));
         if (orders.size() > MAX) {
             orders.remove(0);
         }
--- a/src/test/java/ringspindle/controlplane/StoredDataTest.java
+++ b/src/test/java/ringspindle/controlplane/StoredDataTest.java
@@ -27,6 +27,7 @@
 import ringspindle.protocol.Message.Op;
 import ringspindle.protocol.Message.Position;
 import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.TakenOrder;
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.Message.Vote;
 import ringspindle.protocol.NodeId;
@@ -96,10 +97,10 @@
     }
 
     private static void assertState(
-            State state, Position position, long revision, List<long[]> past, List<Mark> marks, String config) {
+            State state, Position position, long revision, List<TakenOrder> past, List<Mark> marks, String config) {
         assertEquals(position, new Position(state.lineage(), state.seq()));
         assertEquals(revision, state.revision());
-        assertArrayEquals(past.toArray(), state.past().toArray());
+        assertEquals(past, state.past());
         assertEquals(marks, state.marks());
         assertEquals(config, new String(FleetConfig.unpack(state.config()), UTF_8));
     }
@@ -127,7 +128,7 @@
                 assertInstanceOf(State.class, records.get(1)),
                 new Position(2, 5),
                 2,
-                List.of(new long[] {1, FIRST_DIGEST}, new long[] {2, SECOND_DIGEST}),
+                List.of(new TakenOrder(1, FIRST_DIGEST), new TakenOrder(2, SECOND_DIGEST)),
                 List.of(
                         new Mark(1, "ahd-1", 2, "on"),
                         new Mark(3, "chat", 3, ROLLOUT),
@@ -158,10 +159,10 @@
                 new Position(2, 10),
                 3,
                 List.of(
-                        new long[] {1, FIRST_DIGEST},
-                        new long[] {2, SECOND_DIGEST},
-                        new long[] {NO_REVISION, RULES_DIGEST},
-                        new long[] {3, PATCH_DIGEST}),
+                        new TakenOrder(1, FIRST_DIGEST),
+                        new TakenOrder(2, SECOND_DIGEST),
+                        new TakenOrder(NO_REVISION, RULES_DIGEST),
+                        new TakenOrder(3, PATCH_DIGEST)),
                 List.of(
                         new Mark(3, "chat", 3, ROLLOUT),
                         new Mark(1, "srt-2", 6, "on"),
--- a/src/test/java/ringspindle/protocol/CodecTest.java
+++ b/src/test/java/ringspindle/protocol/CodecTest.java
@@ -37,6 +37,7 @@
 import ringspindle.protocol.Message.SourceRow;
 import ringspindle.protocol.Message.State;
 import ringspindle.protocol.Message.Synced;
+import ringspindle.protocol.Message.TakenOrder;
 import ringspindle.protocol.Message.TallyRow;
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.Message.Vote;
@@ -89,8 +90,8 @@
         assertEquals("arg", c.arg());
         assertArrayEquals(new byte[] {1, 2}, c.body());
         State s = (State) Codec.decode(Codec.encode(
-                new State(1, 2, 3, List.of(new long[] {4, 5}), List.of(new Mark(1, "z", 6, "on")), new byte[] {7})));
-        assertArrayEquals(new long[] {4, 5}, s.past().get(0));
+                new State(1, 2, 3, List.of(new TakenOrder(4, 5)), List.of(new Mark(1, "z", 6, "on")), new byte[] {7})));
+        assertEquals(List.of(new TakenOrder(4, 5)), s.past());
         assertEquals(List.of(new Mark(1, "z", 6, "on")), s.marks());
         News n = (News) Codec.decode(Codec.encode(new News(true, List.of(new Fact(1, "k", 2, 3, new byte[] {4})))));
         assertEquals("k", n.items().get(0).key());
@@ -160,7 +161,7 @@
         List<Message> messages = new ArrayList<>(all());
         messages.add(new News(true, List.of(new Fact(1, "k", 2, 3, new byte[] {4}))));
         messages.add(
-                new State(1, 2, 3, List.of(new long[] {4, 5}), List.of(new Mark(1, "z", 6, "on")), new byte[] {7}));
+                new State(1, 2, 3, List.of(new TakenOrder(4, 5)), List.of(new Mark(1, "z", 6, "on")), new byte[] {7}));
         for (Message m : messages) {
             byte[] whole = Codec.encode(m);
             for (int at = 0; at < whole.length; at++) {
--- a/src/test/java/ringspindle/protocol/GoldenMessages.java
+++ b/src/test/java/ringspindle/protocol/GoldenMessages.java
@@ -37,6 +37,7 @@
 import ringspindle.protocol.Message.SourceRow;
 import ringspindle.protocol.Message.State;
 import ringspindle.protocol.Message.Synced;
+import ringspindle.protocol.Message.TakenOrder;
 import ringspindle.protocol.Message.TallyRow;
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.Message.Vote;
@@ -141,14 +142,14 @@
                         4,
                         17,
                         2,
-                        List.of(new long[] {1, -5}, new long[] {-1, 7}),
+                        List.of(new TakenOrder(1, -5), new TakenOrder(-1, 7)),
                         List.of(new Mark(1, "ahd-1", 16, "on"), new Mark(3, "chat", 17, "{}")),
                         bytes(40)),
                 new State(
                         MAX,
                         MAX,
                         MAX,
-                        List.of(new long[] {MAX, MAX}),
+                        List.of(new TakenOrder(MAX, MAX)),
                         List.of(new Mark(UINT8_MAX, TEXT, MAX, LONG_TEXT)),
                         bytes(700)),
                 new State(MIN, MIN, MIN, List.of(), List.of(), bytes(0)));
--- a/src/test/java/ringspindle/replication/ModelMonitor.java
+++ b/src/test/java/ringspindle/replication/ModelMonitor.java
@@ -10,6 +10,7 @@
 import ringspindle.protocol.Message;
 import ringspindle.protocol.Message.Mark;
 import ringspindle.protocol.Message.State;
+import ringspindle.protocol.Message.TakenOrder;
 import ringspindle.protocol.Message.View;
 
 /** Checks that hold after every step, over all machines at once. */
@@ -140,8 +141,8 @@
 
     /** True if the order of that revision is part of the state. */
     static boolean holds(State state, long revision) {
-        for (long[] past : state.past()) {
-            if (past[0] == revision) {
+        for (TakenOrder past : state.past()) {
+            if (past.revision() == revision) {
                 return true;
             }
         }
