--- a/src/test/java/ringspindle/proxy/ProxyFixture.java
+++ b/src/test/java/ringspindle/proxy/ProxyFixture.java
@@ -79,7 +79,7 @@
                 "1",
                 "seeds",
                 "127.0.0.1:1"));
-        p.putAll(Map.of("zone.z", "r", "zone.far", "q", "bound.retrySlack", "100", "bound.retryRatio", "0.2"));
+        p.putAll(Map.of("zone.z", "r", "zone.far", "q", "bound.retrySlack", retrySlack(), "bound.retryRatio", "0.2"));
         NodeConfig node = ((Validated.Valid<NodeConfig>) NodeConfig.check(p)).value();
         picker = LoadBalancer.create(node);
         front = new ProxyHandler(node, picker, pool, beats, clock);
@@ -89,6 +89,11 @@
         picker.updateLease(new Lease(1, 1, 60_000), clock.nowMs());
     }
 
+    /** How many further arrivals at a service are allowed beyond its ratio. */
+    String retrySlack() {
+        return "100";
+    }
+
     /** Puts the routes in force under that revision; more is further JSON of the configuration, from its comma on. */
     void config(long revision, String more) {
         String json = "{\"revision\":" + revision + ",\"routes\":["
