--- a/src/test/java/ringspindle/proxy/StreamCutTest.java
+++ b/src/test/java/ringspindle/proxy/StreamCutTest.java
@@ -71,7 +71,7 @@
                 + String.join(",", services) + "]}";
         FleetConfig config = ((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
         picker.updateConfiguration(config);
-        front.config(config);
+        front.updateConfiguration(config);
     }
 
     private static String routeTo(String service, String kind, int attempts, boolean resumable) {
@@ -164,7 +164,7 @@
             } finally {
                 ids.forEach(id -> picker.markDraining(id, true, clock.nowMs()));
                 if (number % 100 == 0) {
-                    front.tidy();
+                    front.closeIdleConnections();
                 }
             }
         }
