--- a/src/main/java/ringspindle/controlplane/ControlPlane.java
+++ b/src/main/java/ringspindle/controlplane/ControlPlane.java
@@ -2,6 +2,8 @@
 
 import com.google.common.flogger.FluentLogger;
 import java.nio.file.Path;
+import java.util.List;
+import java.util.TreeSet;
 import java.util.concurrent.CountDownLatch;
 import org.eclipse.jetty.io.ArrayByteBufferPool;
 import org.eclipse.jetty.server.HttpConfiguration;
@@ -9,6 +11,7 @@
 import org.eclipse.jetty.server.Server;
 import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
+import org.eclipse.jetty.util.thread.Scheduler;
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Settings;
 import ringspindle.logging.LogField;
@@ -30,49 +33,68 @@
     /** How long threads get to end: nobody is served meanwhile, though the port still takes connections. */
     private static final int STOP_MS = 200;
 
+    private static final String DEFAULT_FOLDER = "/tmp/ringspindle";
+    private static final int REQUEST_HEAD_MAX = 16384;
+    private static final int IDLE_MS = 20_000;
+    private static final int ACCEPT_QUEUE = 256;
+
     private ControlPlane() {}
 
-    /** Runs until told to end; {@code ControlPlane.run(settings, term)} then hands over and ends. */
+    /**
+     * Runs until told to end, then hands over and ends.
+     *
+     * @param settings the settings in force, which may change while running
+     * @param term counted down when the node is to end
+     * @throws Exception if stored data cannot be read or ports cannot be opened
+     */
     public static void run(Settings settings, CountDownLatch term) throws Exception {
         NodeConfig config = settings.now();
         Threads threads = Threads.start("cp", 16, 6);
         QueuedThreadPool pool = threads.pool();
         pool.setStopTimeout(STOP_MS);
-        org.eclipse.jetty.util.thread.Scheduler beats = threads.scheduler();
-        EngineReportClient reports = new EngineReportClient(pool, beats);
-        Path folder = Path.of(config.dataPath().isEmpty() ? "/tmp/ringspindle" : config.dataPath());
-        ControlNode control =
+        Scheduler scheduler = threads.scheduler();
+        EngineReportClient reports = new EngineReportClient(pool, scheduler);
+        Path folder = Path.of(config.dataPath().isEmpty() ? DEFAULT_FOLDER : config.dataPath());
+        ControlNode node =
                 new ControlNode(config, NodeEnvironment.real(threads), new DiskStorage(folder, pool), reports);
-        reports.listener(control.engines()::reported);
-        Server server = new Server(pool, beats, new ArrayByteBufferPool(0, 4096, 65536, 64, 2 << 20, 2 << 20));
-        HttpConfiguration http = new HttpConfiguration();
-        http.setSendServerVersion(false);
-        http.setSendDateHeader(false);
-        http.setRequestHeaderSize(16384);
-        for (NodeId at : new java.util.TreeSet<>(java.util.List.of(
-                config.control().orElseThrow(),
-                config.registry().orElse(config.control().orElseThrow())))) {
-            ServerConnector c = new ServerConnector(server, pool, beats, null, 0, 1, new HttpConnectionFactory(http));
-            c.setHost(at.ip());
-            c.setPort(at.port());
-            c.setIdleTimeout(20000);
-            c.setAcceptQueueSize(256);
-            server.addConnector(c);
-        }
-        server.setHandler(new ControlApiHandler(control));
-        settings.listen(control::settings);
-        control.start();
-        PeriodicTask.start(control::tick, beats, ControlNode.TICK_MS);
+        reports.listener(node.engines()::reported);
+        Server server = server(config, pool, scheduler);
+        server.setHandler(new ControlApiHandler(node));
+        settings.listen(node::settings);
+        node.start();
+        PeriodicTask.start(node::tick, scheduler, ControlNode.TICK_MS);
         server.start();
         LOG.atInfo().with(LogField.NODE, config.name()).log("control plane serves");
         term.await();
-        control.leave();
+        node.leave();
         LOG.atInfo().with(LogField.NODE, config.name()).log("control plane shuts down");
-        // peers and data nodes hear of it with the next heartbeats; calls under way get their answers; the others take
-        // over
-        for (int ms = 0; ms < LEAVE_MOST_MS && (ms < LEAVE_LEAST_MS || !control.handedOver()); ms += LEAVE_STEP_MS) {
+        awaitHandover(node);
+        LifeCycles.stopQuietly(server);
+    }
+
+    private static Server server(NodeConfig config, QueuedThreadPool pool, Scheduler scheduler) {
+        Server server = new Server(pool, scheduler, new ArrayByteBufferPool(0, 4096, 65536, 64, 2 << 20, 2 << 20));
+        HttpConfiguration http = new HttpConfiguration();
+        http.setSendServerVersion(false);
+        http.setSendDateHeader(false);
+        http.setRequestHeaderSize(REQUEST_HEAD_MAX);
+        NodeId control = config.control().orElseThrow();
+        for (NodeId address : new TreeSet<>(List.of(control, config.registry().orElse(control)))) {
+            ServerConnector connector =
+                    new ServerConnector(server, pool, scheduler, null, 0, 1, new HttpConnectionFactory(http));
+            connector.setHost(address.ip());
+            connector.setPort(address.port());
+            connector.setIdleTimeout(IDLE_MS);
+            connector.setAcceptQueueSize(ACCEPT_QUEUE);
+            server.addConnector(connector);
+        }
+        return server;
+    }
+
+    /** Peers and data nodes hear of it with the next heartbeats, pending calls get their answers, and others take over. */
+    private static void awaitHandover(ControlNode node) throws InterruptedException {
+        for (int ms = 0; ms < LEAVE_MOST_MS && (ms < LEAVE_LEAST_MS || !node.handedOver()); ms += LEAVE_STEP_MS) {
             Thread.sleep(LEAVE_STEP_MS);
         }
-        LifeCycles.stopQuietly(server);
     }
 }
--- a/src/main/java/ringspindle/controlplane/DataNodeDirectory.java
+++ b/src/main/java/ringspindle/controlplane/DataNodeDirectory.java
@@ -18,12 +18,16 @@
 import ringspindle.protocol.NodeId;
 import ringspindle.protocol.NodeKind;
 
-/** Data nodes as facts: told by the control node that holds the session, and good while that node is in touch. Guarded by its owner. */
+/**
+ * Data nodes as facts: told by the control node that holds the session, and good while that node is in touch. Owns when other
+ * control nodes were last in touch; guarded by the fleet's lock.
+ */
 final class DataNodeDirectory {
-    /** Ours: how long a node's fact holds after it moved, and after the control node that told it is out of touch. */
-    private static final int HOLD_MS = 3000;
+    /** A data node's fact holds for so long after it changed, whoever told it. */
+    private static final int CHANGED_HOLDS_MS = 3000;
+    /** It holds for so long after the control node that told it was last in touch. */
+    private static final int TELLER_LOST_HOLDS_MS = 2000;
 
-    private static final int VIA_MS = 2000;
     private static final int ADDRESSES_MAX = 64;
     /** A data node that was lost counts among those that share the budgets for so long. */
     private static final int LOST_COUNTS_MS = 10_000;
@@ -42,35 +46,43 @@
 
     /** A node's session is told once; told anew if it changes, or if whoever told it is out of touch. */
     void heard(SessionTable.Peer peer, Heartbeat heartbeat) {
-        Fact old = facts.store().get(FactKind.NODE, peer.hello().node().toString());
-        DataNodeFact was = old == null ? null : DataNodeFact.of(old.value());
-        boolean same = was != null
-                && was.flags() == heartbeat.flags()
-                && was.hello().life() == peer.hello().life()
-                && (was.via().equals(me) || sessions.linked(me, was.via()));
+        Fact known = known(peer);
+        DataNodeFact told = known == null ? null : DataNodeFact.of(known.value());
+        boolean same = told != null
+                && told.flags() == heartbeat.flags()
+                && told.hello().life() == peer.hello().life()
+                && (told.via().equals(me) || sessions.linked(me, told.via()));
         if (!same) {
-            facts.merge(List.of(item(peer, heartbeat.flags(), heartbeat.n() * 2)));
+            facts.merge(List.of(fact(peer, heartbeat.flags(), heartbeat.n() * 2)));
         }
     }
 
+    private Fact known(SessionTable.Peer peer) {
+        return facts.store().get(FactKind.NODE, peer.hello().node().toString());
+    }
+
     /** The session of a data node is gone. */
     void closed(SessionTable.Peer peer) {
-        facts.merge(List.of(item(peer, NodeFlags.NONE, peer.heartbeat().n() * 2 + 1)));
+        facts.merge(List.of(fact(peer, NodeFlags.NONE, peer.heartbeat().n() * 2 + 1)));
     }
 
-    /** A restart has a new life that must win, though the time of day that lives are drawn from may go back. */
-    private Fact item(SessionTable.Peer peer, NodeFlags flags, long version) {
-        Fact old = facts.store().get(FactKind.NODE, peer.hello().node().toString());
-        long ownLife = peer.hello().life();
-        long wasLife =
-                old == null ? ownLife : DataNodeFact.of(old.value()).hello().life();
-        long nodeLife = old == null ? ownLife : wasLife == ownLife ? old.life() : Math.max(ownLife, old.life() + 1);
+    private Fact fact(SessionTable.Peer peer, NodeFlags flags, long version) {
+        Hello hello = peer.hello();
         return new Fact(
                 FactKind.NODE,
-                peer.hello().node().toString(),
-                nodeLife,
+                hello.node().toString(),
+                incarnation(known(peer), hello.life()),
                 version,
-                new DataNodeFact(flags, me, peer.hello()).value());
+                new DataNodeFact(flags, me, hello).value());
+    }
+
+    /** A restart has a new incarnation that must win, though the time of day that it is drawn from may go back. */
+    private static long incarnation(Fact known, long own) {
+        if (known == null) {
+            return own;
+        }
+        boolean restarted = DataNodeFact.of(known.value()).hello().life() != own;
+        return restarted ? Math.max(own, known.life() + 1) : known.life();
     }
 
     /**
@@ -117,52 +129,55 @@
         }
     }
 
-    private boolean linkedHere(DataNodeFact r) {
-        SessionTable.Peer p = sessions.peer(r.hello().node());
-        return p != null && p.linked();
+    private boolean linkedHere(DataNodeFact dataNode) {
+        SessionTable.Peer peer = sessions.peer(dataNode.hello().node());
+        return peer != null && peer.linked();
     }
 
     /** True while the control node that told a fact of a node is in touch, and a moment longer. */
-    private boolean holds(Fact i, DataNodeFact r, long nowMs) {
-        Long at = facts.seenMs(FactKind.NODE, i.key());
-        if (at != null && nowMs - at < HOLD_MS) {
+    private boolean holds(Fact fact, DataNodeFact dataNode, long nowMs) {
+        if (changedWithin(CHANGED_HOLDS_MS, fact, nowMs)) {
             return true;
         }
-        if (r.via().equals(me)) {
-            return linkedHere(r);
+        NodeId teller = dataNode.via();
+        if (teller.equals(me)) {
+            return linkedHere(dataNode);
         }
-        return sessions.linked(me, r.via())
-                || nowMs - lastLinkedMs.getOrDefault(r.via(), SessionTable.NEVER_MS) < VIA_MS;
+        return sessions.linked(me, teller)
+                || nowMs - lastLinkedMs.getOrDefault(teller, SessionTable.NEVER_MS) < TELLER_LOST_HOLDS_MS;
+    }
+
+    private boolean changedWithin(int periodMs, Fact fact, long nowMs) {
+        Long changedMs = facts.seenMs(FactKind.NODE, fact.key());
+        return changedMs != null && nowMs - changedMs < periodMs;
     }
 
     /** Data nodes as known here, and whether their facts still hold. */
     Map<DataNodeFact, Boolean> all(long nowMs) {
-        Map<DataNodeFact, Boolean> out = new LinkedHashMap<>();
-        for (Fact i : facts.store().all(FactKind.NODE)) {
-            DataNodeFact r = DataNodeFact.of(i.value());
-            out.put(r, r.ready() && holds(i, r, nowMs));
+        Map<DataNodeFact, Boolean> dataNodes = new LinkedHashMap<>();
+        for (Fact fact : facts.store().all(FactKind.NODE)) {
+            DataNodeFact dataNode = DataNodeFact.of(fact.value());
+            dataNodes.put(dataNode, dataNode.ready() && holds(fact, dataNode, nowMs));
         }
-        return out;
+        return dataNodes;
     }
 
-    /** Data nodes that take requests, as known here. */
+    /** How many data nodes take requests, as known here. */
     int ready() {
-        int n = 0;
-        for (Fact i : facts.store().all(FactKind.NODE)) {
-            n += DataNodeFact.of(i.value()).ready() ? 1 : 0;
+        int ready = 0;
+        for (Fact fact : facts.store().all(FactKind.NODE)) {
+            ready += DataNodeFact.of(fact.value()).ready() ? 1 : 0;
         }
-        return n;
+        return ready;
     }
 
-    /** Data nodes that may be sending requests: those with a session, and those that lost theirs a moment ago. */
+    /** How many data nodes may be sending requests: those with a session, and those that lost theirs a moment ago. */
     int sharing(long nowMs) {
-        int nodes = 0;
-        for (Fact i : facts.store().all(FactKind.NODE)) {
-            Long at = facts.seenMs(FactKind.NODE, i.key());
-            nodes += DataNodeFact.of(i.value()).flags() != NodeFlags.NONE || at != null && nowMs - at < LOST_COUNTS_MS
-                    ? 1
-                    : 0;
+        int sharing = 0;
+        for (Fact fact : facts.store().all(FactKind.NODE)) {
+            boolean inSession = !DataNodeFact.of(fact.value()).flags().isEmpty();
+            sharing += inSession || changedWithin(LOST_COUNTS_MS, fact, nowMs) ? 1 : 0;
         }
-        return nodes;
+        return sharing;
     }
 }
--- a/src/main/java/ringspindle/controlplane/GroupCommitWriter.java
+++ b/src/main/java/ringspindle/controlplane/GroupCommitWriter.java
@@ -18,9 +18,9 @@
  * written again, so a refused write does not repeat those before it.
  */
 final class GroupCommitWriter implements Runnable {
-    /** Token of an image that was asked for to start the log anew; nobody waits for it. */
+    /** Token of a snapshot that was asked for to start the log anew; nobody waits for it. */
     static final long COMPACTION = -1;
-    /** While the disk takes images, the log is at most this long, and one record. */
+    /** While the disk takes snapshots, the log is at most this long, and one record. */
     static final long LOG_MAX = 4 << 20;
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -34,7 +34,7 @@
     private final Runnable compact;
     private boolean compacting;
 
-    /** {@code compact} takes an image of what counts, with token {@link #COMPACTION}, in order with the other records. */
+    /** {@code compact} takes a snapshot of what counts, with token {@link #COMPACTION}, in order with the other records. */
     GroupCommitWriter(Disk disk, LongConsumer stored, Runnable compact) {
         this.disk = disk;
         this.stored = stored;
@@ -65,35 +65,37 @@
     /** Writes one group of what was taken; false if the disk refuses it, and it is to be tried again. */
     boolean writeNext() {
         queue.drainTo(backlog);
-        int image = lastImage();
-        List<Store> group = List.copyOf(image >= 0 ? backlog.subList(0, image + 1) : appendable());
+        int snapshot = lastSnapshot();
+        List<Store> group = List.copyOf(snapshot >= 0 ? backlog.subList(0, snapshot + 1) : appendable());
         try {
-            if (image >= 0) {
-                disk.snapshot(backlog.get(image).records());
+            if (snapshot >= 0) {
+                disk.snapshot(backlog.get(snapshot).records());
                 compacting = false;
             } else {
-                disk.append(group.stream().flatMap(s -> s.records().stream()).toList());
+                disk.append(group.stream()
+                        .flatMap(store -> store.records().stream())
+                        .toList());
             }
-        } catch (IOException x) {
-            LOG.atWarning().log("disk refuses: %s", x);
-            refused(image);
+        } catch (IOException refused) {
+            LOG.atWarning().log("disk refuses: %s", refused);
+            retryAfter(snapshot);
             return false;
         }
         backlog.subList(0, group.size()).clear();
-        group.stream().filter(s -> s.token() != COMPACTION).forEach(s -> stored.accept(s.token()));
+        group.stream().filter(store -> store.token() != COMPACTION).forEach(store -> stored.accept(store.token()));
         if (disk.logBytes() > LOG_MAX) {
             compactOnce();
         }
         return true;
     }
 
-    private void refused(int image) {
-        if (image < 0) {
-            // the log is full, or broken: an image does without it
+    private void retryAfter(int snapshot) {
+        if (snapshot < 0) {
+            // the log is full, or broken: a snapshot does without it
             compactOnce();
-        } else if (backlog.get(image).token() == COMPACTION) {
+        } else if (backlog.get(snapshot).token() == COMPACTION) {
             // perhaps there is room for the records themselves
-            backlog.remove(image);
+            backlog.remove(snapshot);
             compacting = false;
         }
     }
@@ -105,8 +107,8 @@
         }
     }
 
-    /** Index of the last image: all before it need not be written. */
-    private int lastImage() {
+    /** Index of the last snapshot: all before it need not be written. */
+    private int lastSnapshot() {
         int last = backlog.size() - 1;
         while (last >= 0 && !backlog.get(last).snapshot()) {
             last--;
@@ -125,8 +127,8 @@
         return backlog.subList(0, count);
     }
 
-    private static long bytes(Store s) {
-        return s.records().stream().mapToLong(GroupCommitWriter::bytes).sum();
+    private static long bytes(Store store) {
+        return store.records().stream().mapToLong(GroupCommitWriter::bytes).sum();
     }
 
     private static long bytes(Message record) {
--- a/src/main/java/ringspindle/controlplane/QuorumTracker.java
+++ b/src/main/java/ringspindle/controlplane/QuorumTracker.java
@@ -30,15 +30,19 @@
     record Contact(long sentMs, long epoch, boolean blank) {}
 
     /** The times of one renewal, read together. */
-    private record Proof(long tickMs, long contactMs, long stateMs, long sinceMs) {}
+    private record Proof(long tickMs, long contactMs, long stateMs, long sinceMs) {
+        boolean valid(long provenMs, long nowMs) {
+            return nowMs - provenMs < VALID_MS && nowMs - tickMs < PAUSE_MS;
+        }
+    }
 
-    private static final Proof NOTHING =
+    private static final Proof NONE =
             new Proof(SessionTable.NEVER_MS, SessionTable.NEVER_MS, SessionTable.NEVER_MS, SessionTable.NEVER_MS);
 
     /** For so long after its start a node that has met nobody yet is taken for one that is about to. */
     static final int STARTING_MS = 3000;
 
-    private volatile Proof proof = NOTHING;
+    private volatile Proof proof = NONE;
     private volatile long firstTickMs = SessionTable.NEVER_MS;
     private volatile long resumedMs = SessionTable.NEVER_MS;
 
@@ -48,18 +52,19 @@
      * @param view the newest view, null while there is none or while this node is blank
      */
     void renew(long nowMs, NodeId me, View view, Function<NodeId, Contact> contacts) {
-        Proof was = proof;
+        Proof previous = proof;
         if (firstTickMs == SessionTable.NEVER_MS) {
             firstTickMs = nowMs;
         }
-        if (was != NOTHING && nowMs - was.tickMs() >= PAUSE_MS) {
+        if (previous != NONE && nowMs - previous.tickMs() >= PAUSE_MS) {
             resumedMs = nowMs;
-            was = NOTHING;
+            previous = NONE;
         }
-        long contactMs = Math.max(was.contactMs(), majorityMs(nowMs, me, view, contacts, c -> true));
-        long stateMs = Math.max(was.stateMs(), majorityMs(nowMs, me, view, contacts, c -> c.epoch() <= view.epoch()));
-        boolean unbroken = was != NOTHING && nowMs - was.stateMs() < VALID_MS;
-        proof = new Proof(nowMs, contactMs, stateMs, unbroken ? was.sinceMs() : nowMs);
+        long contactMs = Math.max(previous.contactMs(), majorityMs(nowMs, me, view, contacts, contact -> true));
+        long stateMs = Math.max(
+                previous.stateMs(), majorityMs(nowMs, me, view, contacts, contact -> contact.epoch() <= view.epoch()));
+        boolean unbroken = previous != NONE && nowMs - previous.stateMs() < VALID_MS;
+        proof = new Proof(nowMs, contactMs, stateMs, unbroken ? previous.sinceMs() : nowMs);
     }
 
     /** The latest time at or after which each of a majority of voters is proven to have spoken to this node. */
@@ -70,53 +75,49 @@
         }
         List<Long> times = new ArrayList<>();
         for (NodeId voter : view.voters()) {
-            Contact c = voter.equals(me) ? new Contact(nowMs, view.epoch(), false) : contacts.apply(voter);
-            if (c != null && !c.blank() && counts.test(c) && c.sentMs() >= resumedMs) {
-                times.add(c.sentMs());
+            Contact contact = voter.equals(me) ? new Contact(nowMs, view.epoch(), false) : contacts.apply(voter);
+            if (contact != null && !contact.blank() && counts.test(contact) && contact.sentMs() >= resumedMs) {
+                times.add(contact.sentMs());
             }
         }
         times.sort(Comparator.reverseOrder());
         return times.size() < view.majority() ? SessionTable.NEVER_MS : times.get(view.majority() - 1);
     }
 
-    private static boolean valid(Proof p, long provenMs, long nowMs) {
-        return nowMs - provenMs < VALID_MS && nowMs - p.tickMs() < PAUSE_MS;
-    }
-
     /**
      * True right after the start of this node, before it has met a majority: what comes in now is no older than this life, so
      * an order may be held for the moment until it can be passed on. Never after a pause.
      */
     boolean starting(long nowMs) {
-        Proof p = proof;
+        Proof latest = proof;
         return resumedMs == SessionTable.NEVER_MS
                 && firstTickMs != SessionTable.NEVER_MS
-                && p.contactMs() == SessionTable.NEVER_MS
+                && latest.contactMs() == SessionTable.NEVER_MS
                 && nowMs - firstTickMs < STARTING_MS
-                && nowMs - p.tickMs() < PAUSE_MS;
+                && nowMs - latest.tickMs() < PAUSE_MS;
     }
 
     /** True while a majority is proven to be in touch: calls may be passed on. */
     boolean inTouch(long nowMs) {
-        Proof p = proof;
-        return valid(p, p.contactMs(), nowMs);
+        Proof latest = proof;
+        return latest.valid(latest.contactMs(), nowMs);
     }
 
     /** True while a majority is proven to know of no newer view: what is committed here may be handed out. */
     boolean upToDate(long nowMs) {
-        Proof p = proof;
-        return valid(p, p.stateMs(), nowMs);
+        Proof latest = proof;
+        return latest.valid(latest.stateMs(), nowMs);
     }
 
     /** For how long it has been up to date without a break, 0 if it is not. */
     long heldMs(long nowMs) {
-        Proof p = proof;
-        return valid(p, p.stateMs(), nowMs) ? nowMs - p.sinceMs() : 0;
+        Proof latest = proof;
+        return latest.valid(latest.stateMs(), nowMs) ? nowMs - latest.sinceMs() : 0;
     }
 
     /** How long ago a majority was last proven to know of no newer view, below 0 for never or not since a pause. */
     long ageMs(long nowMs) {
-        Proof p = proof;
-        return p.stateMs() == SessionTable.NEVER_MS ? -1 : nowMs - p.stateMs();
+        Proof latest = proof;
+        return latest.stateMs() == SessionTable.NEVER_MS ? -1 : nowMs - latest.stateMs();
     }
 }
--- a/src/main/java/ringspindle/controlplane/ShutdownHandover.java
+++ b/src/main/java/ringspindle/controlplane/ShutdownHandover.java
@@ -8,7 +8,13 @@
 /** Whether a control node that leaves may end: the others must hold all that it holds. Pure. */
 final class ShutdownHandover {
 
-    /** What another control node last said of itself; {@code seq} is the newest committed state that it holds. */
+    /**
+     * What another control node last said of itself.
+     *
+     * @param epoch the epoch of the view that it follows
+     * @param seq the sequence number of the newest committed state that it holds
+     * @param blank it can neither vote nor hold state
+     */
     record Holder(NodeId node, long epoch, long seq, boolean blank) {}
 
     private ShutdownHandover() {}
@@ -26,8 +32,8 @@
             return false;
         }
         long holding = holders.stream()
-                .filter(h -> !h.node().equals(me) && view.voters().contains(h.node()))
-                .filter(h -> !h.blank() && h.epoch() >= view.epoch() && h.seq() >= committedSeq)
+                .filter(holder -> !holder.node().equals(me) && view.voters().contains(holder.node()))
+                .filter(holder -> !holder.blank() && holder.epoch() >= view.epoch() && holder.seq() >= committedSeq)
                 .map(Holder::node)
                 .distinct()
                 .count();
--- a/src/main/java/ringspindle/controlplane/Storage.java
+++ b/src/main/java/ringspindle/controlplane/Storage.java
@@ -19,7 +19,7 @@
 
     /**
      * From now on records are written; {@code stored} hears of each token that is synced. {@code compact} is called when the
-     * log is long: it must {@link #write} an image of what counts, with token {@link GroupCommitWriter#COMPACTION}, in order with
+     * log is long: it must {@link #write} a snapshot of what counts, with token {@link GroupCommitWriter#COMPACTION}, in order with
      * all other records.
      */
     void open(LongConsumer stored, Runnable compact);
--- /dev/null
+++ b/src/main/java/ringspindle/controlplane/package-info.java
@@ -0,0 +1,24 @@
+/**
+ * The control plane's program: the node that engines, operators and clients call, and that tells data nodes what is in force.
+ *
+ * <p>{@link ringspindle.controlplane.ControlPlane} starts it, {@code ControlNode} wires it. Parts have one concern each:
+ *
+ * <ul>
+ *   <li>{@code ReplicationDriver} feeds the replicated state, with {@code PendingCalls} and {@code Storage}.
+ *   <li>{@code FleetState} holds what is learnt from other nodes: sessions, facts, load, leases and reports.
+ *   <li>{@code MessageDispatcher} takes messages and passes each to the handler of its family.
+ *   <li>{@code ControlNodeTasks} runs what is periodic; {@code RolloutTask} drives roll-outs.
+ *   <li>{@code ServingState} and {@code QuorumTracker} say whether this node may serve.
+ *   <li>{@code ControlApiHandler} answers HTTP calls, with a class a resource and a class an operators' page.
+ * </ul>
+ *
+ * <p>Locks: {@code ReplicationDriver} and {@code FleetState} have one each. The first may be held when the second is taken,
+ * never the other way round. What is sent with a lock held only queues.
+ *
+ * <p>Data on disk: {@code DiskStorage} writes the replicated state through {@code storage}, and caches engines in a file.
+ *
+ * <p>May use {@code api}, {@code config}, {@code consensus} (who is in touch), {@code gossip}, {@code logging} (names of fields), {@code membership}, {@code
+ * protocol}, {@code replication}, {@code rollout}, {@code routing} (rules as JSON), {@code storage}, {@code telemetry},
+ * {@code time} and {@code transport}. Used by {@code Main} and the self-test of {@code cli}.
+ */
+package ringspindle.controlplane;
--- a/src/test/java/ringspindle/controlplane/CallIdsTest.java
+++ b/src/test/java/ringspindle/controlplane/CallIdsTest.java
@@ -29,11 +29,11 @@
     /** Keeps what is sent. */
     private static final class Sent implements Mesh {
         final List<Message> toHead = new ArrayList<>();
-        Listener ear;
+        Listener listener;
 
         @Override
-        public void open(Listener e) {
-            ear = e;
+        public void open(Listener newListener) {
+            listener = newListener;
         }
 
         @Override
@@ -98,9 +98,9 @@
                 new NodeEnvironment(() -> nowMs, LIFE, () -> chance, Runnable::run, hello -> mesh),
                 (inMs, r) -> {});
         for (NodeId n : List.of(HEAD, THIRD)) {
-            mesh.ear.opened(new Hello(n, 1, 0, n.bits(), n.toString(), "z", "r"));
+            mesh.listener.opened(new Hello(n, 1, 0, n.bits(), n.toString(), "z", "r"));
             // one heartbeat goes out when a connection opens
-            mesh.ear.received(n, new Heartbeat(1, n.equals(HEAD) ? 1 : 2, NodeFlags.READY, 1, 0, 0, List.of()));
+            mesh.listener.received(n, new Heartbeat(1, n.equals(HEAD) ? 1 : 2, NodeFlags.READY, 1, 0, 0, List.of()));
         }
         control.tick();
     }
@@ -120,10 +120,10 @@
         long chance = 0x7123456789abcdefL;
         start(chance);
         assertEquals(chance + 1, call());
-        mesh.ear.received(HEAD, new Reply((LIFE << 20) + 1, Outcome.TAKEN.ordinal(), new byte[0]));
-        mesh.ear.received(HEAD, new Reply(chance, Outcome.TAKEN.ordinal(), new byte[0]));
+        mesh.listener.received(HEAD, new Reply((LIFE << 20) + 1, Outcome.TAKEN.ordinal(), new byte[0]));
+        mesh.listener.received(HEAD, new Reply(chance, Outcome.TAKEN.ordinal(), new byte[0]));
         assertEquals(List.of(), outcomes, "replies to calls of an earlier process");
-        mesh.ear.received(HEAD, new Reply(chance + 1, Outcome.OTHER_VERSION.ordinal(), new byte[0]));
+        mesh.listener.received(HEAD, new Reply(chance + 1, Outcome.OTHER_VERSION.ordinal(), new byte[0]));
         assertEquals(List.of(Outcome.OTHER_VERSION), outcomes);
     }
 
@@ -131,7 +131,7 @@
     void theNumbersMayRunOver() throws Exception {
         start(Long.MAX_VALUE);
         assertEquals(Long.MIN_VALUE, call());
-        mesh.ear.received(HEAD, new Reply(Long.MIN_VALUE, Outcome.TAKEN.ordinal(), new byte[0]));
+        mesh.listener.received(HEAD, new Reply(Long.MIN_VALUE, Outcome.TAKEN.ordinal(), new byte[0]));
         assertEquals(List.of(Outcome.TAKEN), outcomes);
     }
 }
--- a/src/test/java/ringspindle/dataplane/HollowDataNode.java
+++ b/src/test/java/ringspindle/dataplane/HollowDataNode.java
@@ -13,7 +13,7 @@
 /** A real data node's knowledge and choices without its clients' side: ticked from outside. */
 public final class HollowDataNode implements Proxy {
     private final DataNode data;
-    private final LoadBalancer picker;
+    private final LoadBalancer loadBalancer;
     private boolean confirmed;
     private long revision = -1;
     private long rules;
@@ -21,8 +21,8 @@
 
     /** Starts a data node without a listener. */
     public HollowDataNode(NodeConfig config, NodeEnvironment means) throws Exception {
-        picker = LoadBalancer.create(config);
-        data = new DataNode(config, this, picker, means);
+        loadBalancer = LoadBalancer.create(config);
+        data = new DataNode(config, this, loadBalancer, means);
         data.start();
     }
 
@@ -36,9 +36,9 @@
         data.tick();
     }
 
-    /** The node's choice of engines. */
-    public LoadBalancer picker() {
-        return picker;
+    /** The node's load balancer. */
+    public LoadBalancer loadBalancer() {
+        return loadBalancer;
     }
 
     /** The revision in force here, below 0 while there is none. */
@@ -81,7 +81,7 @@
 
     @Override
     public void probeEngines() {
-        picker.dueHealthProbes(0);
+        loadBalancer.dueHealthProbes(0);
     }
 
     @Override
--- a/src/test/java/ringspindle/scale/HollowFleet.java
+++ b/src/test/java/ringspindle/scale/HollowFleet.java
@@ -234,9 +234,10 @@
                 new LoadBalancer.SelectionRequest("llm", Set.of(), 0, 92, 291, 40, Set.of(), -1, luck.nextLong());
         NodeId id = dataIds.get(datas.indexOf(d));
         net.charge(id, () -> {
-            if (d.picker().select(ask, net.nowMs()) instanceof LoadBalancer.SelectedEngine c) {
-                d.picker().onRequestSent(c.id(), net.nowMs());
-                net.at(250, () -> d.picker().onAttemptEnded(c.id(), ask, AttemptOutcome.ANSWERED, 90, net.nowMs()));
+            if (d.loadBalancer().select(ask, net.nowMs()) instanceof LoadBalancer.SelectedEngine c) {
+                d.loadBalancer().onRequestSent(c.id(), net.nowMs());
+                net.at(250, () -> d.loadBalancer()
+                        .onAttemptEnded(c.id(), ask, AttemptOutcome.ANSWERED, 90, net.nowMs()));
             }
         });
         net.at(1000.0 / REQUESTS_PER_S, () -> request(d));
--- a/src/test/java/ringspindle/scale/RestartTest.java
+++ b/src/test/java/ringspindle/scale/RestartTest.java
@@ -64,8 +64,8 @@
         LoadBalancer.SelectionRequest ask =
                 new LoadBalancer.SelectionRequest("s", Set.of(), 0, 92, 291, 40, Set.of(), -1, 1);
         LoadBalancer.SelectedEngine chosen = assertInstanceOf(
-                LoadBalancer.SelectedEngine.class, data.picker().select(ask, net.nowMs()));
-        data.picker().onRequestSent(chosen.id(), net.nowMs());
+                LoadBalancer.SelectedEngine.class, data.loadBalancer().select(ask, net.nowMs()));
+        data.loadBalancer().onRequestSent(chosen.id(), net.nowMs());
     }
 
     private int running() {
--- a/src/test/java/ringspindle/scale/SimulatedNetwork.java
+++ b/src/test/java/ringspindle/scale/SimulatedNetwork.java
@@ -146,15 +146,15 @@
     private final class HollowMesh implements Mesh {
         private final Hello self;
         private final Set<NodeId> links = new HashSet<>();
-        private Listener ear;
+        private Listener listener;
 
         HollowMesh(Hello self) {
             this.self = self;
         }
 
         @Override
-        public void open(Listener e) {
-            ear = e;
+        public void open(Listener newListener) {
+            listener = newListener;
         }
 
         @Override
@@ -164,13 +164,13 @@
                 return;
             }
             at(2 * wayMs(reach(self, other.self)), () -> {
-                if (other.ear != null && !links.contains(peer) && !other.links.contains(self.node())) {
+                if (other.listener != null && !links.contains(peer) && !other.links.contains(self.node())) {
                     links.add(peer);
                     other.links.add(self.node());
                     count(this, other, self);
                     count(other, this, other.self);
-                    charge(peer, () -> other.ear.opened(self));
-                    charge(self.node(), () -> ear.opened(other.self));
+                    charge(peer, () -> other.listener.opened(self));
+                    charge(self.node(), () -> listener.opened(other.self));
                 }
             });
         }
@@ -214,7 +214,7 @@
             Meter in = meters.get(peer);
             in.inBytes += bytes.length + FRAME_BYTES;
             in.inMessages++;
-            charge(peer, () -> other.ear.received(self.node(), Codec.decode(bytes)));
+            charge(peer, () -> other.listener.received(self.node(), Codec.decode(bytes)));
         }
 
         @Override
@@ -227,8 +227,8 @@
             if (links.remove(peer)) {
                 HollowMesh other = meshes.get(peer);
                 other.links.remove(self.node());
-                ear.closed(peer);
-                other.ear.closed(self.node());
+                listener.closed(peer);
+                other.listener.closed(self.node());
             }
         }
 
