--- a/src/main/java/ringspindle/proxy/AdmittedRequest.java
+++ b/src/main/java/ringspindle/proxy/AdmittedRequest.java
@@ -1,5 +1,6 @@
 package ringspindle.proxy;
 
+import java.util.Set;
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.server.Request;
 import ringspindle.config.FleetConfig;
@@ -135,8 +136,30 @@
         return rule == null || rule.rank() < 0 ? route.priority() : rule.rank();
     }
 
+    /**
+     * Asks for an engine.
+     *
+     * @param attemptedEngines engines that are not to be asked again
+     * @param weightVersion the weights that a stream is to go on with, below 0 if any will do
+     * @param waitedMs how long it has waited for capacity
+     */
+    LoadBalancer.SelectionRequest selectionRequest(
+            Set<String> attemptedEngines, long weightVersion, long random, long waitedMs) {
+        return new LoadBalancer.SelectionRequest(
+                service,
+                route.homes(),
+                affinityKey(),
+                sharedTokens(),
+                ownTokens(),
+                outputTokens,
+                attemptedEngines,
+                weightVersion,
+                random,
+                routingPreference(waitedMs));
+    }
+
     /** What its rule says of the choice of an engine; null where it says nothing, so that all is as without rules. */
-    LoadBalancer.RoutingPreference routingPreference(long waitedMs) {
+    private LoadBalancer.RoutingPreference routingPreference(long waitedMs) {
         if (rule == null) {
             return null;
         }
@@ -178,11 +201,6 @@
         return Math.max(0, promptTokens - affinity.sharedTokens());
     }
 
-    /** The most tokens that it wants generated. */
-    int outputTokens() {
-        return outputTokens;
-    }
-
     private String header(String name, String otherwise) {
         String value = request.getHeaders().get(name);
         return value == null ? otherwise : value;
--- a/src/main/java/ringspindle/proxy/ProxiedAttempt.java
+++ b/src/main/java/ringspindle/proxy/ProxiedAttempt.java
@@ -19,7 +19,7 @@
  * <p>All fields are guarded by the lock of the request. What is read from the engine is written to the client before more
  * is read, so a slow client holds the engine back; at most one write to the client is pending.
  */
-final class ProxiedAttempt implements Response.Listener, Runnable {
+final class ProxiedAttempt implements EngineConnectionPool.Acquisition, Response.Listener, Runnable {
     /** The largest answer that is held until it is complete, in bytes. */
     private static final int BUFFERED_BYTES_MAX = 16 << 20;
     /** An idle connection that the engine has forgotten is reset within this. */
@@ -49,7 +49,7 @@
     private final LoadBalancer.SelectionRequest selection;
     private final LoadBalancer.SelectedEngine engine;
     private final boolean resumes;
-    private final EventSplitter events = new EventSplitter();
+    private final EventRelay relay = new EventRelay();
 
     private Phase phase = Phase.CONNECTING;
     private PooledConnection connection;
@@ -63,8 +63,8 @@
     private ClientWrite clientWrite = ClientWrite.NONE;
     /** How the exchange ended, where that came while a write was pending. */
     private Result resultAfterWrite;
-    /** An event did not follow the one before it: the attempt ends once what came before is written. */
-    private boolean outOfOrder;
+    /** The stream cannot go on behind what is being written: the attempt ends once that is done. */
+    private boolean endAfterWrite;
 
     private long sentMs = NOT_YET;
     private long firstByteMs = NOT_YET;
@@ -88,21 +88,11 @@
 
     /** Takes a connection to the engine and goes on from there. */
     void start(boolean repeatable) {
-        EngineConnectionPool.Acquisition acquisition = new EngineConnectionPool.Acquisition() {
-            @Override
-            public void acquired(PooledConnection acquired) {
-                send(acquired);
-            }
-
-            @Override
-            public void failed(EngineConnectionPool.Failure failure) {
-                endUnsent(failure);
-            }
-        };
-        proxy.connections().acquire(engine.id(), engine.address(), engine.maxConnections(), repeatable, acquisition);
+        proxy.connections().acquire(engine.id(), engine.address(), engine.maxConnections(), repeatable, this);
     }
 
-    private void endUnsent(EngineConnectionPool.Failure failure) {
+    @Override
+    public void failed(EngineConnectionPool.Failure failure) {
         synchronized (request) {
             if (phase != Phase.ENDED) {
                 boolean full = failure == EngineConnectionPool.Failure.LIMIT_REACHED;
@@ -111,7 +101,9 @@
         }
     }
 
-    private void send(PooledConnection acquired) {
+    /** Sends the request. */
+    @Override
+    public void acquired(PooledConnection acquired) {
         synchronized (request) {
             long nowMs = proxy.nowMs();
             // the last look before anything goes out
@@ -146,7 +138,7 @@
             head = response;
             lastHeardMs = nowMs;
             phase = Phase.RECEIVING;
-            if (AnswerKind.isForeign(response, request.attemptId())) {
+            if (AnswerKind.isForeign(response, request.admitted().attemptId())) {
                 kind = AnswerKind.BROKEN;
                 request.onAttemptFailed(this, AttemptOutcome.BROKEN);
                 return;
@@ -237,29 +229,15 @@
         return true;
     }
 
-    /**
-     * The events that are whole by now and follow each other, up to the first that does not. Where there are none and none
-     * can come any more, the attempt is ended here; where there are some, once they are written.
-     */
+    /** The events that may be passed on; ends the attempt where there are none and none can come any more. */
     private byte[] followingEvents(ByteBuffer part) {
-        ByteArrayOutputStream following = new ByteArrayOutputStream();
-        try {
-            for (StreamEvent event : events.feed(part)) {
-                if (!request.position().advance(event)) {
-                    proxy.logOutOfOrder(event, request, engine.id());
-                    outOfOrder = true;
-                    break;
-                }
-                following.writeBytes(event.bytes());
-            }
-        } catch (EventSplitter.OversizedEventException oversized) {
-            request.onAttemptFailed(this, AttemptOutcome.BROKEN);
-            return following.toByteArray();
-        }
-        if (outOfOrder && following.size() == 0) {
+        EventRelay.Passage passage = relay.feed(part, request.position());
+        passage.outOfOrder().ifPresent(event -> proxy.logOutOfOrder(event, request, engine.id()));
+        endAfterWrite = passage.isBroken();
+        if (endAfterWrite && passage.events().length == 0) {
             request.onAttemptFailed(this, AttemptOutcome.BROKEN);
         }
-        return following.toByteArray();
+        return passage.events();
     }
 
     private void onWritten(boolean last) {
@@ -267,7 +245,7 @@
         synchronized (request) {
             boolean pastTimeout = clientWrite == ClientWrite.PENDING_PAST_TIMEOUT;
             clientWrite = ClientWrite.NONE;
-            if (outOfOrder) {
+            if (endAfterWrite) {
                 if (phase != Phase.ENDED) {
                     request.onAttemptFailed(this, AttemptOutcome.BROKEN);
                 }
@@ -289,8 +267,6 @@
         }
     }
 
-    // ---- its end
-
     @Override
     public void onComplete(Result result) {
         Runnable answer = null;
@@ -349,7 +325,7 @@
     }
 
     private Runnable completeStream(long nowMs) {
-        if (events.hasPartialEvent() || !request.isCommitted()) {
+        if (relay.hasPartialEvent() || !request.isCommitted()) {
             request.onAttemptFailed(this, AttemptOutcome.BROKEN);
             return null;
         }
@@ -377,8 +353,6 @@
         }
     }
 
-    // ---- timeouts
-
     /** True if the attempt may time out by itself now. */
     boolean hasOwnTimeout() {
         return scope.hasOwnTimeout() && clientWrite != ClientWrite.PENDING_PAST_TIMEOUT;
@@ -386,7 +360,7 @@
 
     /** When it times out by itself: a stream by silence, anything else as a whole. */
     long timeoutAtMs() {
-        return kind != null && isStream() ? lastHeardMs + request.silenceLimitMs() : scope.deadlineMs();
+        return kind != null && isStream() ? lastHeardMs + request.limits().silenceMs() : scope.deadlineMs();
     }
 
     /** Its time is over: ends it, or leaves that until the client has taken what is being written. */
@@ -399,7 +373,7 @@
     }
 
     private boolean isStream() {
-        return kind == AnswerKind.SUCCESS && request.isStreaming();
+        return kind == AnswerKind.SUCCESS && request.admitted().isStreaming();
     }
 
     Attempt scope() {
--- a/src/main/java/ringspindle/proxy/ProxiedRequest.java
+++ b/src/main/java/ringspindle/proxy/ProxiedRequest.java
@@ -8,7 +8,6 @@
 import org.eclipse.jetty.io.EofException;
 import org.eclipse.jetty.util.thread.Scheduler;
 import ringspindle.api.Outcome;
-import ringspindle.config.FleetConfig;
 import ringspindle.loadbalancing.LoadBalancer;
 import ringspindle.retry.Action;
 import ringspindle.retry.Attempt;
@@ -27,25 +26,11 @@
 final class ProxiedRequest {
     /** Default: what the way back takes, kept from the client's deadline. */
     private static final int RETURN_MS = 15;
-    /** Default: how long a request waits for capacity once something has run or reached the client. */
-    private static final int WAIT_AFTER_RUN_MS = 1500;
-    /** Default: a request that has not run waits for this share of its latency target, and at least so long. */
-    private static final int WAIT_SHARE_OF_TARGET = 5;
 
-    private static final int WAIT_LEAST_MS = 40;
     /** No request waits for capacity closer to its deadline than this. */
     private static final int WAIT_END_MS = 50;
 
     private static final int RETRY_AFTER_MS = 300;
-    /** Default: silence of a stream after which another engine may be tried, at the least. */
-    private static final int SILENCE_LEAST_MS = 1000;
-
-    private static final int STREAM_TIMEOUT_LEAST_MS = 1500;
-    private static final int PLAIN_TIMEOUT_LEAST_MS = 250;
-    /** Prompt tokens that an engine reads in a millisecond, at the least; lengthens a stream's timeout. */
-    private static final int TOKENS_READ_PER_MS = 15;
-
-    private static final long NOT_WAITING = -1;
     private static final long ANY_WEIGHTS = -1;
 
     /** Where a request stands. */
@@ -62,7 +47,9 @@
     private final ClientResponse client;
     private final Action action;
     private final RetryPolicy policy;
+    private final RequestTimeLimits limits;
     private final StreamPosition position;
+    private final CapacityWait wait = new CapacityWait();
     private final Set<String> attemptedEngines = new HashSet<>(4);
 
     private Phase phase = Phase.WAITING;
@@ -73,8 +60,6 @@
     /** How many engines got to see the request; the next is a retry. */
     private int sent;
 
-    private long waitingSinceMs = NOT_WAITING;
-    private long waitUntilMs = NOT_WAITING;
     private long retryAfterMs = RETRY_AFTER_MS;
     private Scheduler.Task timer;
 
@@ -86,6 +71,7 @@
         long timeLimitMs = Math.max(0, admitted.deadlineMs() - RETURN_MS - nowMs);
         action = Action.open(proxy.nextActionId(), nowMs, timeLimitMs, proxy);
         policy = admitted.retryPolicy();
+        limits = new RequestTimeLimits(admitted);
         position = StreamPosition.after(admitted.headers().get(Headers.LAST_EVENT_ID));
         proxy.ledger().onAdmitted(action.id(), admitted.rulesRevision(), admitted.className(), policy.repeatable());
     }
@@ -120,17 +106,18 @@
             }
             return;
         }
-        LoadBalancer.SelectionRequest selection = selectionRequest(nowMs);
+        long weights = resuming ? position.weightVersion() : ANY_WEIGHTS;
+        LoadBalancer.SelectionRequest selection =
+                admitted.selectionRequest(attemptedEngines, weights, proxy.nextRandom(), wait.elapsedMs(nowMs));
         LoadBalancer.Selection selected = proxy.loadBalancer().select(selection, nowMs);
         if (selected instanceof LoadBalancer.NoCapacity none) {
             retryAfterMs = none.retryAfterMs();
             waitForCapacity(nowMs);
             return;
         }
-        waitUntilMs = NOT_WAITING;
-        waitingSinceMs = NOT_WAITING;
+        wait.end();
         LoadBalancer.SelectedEngine engine = (LoadBalancer.SelectedEngine) selected;
-        Attempt scope = action.startAttempt(nowMs, attemptTimeoutMs(selection));
+        Attempt scope = action.startAttempt(nowMs, attemptTimeoutMs());
         if (scope == null) {
             proxy.loadBalancer().onAttemptEnded(engine.id(), selection, AttemptOutcome.PARENT_ENDED, -1, nowMs);
             return;
@@ -142,58 +129,26 @@
         attempt.start(policy.repeatable());
     }
 
-    private LoadBalancer.SelectionRequest selectionRequest(long nowMs) {
-        return new LoadBalancer.SelectionRequest(
-                admitted.service(),
-                admitted.route().homes(),
-                admitted.affinityKey(),
-                admitted.sharedTokens(),
-                admitted.ownTokens(),
-                admitted.outputTokens(),
-                attemptedEngines,
-                resuming ? position.weightVersion() : ANY_WEIGHTS,
-                proxy.nextRandom(),
-                admitted.routingPreference(waitingSinceMs < 0 ? 0 : nowMs - waitingSinceMs));
-    }
-
     /** How long an attempt may take by itself; 0 where no other could follow it. */
-    private long attemptTimeoutMs(LoadBalancer.SelectionRequest selection) {
-        FleetConfig.Route route = admitted.route();
-        if (!route.repeatable() || action.attemptCount() + 1 >= policy.maxAttempts()) {
-            return 0;
-        }
-        if (isStreaming()) {
-            long readingMs = (long) (selection.uncachedTokens() + selection.sharedPrefixTokens()) / TOKENS_READ_PER_MS;
-            return Math.max(STREAM_TIMEOUT_LEAST_MS, 2L * route.aimMs()) + readingMs;
-        }
-        return Math.max(PLAIN_TIMEOUT_LEAST_MS, route.aimMs() * 3L / 2);
+    private long attemptTimeoutMs() {
+        boolean anotherMayFollow = policy.repeatable() && action.attemptCount() + 1 < policy.maxAttempts();
+        return anotherMayFollow ? limits.attemptMs() : 0;
     }
 
     /** Waits for capacity, but not longer than helps. */
     private void waitForCapacity(long nowMs) {
         phase = Phase.WAITING;
-        if (waitUntilMs < 0) {
-            waitingSinceMs = nowMs;
-            waitUntilMs = Math.min(nowMs + longestWaitMs(nowMs), action.deadlineMs() - WAIT_END_MS);
+        if (!wait.isUnderWay()) {
+            boolean begun = action.mayHaveRun() || action.isResponseCommitted();
+            wait.begin(nowMs, Math.min(nowMs + limits.waitMs(begun, nowMs), action.deadlineMs() - WAIT_END_MS));
         }
-        if (nowMs >= waitUntilMs) {
+        if (wait.isOver(nowMs)) {
             giveUp(nowMs);
             return;
         }
         proxy.enqueue(this);
     }
 
-    private long longestWaitMs(long nowMs) {
-        if (action.mayHaveRun() || action.isResponseCommitted()) {
-            return WAIT_AFTER_RUN_MS;
-        }
-        if (admitted.rule() != null && admitted.rule().waitMs() >= 0) {
-            return admitted.rule().waitMs();
-        }
-        long sinceReceivedMs = nowMs - admitted.receivedMs();
-        return Math.max(WAIT_LEAST_MS, admitted.route().aimMs() / WAIT_SHARE_OF_TARGET - sinceReceivedMs);
-    }
-
     // ---- for attempts, under the lock
 
     /** True while something may still be sent for the client. */
@@ -326,25 +281,20 @@
     }
 
     private void giveUp(long nowMs) {
-        if (action.isResponseCommitted()) {
-            breakOff(nowMs);
-            return;
-        }
-        boolean ran = action.mayHaveRun();
-        if (action.cancel(CancelCause.GIVEN_UP, nowMs)) {
-            respond(ran ? Outcome.BROKEN : Outcome.NO_ROOM);
-        }
+        endWithoutAnswer(CancelCause.GIVEN_UP, action.mayHaveRun() ? Outcome.BROKEN : Outcome.NO_ROOM, nowMs);
     }
 
     private void onDeadline(long nowMs) {
+        endWithoutAnswer(CancelCause.OVERALL_DEADLINE, action.mayHaveRun() ? Outcome.OVERDUE : Outcome.NO_TIME, nowMs);
+    }
+
+    private void endWithoutAnswer(CancelCause cause, Outcome outcome, long nowMs) {
         if (action.isResponseCommitted()) {
             breakOff(nowMs);
-            return;
-        }
-        boolean ran = action.mayHaveRun();
-        if (action.cancel(CancelCause.OVERALL_DEADLINE, nowMs)) {
+        } else if (action.cancel(cause, nowMs)) {
             abandonAttempt(nowMs);
-            respond(ran ? Outcome.OVERDUE : Outcome.NO_TIME);
+            end();
+            client.respond(outcome, retryAfterMs, proxy.isLeaving());
         }
     }
 
@@ -376,11 +326,6 @@
         }
     }
 
-    private void respond(Outcome outcome) {
-        end();
-        client.respond(outcome, retryAfterMs, proxy.isLeaving());
-    }
-
     private void end() {
         phase = Phase.ENDED;
         disarmTimer();
@@ -443,20 +388,11 @@
         return action.id();
     }
 
-    String attemptId() {
-        return admitted.attemptId();
-    }
-
-    boolean isStreaming() {
-        return admitted.isStreaming();
-    }
-
     boolean isCommitted() {
         return action.isResponseCommitted();
     }
 
-    /** Silence of a stream after which another engine may be tried. */
-    long silenceLimitMs() {
-        return Math.max(SILENCE_LEAST_MS, 2L * admitted.route().tokenGapMs());
+    RequestTimeLimits limits() {
+        return limits;
     }
 }
--- a/src/main/java/ringspindle/proxy/ProxyHandler.java
+++ b/src/main/java/ringspindle/proxy/ProxyHandler.java
@@ -243,7 +243,7 @@
         LOG.atWarning().log(
                 "event out of order: action=%s attempt=%s engine=%s event=%s after=%s",
                 request.actionId(),
-                request.attemptId(),
+                request.admitted().attemptId(),
                 engineId,
                 event.id(),
                 request.position().lastId());
