--- a/src/main/java/ringspindle/protocol/FrameException.java
+++ b/src/main/java/ringspindle/protocol/FrameException.java
@@ -1,6 +1,6 @@
 package ringspindle.protocol;
 
-/** What came over a connection is no message that this program can take; nothing has changed by it. */
+/** What came over a connection or stands on disk is no message that this program can read; it has changed nothing. */
 public final class FrameException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
@@ -18,20 +18,20 @@
         GARBLED,
         /** Something else came before the peer said who it is. */
         NO_HELLO,
-        /** The peer's connection is of an earlier life than the one that stands. */
+        /** The peer's connection is of an earlier incarnation than the one that stands. */
         EARLIER_LIFE
     }
 
     private final Reason reason;
 
     /** {@code new FrameException(Reason.NO_HELLO, "a heartbeat came first")}. */
-    public FrameException(Reason reason, String text) {
-        this(reason, text, null);
+    public FrameException(Reason reason, String detail) {
+        this(reason, detail, null);
     }
 
     /** The same with what it follows from, null if there is nothing. */
-    public FrameException(Reason reason, String text, Throwable cause) {
-        super(reason + ": " + text, cause);
+    public FrameException(Reason reason, String detail, Throwable cause) {
+        super(reason + ": " + detail, cause);
         this.reason = reason;
     }
 
--- a/src/main/java/ringspindle/protocol/Message.java
+++ b/src/main/java/ringspindle/protocol/Message.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** What nodes say to each other; the layout is in {@code wire.xml}. */
+/**
+ * What nodes say to each other, and the records that they keep on disk; the layout is in {@code wire.xml}, whose names
+ * these records carry. {@code life} is the incarnation of a process in all of them.
+ */
 public sealed interface Message {
     /**
      * First on every connection: who opened it, or took it.
@@ -38,14 +41,20 @@
     record Heartbeat(long n, long echo, NodeFlags flags, long epoch, long seq, long digest, List<NodeId> heard)
             implements Message {}
 
-    /** How far a copy of the control state has come: the view it stems from, then the number of its last order. */
+    /**
+     * How far a replica of the control state has come.
+     *
+     * @param lineage the epoch of the view that it stems from
+     * @param seq the number of its last operation
+     */
     record Position(long lineage, long seq) implements Comparable<Position> {
         /** Before every state: of a node that holds none. */
         public static final Position NONE = new Position(-1, 0);
 
         @Override
-        public int compareTo(Position o) {
-            return lineage != o.lineage ? Long.compare(lineage, o.lineage) : Long.compare(seq, o.seq);
+        public int compareTo(Position other) {
+            int byLineage = Long.compare(lineage, other.lineage);
+            return byLineage != 0 ? byLineage : Long.compare(seq, other.seq);
         }
     }
 
@@ -79,7 +88,15 @@
     /** Consensus on a view, phase one: asks a voter to promise a ballot. */
     record Prepare(long epoch, long ballot, View view) implements Message {}
 
-    /** Answer to {@link Prepare}: the promise, or the higher ballot promised before, with what was accepted. */
+    /**
+     * Answer to {@link Prepare}: the promise, or the higher ballot promised before, with what was accepted.
+     *
+     * @param promised the highest ballot promised for the epoch
+     * @param acceptedBallot the ballot under which {@code accepted} was accepted, 0 if nothing was
+     * @param lineage with {@code seq}, how far the voter's replica has come
+     * @param accepted null if nothing was accepted
+     * @param view the newest view that the voter knows
+     */
     record Pledge(
             long epoch,
             long ballot,
@@ -100,16 +117,16 @@
     /** Consensus on a view, phase two: asks a voter to accept the view under a ballot. */
     record Accept(long epoch, long ballot, View view) implements Message {}
 
-    /** Answer to {@link Accept}. */
+    /** Answer to {@link Accept}; {@code promised} is the highest ballot promised for the epoch. */
     record Accepted(long epoch, long ballot, boolean granted, long promised) implements Message {}
 
     /** The view that a majority accepted. */
     record Decided(View view) implements Message {}
 
-    /** A snapshot of the control state, for a replica that lacks entries. */
+    /** A snapshot of the control state, for a replica that lacks entries; {@code image} is a {@link State} as bytes. */
     record Install(long epoch, long seq, byte[] image) implements Message {}
 
-    /** One replicated operation, passed down the chain. */
+    /** One replicated operation, passed down the chain; {@code op} is an {@link Op} as bytes. */
     record Entry(long epoch, long seq, byte[] op) implements Message {}
 
     /** Acknowledges all entries up to the sequence number. */
@@ -129,8 +146,10 @@
             implements Message {}
 
     /**
-     * An order or reading that some node took from a caller.
+     * An order or reading that some node took from a client.
      *
+     * @param id chosen by the node that took it, and unique
+     * @param kind what is asked for, by the code of the replicated state's kinds of calls
      * @param base the revision that it builds on; for orders without one, the version of what they replace that the node
      *     knew of when it took them: an order held up since must not undo a newer one
      */
@@ -141,7 +160,7 @@
         }
     }
 
-    /** Answer to {@link Call}. */
+    /** Answer to {@link Call}; {@code outcome} is the ordinal of an outcome of the API. */
     record Reply(long id, int outcome, byte[] body) implements Message {}
 
     /**
@@ -161,19 +180,36 @@
         }
     }
 
-    /** Items of the replicated key-value state that the receiver may lack. */
+    /** Facts that the receiver may lack; {@code full} if these are all that the sender has for it. */
     record News(boolean full, List<Fact> items) implements Message {}
 
-    /** Digests by range, from which the receiver finds the items that differ. */
+    /** Digests by range, from which the receiver finds the facts that differ. */
     record Digest(long[] ranges) implements Message {}
 
-    /** A lease granted to a data node for a limited time, with the number of nodes. */
+    /**
+     * The lease of the data nodes' shares of quotas.
+     *
+     * @param epoch of the view under which it was granted
+     * @param nodes how many data nodes share
+     * @param ttlMs for how long it holds, in milliseconds
+     */
     record Lease(long epoch, int nodes, int ttlMs) implements Message {}
 
-    /** The content of a replicated operation. */
+    /**
+     * The content of a replicated operation.
+     *
+     * @param kind what it does, by the code of the replicated state's kinds of calls
+     * @param revision of the document that it makes, 0 if it makes none
+     * @param digest of the order on a document that it came from, 0 for others
+     */
     record Op(int kind, long base, long revision, long digest, String arg, byte[] body) implements Message {}
 
-    /** A mark of the control state: an evacuated zone, an engine that leaves, a roll-out. */
+    /**
+     * A mark of the control state: an evacuated zone, an engine that leaves, a rollout, the serving rules.
+     *
+     * @param kind what the mark is about, by the code of the replicated state's kinds of marks
+     * @param version the number of the operation that wrote it
+     */
     record Mark(int kind, String key, long version, String value) {}
 
     /**
@@ -199,7 +235,15 @@
     /** A voter's durable consensus state. */
     record Vote(long promisedEpoch, long promised, long acceptedBallot, View accepted, View view) implements Message {}
 
-    /** What an engine last said of itself. weights is the revision of its model, -1 unknown. */
+    /**
+     * What an engine last said of itself.
+     *
+     * @param capacity requests that it runs at once
+     * @param coldMs how long it still warms up, in milliseconds
+     * @param remainingMs the time left until it is gone, in milliseconds; -1 if it does not say
+     * @param weights the revision of its model's weights, -1 if unknown
+     * @param revision of its software
+     */
     record Engine(
             int capacity,
             int coldMs,
@@ -212,7 +256,7 @@
             String revision)
             implements Message {}
 
-    /** One source's tallies by engine and kind of request; {@code sum.AttemptCounts} gives them their meaning. */
+    /** One source's tallies by engine and kind of request; {@code telemetry.AttemptCounts} gives them their meaning. */
     record TallyRow(
             long engine,
             int kind,
@@ -238,7 +282,7 @@
     record Report(long life, long seq, List<TallyRow> tallies, List<HeartbeatRow> heartbeats, List<SourceRow> sources)
             implements Message {}
 
-    /** Actions of one class under one revision of the rules, as the node that held them counted. */
+    /** Requests of one class under one revision of the rules, as the node that served them counted. */
     record LedgerRow(
             long revision,
             long admitted,
