--- a/src/main/java/ringspindle/Main.java
+++ b/src/main/java/ringspindle/Main.java
@@ -127,7 +127,7 @@
         Path file = Path.of(options.settings);
         Validated<NodeConfig> read = NodeConfig.read(file);
         if (read instanceof Invalid<NodeConfig> invalid) {
-            invalid.problems().forEach(error -> LOG.atSevere().log("settings: %s", error.text()));
+            invalid.errors().forEach(error -> LOG.atSevere().log("settings: %s", error.text()));
             return ExitCode.USAGE;
         }
         Settings settings = new Settings(((Valid<NodeConfig>) read).value());
@@ -158,11 +158,11 @@
 
     private static void reload(Settings settings, Path file) {
         Settings.Reload reload = settings.reload(NodeConfig.read(file));
-        if (reload.problems().isEmpty()) {
+        if (reload.errors().isEmpty()) {
             LOG.atInfo()
                     .with(LogField.SETTINGS, reload.taken())
                     .log("settings read again and in force; after a restart: %s", reload.restart());
         }
-        reload.problems().forEach(error -> LOG.atWarning().log("settings, kept as they were: %s", error.text()));
+        reload.errors().forEach(error -> LOG.atWarning().log("settings, kept as they were: %s", error.text()));
     }
 }
--- a/src/main/java/ringspindle/cli/CandidateEngines.java
+++ b/src/main/java/ringspindle/cli/CandidateEngines.java
@@ -20,7 +20,7 @@
                 || !(FleetConfig.read(document.bytes()) instanceof Valid<FleetConfig> valid)) {
             return List.of();
         }
-        FleetConfig.Route route = valid.value().mappings().stream()
+        FleetConfig.Route route = valid.value().routes().stream()
                 .filter(candidate -> candidate.name().equals(name))
                 .findFirst()
                 .orElse(null);
--- a/src/main/java/ringspindle/cli/ConfigCommand.java
+++ b/src/main/java/ringspindle/cli/ConfigCommand.java
@@ -41,7 +41,7 @@
             return console.unreadable(file);
         }
         if (FleetConfig.read(body) instanceof Invalid<FleetConfig> invalid) {
-            return console.refused("", invalid.problems());
+            return console.refused("", invalid.errors());
         }
         console.print("valid");
         return ExitCode.OK;
--- a/src/main/java/ringspindle/cli/RulesCommand.java
+++ b/src/main/java/ringspindle/cli/RulesCommand.java
@@ -116,7 +116,7 @@
         try {
             Validated<ServingRules> rules = ServingRules.read(Files.readAllBytes(Path.of(name)));
             if (rules instanceof Invalid<ServingRules> invalid) {
-                return console.refused("", invalid.problems());
+                return console.refused("", invalid.errors());
             }
             return check(((Valid<ServingRules>) rules).value(), console);
         } catch (IOException error) {
@@ -129,7 +129,7 @@
         if (config != null) {
             Validated<FleetConfig> read = FleetConfig.read(Files.readAllBytes(Path.of(config)));
             if (read instanceof Invalid<FleetConfig> invalid) {
-                return console.refused("the configuration: ", invalid.problems());
+                return console.refused("the configuration: ", invalid.errors());
             }
             fleet = ((Valid<FleetConfig>) read).value();
         }
@@ -160,7 +160,7 @@
     private ExitCode explain(byte[] body, List<Explain.Candidate> engines, Console console) {
         Validated<ServingRules> rules = ServingRules.read(body);
         if (rules instanceof Invalid<ServingRules> invalid) {
-            return console.refused("", invalid.problems());
+            return console.refused("", invalid.errors());
         }
         RequestAttributes request = new RequestAttributes(route, host, path, model, prompt, home);
         Explain.lines(((Valid<ServingRules>) rules).value(), request, prefix, engines)
--- a/src/main/java/ringspindle/config/ConfigError.java
+++ b/src/main/java/ringspindle/config/ConfigError.java
@@ -1,8 +1,8 @@
 package ringspindle.config;
 
-/** Why a setting or a configuration is refused. */
+/** Why a setting, a configuration or serving rules are refused: what is wrong, and where. */
 public sealed interface ConfigError {
-    /** Names the problem for a person; {@code new ConfigError.Missing("node.zone").text()}. */
+    /** The error in words, for operators; the texts are part of the interface. */
     String text();
 
     /** A required key is not there. */
@@ -13,8 +13,12 @@
         }
     }
 
-    /** The value of a key cannot be read as what is wanted. */
-    record Bad(String key, String value, String wanted) implements ConfigError {
+    /**
+     * The value of a key cannot be read as what is wanted.
+     *
+     * @param wanted what a value must be, for example {@code ip:port}
+     */
+    record InvalidValue(String key, String value, String wanted) implements ConfigError {
         @Override
         public String text() {
             return "bad value for " + key + ": '" + value + "', wanted " + wanted;
@@ -23,6 +27,9 @@
 
     /** A file or document cannot be read at all. */
     record Unreadable(String what) implements ConfigError {
+        /** A document whose fields have other types than the format says. */
+        static final Unreadable WRONG_FIELD = new Unreadable("a field is missing or of the wrong type");
+
         @Override
         public String text() {
             return "cannot be read: " + what;
@@ -30,15 +37,15 @@
     }
 
     /** A route names a service that is not configured. */
-    record UnknownService(String mapping, String service) implements ConfigError {
+    record UnknownService(String route, String service) implements ConfigError {
         @Override
         public String text() {
-            return "route " + mapping + " names unknown service " + service;
+            return "route " + route + " names unknown service " + service;
         }
     }
 
     /** Two routes have the same host and path prefix. */
-    record SamePlace(String one, String other) implements ConfigError {
+    record DuplicateRoute(String one, String other) implements ConfigError {
         @Override
         public String text() {
             return "routes " + one + " and " + other + " share host and prefix";
@@ -46,18 +53,18 @@
     }
 
     /** The weights of a route's targets add up to zero. */
-    record NoWeight(String mapping) implements ConfigError {
+    record NoWeight(String route) implements ConfigError {
         @Override
         public String text() {
-            return "the weights of route " + mapping + " add up to 0";
+            return "the weights of route " + route + " add up to 0";
         }
     }
 
     /** A route has no deadline. */
-    record NoDeadline(String mapping) implements ConfigError {
+    record NoDeadline(String route) implements ConfigError {
         @Override
         public String text() {
-            return "deadlineMs of route " + mapping + " is 0";
+            return "deadlineMs of route " + route + " is 0";
         }
     }
 
@@ -85,7 +92,11 @@
         }
     }
 
-    /** A value outside the range that is allowed. */
+    /**
+     * A value outside the range that is allowed.
+     *
+     * @param place the field, with its path in the document
+     */
     record OutOfRange(String place, String value, String wanted) implements ConfigError {
         @Override
         public String text() {
@@ -109,7 +120,11 @@
         }
     }
 
-    /** A rule that never applies, as an earlier rule matches all of its requests. */
+    /**
+     * A rule that never applies, as an earlier rule matches all of its requests.
+     *
+     * @param by the name of the earlier rule
+     */
     record Unreachable(String place, String by) implements ConfigError {
         @Override
         public String text() {
@@ -117,7 +132,11 @@
         }
     }
 
-    /** The document is larger than the limit. */
+    /**
+     * The document is larger than the limit.
+     *
+     * @param most the limit in bytes
+     */
     record TooLong(int bytes, int most) implements ConfigError {
         @Override
         public String text() {
--- a/src/main/java/ringspindle/config/FleetConfig.java
+++ b/src/main/java/ringspindle/config/FleetConfig.java
@@ -2,47 +2,41 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import jakarta.json.Json;
-import jakarta.json.JsonArray;
-import jakarta.json.JsonArrayBuilder;
-import jakarta.json.JsonConfig;
-import jakarta.json.JsonNumber;
 import jakarta.json.JsonObject;
-import jakarta.json.JsonObjectBuilder;
-import jakarta.json.JsonReader;
-import jakarta.json.JsonReaderFactory;
-import jakarta.json.JsonString;
-import jakarta.json.JsonValue;
-import java.io.ByteArrayInputStream;
-import java.io.ByteArrayOutputStream;
-import java.io.IOException;
-import java.io.InputStreamReader;
-import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeSet;
-import java.util.zip.DeflaterOutputStream;
-import java.util.zip.InflaterInputStream;
 import ringspindle.config.Validated.Invalid;
 import ringspindle.config.Validated.Valid;
 
-/** A configuration of the operator, read and checked. */
+/** The configuration of the fleet as an operator sends it: valid, immutable, with a revision. */
 public final class FleetConfig {
-    private static final JsonReaderFactory READERS =
-            Json.createReaderFactory(Map.of(JsonConfig.KEY_STRATEGY, JsonConfig.KeyStrategy.NONE));
-
-    /** A share of a mapping's requests. */
+    /**
+     * A service that gets a part of a route's requests.
+     *
+     * @param weight its part, in proportion to the weights of the other targets
+     */
     public record Target(String service, double weight) {}
 
-    /** Where requests of a host and prefix go. */
+    /**
+     * Where the requests of a host and path prefix go, and how.
+     *
+     * @param deadlineMs milliseconds that a request may take in all
+     * @param aimMs the target latency in milliseconds
+     * @param priority greater is more urgent
+     * @param targets the services, at least one
+     * @param maxAttempts how often a request may be sent to engines, at least 1
+     * @param resumable whether a broken stream may be resumed on another engine
+     * @param sticky whether requests with the same key go to the same engine
+     * @param tokenGapMs milliseconds without a token after which a stream counts as stuck
+     * @param homes the only regions that may serve it, empty for all
+     */
     public record Route(
             String name,
             String host,
@@ -57,20 +51,32 @@
             boolean sticky,
             int tokenGapMs,
             Set<String> homes) {
-        /** True where a request may run more than once; {@code mapping.repeatable()}. */
+        /** True if a request may safely run more than once. */
         public boolean repeatable() {
             return kind == Kind.IDEMPOTENT || resumable;
         }
     }
 
-    /** What may be repeated. */
+    /** What a route's requests do, which decides whether they may be sent again. */
     public enum Kind {
+        /** A request may run any number of times. */
         IDEMPOTENT,
+        /** A request must not run twice. */
         MUTATING,
+        /** The response is a stream of events. */
         STREAMING
     }
 
-    /** Engines of one sort. */
+    /**
+     * Engines that can stand in for each other.
+     *
+     * @param healthPath the path of their health check
+     * @param maxConnections connections that a data node opens to one engine at most
+     * @param warmupS seconds of slow start, 0 for none
+     * @param warmupPerS further seconds of slow start by second out of service
+     * @param cacheTokens tokens that an engine's prefix cache holds, 0 if not known
+     * @param capacity requests that an engine runs at a time, 0 if not known
+     */
     public record Service(
             String name,
             String healthPath,
@@ -80,232 +86,100 @@
             long cacheTokens,
             int capacity) {}
 
-    /** What a consumer may send and how long it may take. */
+    /**
+     * What a client may send, in bytes, and how long it may take, in milliseconds.
+     *
+     * @param headerMs until the header is complete
+     * @param idleMs without any byte
+     */
     public record Limits(int headerBytes, int bodyBytes, int headerMs, int idleMs) {}
 
+    private static final Comparator<Route> LONGEST_PREFIX_FIRST = Comparator.comparingInt(
+                    (Route route) -> route.pathPrefix().length())
+            .reversed();
+
     private final JsonObject source;
     private final long revision;
-    private final Map<String, List<Route>> byHost = new HashMap<>();
+    private final Map<String, List<Route>> routesByHost = new HashMap<>();
     private final Map<String, Service> services = new HashMap<>();
     private final Limits limits;
 
-    private FleetConfig(JsonObject source, long revision, List<Route> mappings, List<Service> services, Limits limits) {
+    FleetConfig(JsonObject source, long revision, List<Route> routes, List<Service> services, Limits limits) {
         this.source = source;
         this.revision = revision;
         this.limits = limits;
-        for (Route m : mappings) {
-            byHost.computeIfAbsent(m.host().toLowerCase(Locale.ROOT), k -> new ArrayList<>())
-                    .add(m);
+        for (Route route : routes) {
+            routesByHost
+                    .computeIfAbsent(lowerCase(route.host()), host -> new ArrayList<>())
+                    .add(route);
         }
-        byHost.values()
-                .forEach(l -> l.sort(
-                        Comparator.comparingInt((Route m) -> -m.pathPrefix().length())));
-        services.forEach(s -> this.services.put(s.name(), s));
+        routesByHost.values().forEach(ofHost -> ofHost.sort(LONGEST_PREFIX_FIRST));
+        services.forEach(service -> this.services.put(service.name(), service));
     }
 
-    /** Reads JSON strictly, duplicate keys refused; {@code FleetConfig.json("{}".getBytes())}. */
+    /** Reads a JSON object; duplicate keys are an error. */
     public static Validated<JsonObject> json(byte[] body) {
-        try (JsonReader r = READERS.createReader(new InputStreamReader(new ByteArrayInputStream(body), UTF_8))) {
-            return new Valid<>(r.readObject());
-        } catch (RuntimeException x) {
-            return Validated.refused(new ConfigError.Unreadable(
-                    "not a whole JSON object: " + x.getClass().getSimpleName()));
-        }
+        return StrictJson.read(body);
     }
 
-    /** Reads and checks a whole configuration; {@code FleetConfig.read(bytes)}. */
+    /** Reads and validates a whole configuration. */
     public static Validated<FleetConfig> read(byte[] body) {
-        Validated<JsonObject> j = json(body);
-        if (j instanceof Invalid<JsonObject> bad) {
-            return new Invalid<>(bad.problems());
+        Validated<JsonObject> json = json(body);
+        if (json instanceof Invalid<JsonObject> invalid) {
+            return new Invalid<>(invalid.errors());
         }
-        return check(((Valid<JsonObject>) j).value());
+        return check(((Valid<JsonObject>) json).value());
     }
 
-    /** Checks a whole configuration; {@code FleetConfig.check(object)}. */
-    public static Validated<FleetConfig> check(JsonObject o) {
-        try {
-            return checked(o);
-        } catch (ClassCastException | NullPointerException | ArithmeticException x) {
-            return Validated.refused(new ConfigError.Unreadable("a field is missing or of the wrong type"));
-        }
+    /** Validates a whole configuration. */
+    public static Validated<FleetConfig> check(JsonObject document) {
+        return FleetConfigParser.parse(document);
     }
 
-    private static Validated<FleetConfig> checked(JsonObject o) {
-        List<ConfigError> problems = new ArrayList<>();
-        if (!(o.get("revision") instanceof JsonNumber rev) || !rev.isIntegral()) {
-            return Validated.refused(new ConfigError.Missing("revision"));
-        }
-        List<Service> services = new ArrayList<>();
-        Set<String> serviceNames = new HashSet<>();
-        for (JsonObject s : objects(o, "services")) {
-            String name = s.getString("name");
-            if (!serviceNames.add(name)) {
-                problems.add(new ConfigError.SameName(name));
-            }
-            JsonObject engine = s.get("engine") instanceof JsonObject e ? e : JsonValue.EMPTY_JSON_OBJECT;
-            services.add(new Service(
-                    name,
-                    s.getString("healthPath", "/health"),
-                    s.getInt("maxConnections", 100),
-                    number(s, "warmupS", 0),
-                    number(s, "warmupPerS", 0),
-                    (long) number(engine, "cacheTokens", 0),
-                    (int) number(engine, "capacity", 0)));
-        }
-        List<Route> mappings = new ArrayList<>();
-        Map<String, String> places = new HashMap<>();
-        Set<String> names = new HashSet<>();
-        for (JsonObject r : objects(o, "routes")) {
-            String name = r.getString("name");
-            if (!names.add(name)) {
-                problems.add(new ConfigError.SameName(name));
-            }
-            List<Target> targets = new ArrayList<>();
-            if (r.get("weightedTargets") instanceof JsonArray a) {
-                double sum = 0;
-                for (JsonObject t : a.getValuesAs(JsonObject.class)) {
-                    double weight = number(t, "weight", 0);
-                    sum += weight;
-                    targets.add(new Target(t.getString("service"), weight));
-                }
-                if (!(sum > 0)) {
-                    problems.add(new ConfigError.NoWeight(name));
-                }
-            } else {
-                targets.add(new Target(r.getString("service"), 1));
-            }
-            for (Target t : targets) {
-                if (!serviceNames.contains(t.service())) {
-                    problems.add(new ConfigError.UnknownService(name, t.service()));
-                }
-            }
-            String host = r.getString("host");
-            String prefix = r.getString("pathPrefix");
-            String other = places.put(host.toLowerCase(Locale.ROOT) + " " + prefix, name);
-            if (other != null) {
-                problems.add(new ConfigError.SamePlace(other, name));
-            }
-            int deadlineMs = (int) number(r, "deadlineMs", 0);
-            if (deadlineMs <= 0) {
-                problems.add(new ConfigError.NoDeadline(name));
-            }
-            Set<String> homes = new TreeSet<>();
-            if (r.get("homeRegions") instanceof JsonArray a) {
-                a.getValuesAs(JsonString.class).forEach(h -> homes.add(h.getString()));
-            }
-            Kind kind =
-                    switch (r.getString("routeKind", "mutating")) {
-                        case "idempotent" -> Kind.IDEMPOTENT;
-                        case "streaming" -> Kind.STREAMING;
-                        default -> Kind.MUTATING;
-                    };
-            mappings.add(new Route(
-                    name,
-                    host,
-                    prefix,
-                    kind,
-                    deadlineMs,
-                    (int) number(r, "targetLatencyMs", 1000),
-                    (int) number(r, "priority", 0),
-                    List.copyOf(targets),
-                    Math.max(1, (int) number(r, "maxAttempts", 1)),
-                    r.getBoolean("resumable", false),
-                    r.getBoolean("sticky", false),
-                    (int) number(r, "tokenGapMs", 1000),
-                    Set.copyOf(homes)));
-        }
-        JsonObject l = o.get("limits") instanceof JsonObject x ? x : JsonValue.EMPTY_JSON_OBJECT;
-        Limits limits = new Limits(
-                (int) number(l, "maxHeaderBytes", 16384),
-                (int) number(l, "maxBodyBytes", 4 << 20),
-                (int) number(l, "headerTimeoutMs", 3000),
-                (int) number(l, "idleTimeoutMs", 15000));
-        if (!problems.isEmpty()) {
-            return new Invalid<>(problems);
-        }
-        return new Valid<>(new FleetConfig(o, rev.longValueExact(), mappings, services, limits));
-    }
-
-    /** Puts the named items of a PATCH on top of this one and checks the whole; {@code config.patched(patch)}. */
+    /** Puts the named items of a patch in place of this configuration's, and validates the result. */
     public Validated<FleetConfig> patched(JsonObject patch) {
-        try {
-            return patch(patch);
-        } catch (ClassCastException | NullPointerException x) {
-            return Validated.refused(new ConfigError.Unreadable("a field is missing or of the wrong type"));
-        }
-    }
-
-    private Validated<FleetConfig> patch(JsonObject patch) {
-        if (!(patch.get("revision") instanceof JsonNumber)) {
-            return Validated.refused(new ConfigError.Missing("revision"));
-        }
-        JsonObjectBuilder out = Json.createObjectBuilder(source).add("revision", patch.get("revision"));
-        JsonObject upserts = patch.get("upserts") instanceof JsonObject u ? u : JsonValue.EMPTY_JSON_OBJECT;
-        JsonObject removals = patch.get("removals") instanceof JsonObject u ? u : JsonValue.EMPTY_JSON_OBJECT;
-        Set<String> keys = new TreeSet<>(upserts.keySet());
-        keys.addAll(removals.keySet());
-        for (String key : keys) {
-            if (upserts.get(key) instanceof JsonObject whole) {
-                out.add(key, whole);
-                continue;
-            }
-            Map<String, JsonObject> items = new LinkedHashMap<>();
-            for (JsonObject i : objects(source, key)) {
-                items.put(i.getString("name"), i);
-            }
-            if (removals.get(key) instanceof JsonArray a) {
-                a.getValuesAs(JsonString.class).forEach(n -> items.remove(n.getString()));
-            }
-            Set<String> seen = new HashSet<>();
-            for (JsonObject i : objects(upserts, key)) {
-                if (!seen.add(i.getString("name"))) {
-                    return Validated.refused(new ConfigError.SameName(i.getString("name")));
-                }
-                items.put(i.getString("name"), i);
-            }
-            JsonArrayBuilder list = Json.createArrayBuilder();
-            items.values().forEach(list::add);
-            out.add(key, list);
-        }
-        return check(out.build());
-    }
-
-    private static List<JsonObject> objects(JsonObject o, String key) {
-        JsonArray a = o.getJsonArray(key);
-        return a == null ? List.of() : a.getValuesAs(JsonObject.class);
+        return FleetConfigPatch.apply(patch, source);
     }
 
-    private static double number(JsonObject o, String key, double otherwise) {
-        JsonValue v = o.get(key);
-        return v == null || v == JsonValue.NULL ? otherwise : ((JsonNumber) v).doubleValue();
-    }
-
-    /** Its version; {@code config.revision()} of the example in the docs is 7. */
+    /** The revision, greater than that of the configuration it replaced. */
     public long revision() {
         return revision;
     }
 
-    /** The limits for consumers; {@code config.limits().bodyBytes()}. */
+    /** The limits for clients. */
     public Limits limits() {
         return limits;
     }
 
-    /** A service by name, null if there is none; {@code config.service("huvo11a")}. */
+    /** A service by its name, null if there is none. */
     public Service service(String name) {
         return services.get(name);
     }
 
-    /** All services; {@code config.services().size()}. */
+    /** All services, in no order. */
     public Collection<Service> services() {
         return services.values();
     }
 
-    /** All mappings; {@code config.mappings().get(0).name()}. */
-    public List<Route> mappings() {
-        List<Route> all = new ArrayList<>();
-        byHost.values().forEach(all::addAll);
-        return all;
+    /** All routes; those of a host together, longest prefix first. */
+    public List<Route> routes() {
+        List<Route> routes = new ArrayList<>();
+        routesByHost.values().forEach(routes::addAll);
+        return routes;
+    }
+
+    /**
+     * The route with the longest prefix of a path, null if there is none.
+     *
+     * @param host the request's Host, with or without a port; null if it has none
+     */
+    public Route find(String host, String path) {
+        for (Route route : routesOf(host)) {
+            if (path.startsWith(route.pathPrefix())) {
+                return route;
+            }
+        }
+        return null;
     }
 
     /**
@@ -327,56 +201,44 @@
         return common == null ? Set.of() : common;
     }
 
-    /** The mapping with the longest prefix, null if there is none; {@code config.find("a.example", "/x/2f")}. */
-    public Route find(String host, String path) {
-        for (Route route : routesOf(host)) {
-            if (path.startsWith(route.pathPrefix())) {
-                return route;
-            }
-        }
-        return null;
-    }
-
     /** The routes of a host, longest prefix first. */
     private List<Route> routesOf(String host) {
         if (host == null) {
             return List.of();
         }
-        List<Route> routes = byHost.get(host.toLowerCase(Locale.ROOT));
+        List<Route> routes = routesByHost.get(lowerCase(host));
         if (routes == null && host.indexOf(':') > 0) {
             // the port in Host is the node's, not the route's
-            routes = byHost.get(host.substring(0, host.lastIndexOf(':')).toLowerCase(Locale.ROOT));
+            routes = routesByHost.get(lowerCase(host.substring(0, host.lastIndexOf(':'))));
         }
         return routes == null ? List.of() : routes;
     }
 
-    /** The JSON as sent; {@code config.source().getInt("revision")}. */
+    private static String lowerCase(String host) {
+        return host.toLowerCase(Locale.ROOT);
+    }
+
+    /** The JSON as sent. */
     public JsonObject source() {
         return source;
     }
 
-    /** Packed JSON, as it is kept and passed on; {@code FleetConfig.unpack(config.packed())}. */
+    /** The JSON, compressed, as it is stored and passed on. */
     public byte[] packed() {
         return pack(source.toString().getBytes(UTF_8));
     }
 
-    /** {@code FleetConfig.pack(bytes)} deflates. */
+    /** Compresses a document. */
     public static byte[] pack(byte[] plain) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (DeflaterOutputStream d = new DeflaterOutputStream(out)) {
-            d.write(plain);
-        } catch (IOException x) {
-            throw new UncheckedIOException(x);
-        }
-        return out.toByteArray();
+        return Compression.deflate(plain);
     }
 
-    /** {@code FleetConfig.unpack(FleetConfig.pack(b))} equals b. */
+    /**
+     * The document that was compressed.
+     *
+     * @throws java.io.UncheckedIOException if {@code packed} is nothing that {@link #pack} made
+     */
     public static byte[] unpack(byte[] packed) {
-        try (InflaterInputStream i = new InflaterInputStream(new ByteArrayInputStream(packed))) {
-            return i.readAllBytes();
-        } catch (IOException x) {
-            throw new UncheckedIOException(x);
-        }
+        return Compression.inflate(packed);
     }
 }
--- a/src/main/java/ringspindle/config/NodeConfig.java
+++ b/src/main/java/ringspindle/config/NodeConfig.java
@@ -4,18 +4,42 @@
 import java.io.Reader;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.Collections;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Properties;
-import java.util.TreeMap;
-import ringspindle.config.Validated.Invalid;
-import ringspindle.config.Validated.Valid;
 import ringspindle.protocol.NodeId;
 
-/** The checked settings of one node. */
+/**
+ * The valid settings of one node; {@code deploy/node.conf} says what each is for.
+ *
+ * @param name the node's name, for people
+ * @param ip the IPv4 address at which other nodes reach it
+ * @param zone its zone
+ * @param region its region
+ * @param bootstrap whether it may found the control plane's first view
+ * @param dataPath the folder of its stored data, empty for none
+ * @param frontend endpoint for clients, of a data node
+ * @param readiness endpoint that tells whether the node is ready, of a data node
+ * @param control endpoint for operators and engines, of a control node
+ * @param registry endpoint for look-ups of data nodes, of a control node
+ * @param innerPort the port for other nodes
+ * @param seeds endpoints of control nodes to start from, at least one
+ * @param regionOfZone the regions by their zones
+ * @param memoryMb memory of the process in MiB
+ * @param engineBeatMs milliseconds between heartbeats of an engine
+ * @param contactMs milliseconds without contact after which a peer counts as lost
+ * @param drainMs milliseconds for requests in flight when an engine leaves
+ * @param graceS seconds for the node's own shutdown
+ * @param retryRatio retries by first attempts that the retry budget allows
+ * @param retryWindowS seconds over which the retry budget counts
+ * @param retrySlack retries that the budget allows besides
+ * @param warmupOverrun factor by which an engine in slow start may exceed its load
+ * @param warmupSlack requests by which it may exceed it besides
+ * @param evacuationMs milliseconds until an evacuation is in force everywhere
+ * @param ttlS seconds for which clients may keep addresses of data nodes
+ * @param lossesBorne control nodes and disks that may be lost at once
+ */
 public record NodeConfig(
         String name,
         String ip,
@@ -44,130 +68,55 @@
         double ttlS,
         int lossesBorne) {
 
-    /** Reads and checks the file; {@code NodeConfig.read(Path.of("node.conf"))}. */
+    /** Reads and validates a settings file, in the format of Java's properties. */
     public static Validated<NodeConfig> read(Path file) {
-        Properties p = new Properties();
-        try (Reader r = Files.newBufferedReader(file)) {
-            p.load(r);
-        } catch (IOException | IllegalArgumentException x) {
-            return Validated.refused(new ConfigError.Unreadable(file + ": " + x.getMessage()));
+        Properties properties = new Properties();
+        try (Reader reader = Files.newBufferedReader(file)) {
+            properties.load(reader);
+        } catch (IOException | IllegalArgumentException unreadable) {
+            return Validated.refused(new ConfigError.Unreadable(file + ": " + unreadable.getMessage()));
         }
-        return check(p);
+        return check(properties);
     }
 
-    /** Checks values by name; unknown names are ignored: {@code NodeConfig.check(properties)}. */
-    public static Validated<NodeConfig> check(Properties p) {
-        Reader1 r = new Reader1(p);
-        Map<String, String> zones = new TreeMap<>();
-        for (String k : p.stringPropertyNames()) {
-            if (k.startsWith("zone.")) {
-                zones.put(k.substring(5), p.getProperty(k).trim());
-            }
-        }
-        String ip = r.text("node.ip");
-        String[] ports = p.getProperty("listen.inner", "").trim().split(",");
-        int inner = 0;
-        try {
-            inner = Integer.parseInt(ports[0].trim());
-        } catch (NumberFormatException x) {
-            r.problems.add(new ConfigError.Bad("listen.inner", p.getProperty("listen.inner"), "ports"));
-        }
-        if (!ip.isEmpty()) {
-            try {
-                NodeId.of(ip + ":1");
-            } catch (RuntimeException x) {
-                r.problems.add(new ConfigError.Bad("node.ip", ip, "an IPv4 address"));
-            }
-        }
-        List<NodeId> seeds = new ArrayList<>();
-        for (String s : p.getProperty("seeds", "").split(",")) {
-            if (!s.isBlank()) {
-                r.address("seeds", s).ifPresent(seeds::add);
-            }
-        }
-        if (seeds.isEmpty()) {
-            r.problems.add(new ConfigError.Missing("seeds"));
-        }
-        NodeConfig c = new NodeConfig(
-                r.text("node.name"),
-                ip,
-                r.text("node.zone"),
-                r.text("node.region"),
-                Boolean.parseBoolean(p.getProperty("node.bootstrap", "false").trim()),
-                p.getProperty("node.data", "").trim(),
-                r.maybe("listen.frontend"),
-                r.maybe("listen.readiness"),
-                r.maybe("listen.control"),
-                r.maybe("listen.registry"),
-                inner,
-                List.copyOf(seeds),
-                Collections.unmodifiableMap(zones),
-                (int) r.number("limit.memoryMb", 512),
-                (int) r.number("engine.beatMs", 1000),
-                (int) r.number("bound.contactMs", 4000),
-                (int) r.number("bound.drainMs", 2500),
-                r.number("bound.graceS", 8),
-                r.number("bound.retryRatio", 0.1),
-                r.number("bound.retryWindowS", 10),
-                (int) r.number("bound.retrySlack", 0),
-                r.number("bound.warmupOverrun", 1),
-                (int) r.number("bound.warmupSlack", 0),
-                (int) r.number("bound.evacuationMs", 5000),
-                r.number("bound.ttlS", 5),
-                (int) r.number("loss.nodes", 1));
-        return r.problems.isEmpty() ? new Valid<>(c) : new Invalid<>(List.copyOf(r.problems));
+    /** Validates settings; unknown keys are ignored. */
+    public static Validated<NodeConfig> check(Properties properties) {
+        return new NodeConfigReader(properties).read();
     }
 
-    /** The region of a zone, empty if unknown; {@code config.regionOf("ahd-halla")}. */
+    /** The region of a zone, empty if it is not known. */
     public String regionOf(String zone) {
         return regionOfZone.getOrDefault(zone, "");
     }
 
-    private static final class Reader1 {
-        final Properties p;
-        final List<ConfigError> problems = new ArrayList<>();
-
-        Reader1(Properties p) {
-            this.p = p;
-        }
-
-        String text(String key) {
-            String v = p.getProperty(key, "").trim();
-            if (v.isEmpty()) {
-                problems.add(new ConfigError.Missing(key));
-            }
-            return v;
-        }
-
-        double number(String key, double otherwise) {
-            String v = p.getProperty(key, "").trim();
-            if (v.isEmpty()) {
-                return otherwise;
-            }
-            try {
-                double d = Double.parseDouble(v);
-                if (d >= 0) {
-                    return d;
-                }
-            } catch (NumberFormatException x) {
-                // named below
-            }
-            problems.add(new ConfigError.Bad(key, v, "a number of 0 or more"));
-            return otherwise;
-        }
-
-        Optional<NodeId> maybe(String key) {
-            String v = p.getProperty(key, "").trim();
-            return v.isEmpty() ? Optional.empty() : address(key, v);
-        }
-
-        Optional<NodeId> address(String key, String v) {
-            try {
-                return Optional.of(NodeId.of(v.trim()));
-            } catch (RuntimeException x) {
-                problems.add(new ConfigError.Bad(key, v, "ip:port"));
-                return Optional.empty();
-            }
-        }
+    /** These settings, with those of {@code next} that can change in a running node. */
+    NodeConfig withReloadable(NodeConfig next) {
+        return new NodeConfig(
+                name,
+                ip,
+                zone,
+                region,
+                bootstrap,
+                dataPath,
+                frontend,
+                readiness,
+                control,
+                registry,
+                innerPort,
+                next.seeds,
+                next.regionOfZone,
+                memoryMb,
+                next.engineBeatMs,
+                next.contactMs,
+                next.drainMs,
+                next.graceS,
+                next.retryRatio,
+                next.retryWindowS,
+                next.retrySlack,
+                next.warmupOverrun,
+                next.warmupSlack,
+                next.evacuationMs,
+                next.ttlS,
+                lossesBorne);
     }
 }
--- /dev/null
+++ b/src/main/java/ringspindle/config/NodeConfigReader.java
@@ -0,0 +1,157 @@
+package ringspindle.config;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Properties;
+import java.util.TreeMap;
+import ringspindle.config.Validated.Invalid;
+import ringspindle.config.Validated.Valid;
+import ringspindle.protocol.NodeId;
+
+/** Reads the settings of a node by their keys, and collects all errors on the way. */
+final class NodeConfigReader {
+    private static final String ZONE_PREFIX = "zone.";
+
+    private final Properties properties;
+    private final List<ConfigError> errors = new ArrayList<>();
+
+    NodeConfigReader(Properties properties) {
+        this.properties = properties;
+    }
+
+    Validated<NodeConfig> read() {
+        String ip = required("node.ip");
+        int innerPort = innerPort();
+        checkIp(ip);
+        List<NodeId> seeds = seeds();
+        NodeConfig config = new NodeConfig(
+                required("node.name"),
+                ip,
+                required("node.zone"),
+                required("node.region"),
+                Boolean.parseBoolean(text("node.bootstrap")),
+                text("node.data"),
+                endpoint("listen.frontend"),
+                endpoint("listen.readiness"),
+                endpoint("listen.control"),
+                endpoint("listen.registry"),
+                innerPort,
+                seeds,
+                regionsByZone(),
+                integer("limit.memoryMb", 512),
+                integer("engine.beatMs", 1000),
+                integer("bound.contactMs", 4000),
+                integer("bound.drainMs", 2500),
+                number("bound.graceS", 8),
+                number("bound.retryRatio", 0.1),
+                number("bound.retryWindowS", 10),
+                integer("bound.retrySlack", 0),
+                number("bound.warmupOverrun", 1),
+                integer("bound.warmupSlack", 0),
+                integer("bound.evacuationMs", 5000),
+                number("bound.ttlS", 5),
+                integer("loss.nodes", 1));
+        return errors.isEmpty() ? new Valid<>(config) : new Invalid<>(List.copyOf(errors));
+    }
+
+    private void checkIp(String ip) {
+        if (ip.isEmpty()) {
+            return;
+        }
+        try {
+            NodeId.of(ip + ":1");
+        } catch (RuntimeException malformed) {
+            errors.add(new ConfigError.InvalidValue("node.ip", ip, "an IPv4 address"));
+        }
+    }
+
+    /** The first of the ports that are given. */
+    private int innerPort() {
+        String[] ports = text("listen.inner").split(",", -1);
+        try {
+            return Integer.parseInt(ports[0].trim());
+        } catch (NumberFormatException malformed) {
+            errors.add(new ConfigError.InvalidValue("listen.inner", properties.getProperty("listen.inner"), "ports"));
+            return 0;
+        }
+    }
+
+    private List<NodeId> seeds() {
+        List<NodeId> seeds = new ArrayList<>();
+        for (String seed : text("seeds").split(",", -1)) {
+            if (!seed.isBlank()) {
+                endpoint("seeds", seed).ifPresent(seeds::add);
+            }
+        }
+        if (seeds.isEmpty()) {
+            errors.add(new ConfigError.Missing("seeds"));
+        }
+        return List.copyOf(seeds);
+    }
+
+    private Map<String, String> regionsByZone() {
+        Map<String, String> regions = new TreeMap<>();
+        for (String key : properties.stringPropertyNames()) {
+            if (key.startsWith(ZONE_PREFIX)) {
+                regions.put(key.substring(ZONE_PREFIX.length()), text(key));
+            }
+        }
+        return Collections.unmodifiableMap(regions);
+    }
+
+    /** A value without the space around it, empty if the key is not there. */
+    private String text(String key) {
+        return properties.getProperty(key, "").trim();
+    }
+
+    private String required(String key) {
+        String value = text(key);
+        if (value.isEmpty()) {
+            errors.add(new ConfigError.Missing(key));
+        }
+        return value;
+    }
+
+    private int integer(String key, int otherwise) {
+        return (int) number(key, otherwise);
+    }
+
+    private double number(String key, double otherwise) {
+        String value = text(key);
+        if (value.isEmpty()) {
+            return otherwise;
+        }
+        double number = parsed(value);
+        if (number >= 0) {
+            return number;
+        }
+        errors.add(new ConfigError.InvalidValue(key, value, "a number of 0 or more"));
+        return otherwise;
+    }
+
+    /** The number, NaN if the text is none. */
+    private static double parsed(String text) {
+        try {
+            return Double.parseDouble(text);
+        } catch (NumberFormatException malformed) {
+            return Double.NaN;
+        }
+    }
+
+    private Optional<NodeId> endpoint(String key) {
+        String value = text(key);
+        return value.isEmpty() ? Optional.empty() : endpoint(key, value);
+    }
+
+    private Optional<NodeId> endpoint(String key, String value) {
+        try {
+            return Optional.of(NodeId.of(value.trim()));
+        } catch (RuntimeException malformed) {
+            errors.add(new ConfigError.InvalidValue(key, value, "ip:port"));
+            return Optional.empty();
+        }
+    }
+}
--- a/src/main/java/ringspindle/config/Settings.java
+++ b/src/main/java/ringspindle/config/Settings.java
@@ -1,119 +1,106 @@
 package ringspindle.config;
 
-import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.function.Function;
+import ringspindle.config.Validated.Invalid;
+import ringspindle.config.Validated.Valid;
 
-/** The settings in force in a running node, and what a changed file changes in them. */
+/** The settings in force in a running node, and what a changed file changes in them. Thread safe. */
 public final class Settings {
-    /** Told when settings that can be taken over while running have changed. */
+    /** Hears of settings that change while the node runs. */
     public interface Listener {
         /** Takes the settings that are in force from now on. */
-        void settings(NodeConfig c);
+        void settings(NodeConfig config);
     }
 
     /**
      * What became of a changed file.
      *
-     * @param taken settings that are in force from now on
-     * @param restart settings that differ and wait for a restart of the process
-     * @param problems why nothing was taken, empty if the file is good
+     * @param taken keys of settings that are in force from now on
+     * @param restart keys of settings that differ and wait for a restart of the process
+     * @param errors why nothing was taken, empty if the file is valid
      */
-    public record Reload(List<String> taken, List<String> restart, List<ConfigError> problems) {}
+    public record Reload(List<String> taken, List<String> restart, List<ConfigError> errors) {}
+
+    private record Setting(String key, Function<NodeConfig, Object> value) {
+        boolean differs(NodeConfig one, NodeConfig other) {
+            return !value.apply(one).equals(value.apply(other));
+        }
+    }
+
+    private static final List<Setting> NEED_RESTART = List.of(
+            new Setting("node.name", NodeConfig::name),
+            new Setting("node.ip", NodeConfig::ip),
+            new Setting("node.zone", NodeConfig::zone),
+            new Setting("node.region", NodeConfig::region),
+            new Setting("node.data", NodeConfig::dataPath),
+            new Setting("listen.frontend", NodeConfig::frontend),
+            new Setting("listen.readiness", NodeConfig::readiness),
+            new Setting("listen.control", NodeConfig::control),
+            new Setting("listen.registry", NodeConfig::registry),
+            new Setting("listen.inner", NodeConfig::innerPort),
+            new Setting("limit.memoryMb", NodeConfig::memoryMb),
+            new Setting("loss.nodes", NodeConfig::lossesBorne));
+
+    /** As in {@link NodeConfig#withReloadable}. */
+    private static final List<Setting> RELOADABLE = List.of(
+            new Setting("seeds", NodeConfig::seeds),
+            new Setting("zone", NodeConfig::regionOfZone),
+            new Setting("engine.beatMs", NodeConfig::engineBeatMs),
+            new Setting("bound.contactMs", NodeConfig::contactMs),
+            new Setting("bound.drainMs", NodeConfig::drainMs),
+            new Setting("bound.graceS", NodeConfig::graceS),
+            new Setting("bound.retryRatio", NodeConfig::retryRatio),
+            new Setting("bound.retryWindowS", NodeConfig::retryWindowS),
+            new Setting("bound.retrySlack", NodeConfig::retrySlack),
+            new Setting("bound.warmupOverrun", NodeConfig::warmupOverrun),
+            new Setting("bound.warmupSlack", NodeConfig::warmupSlack),
+            new Setting("bound.evacuationMs", NodeConfig::evacuationMs),
+            new Setting("bound.ttlS", NodeConfig::ttlS));
 
     private NodeConfig now;
     private final List<Listener> listeners = new CopyOnWriteArrayList<>();
 
-    /** {@code new Settings(config)} holds what the node was started with. */
+    /** The settings that the node was started with. */
     public Settings(NodeConfig now) {
         this.now = now;
     }
 
-    /** What is in force. */
+    /** The settings in force. */
     public synchronized NodeConfig now() {
         return now;
     }
 
-    /** Who wants to hear of changes; {@code settings.listen(loadBalancer::updateSettings)}. */
-    public void listen(Listener l) {
-        listeners.add(l);
+    /** Adds a listener, which hears of changes from now on. */
+    public void listen(Listener listener) {
+        listeners.add(listener);
     }
 
-    /** The file was read again; {@code settings.reload(NodeConfig.read(file)).restart()} names what needs a restart. */
+    /** Takes what can be taken of a file that was read again; listeners are called without a lock. */
     public Reload reload(Validated<NodeConfig> file) {
-        if (file instanceof Validated.Invalid<NodeConfig> bad) {
-            return new Reload(List.of(), List.of(), bad.problems());
+        if (file instanceof Invalid<NodeConfig> invalid) {
+            return new Reload(List.of(), List.of(), invalid.errors());
         }
-        NodeConfig next = ((Validated.Valid<NodeConfig>) file).value();
-        List<String> restart = new ArrayList<>();
+        NodeConfig next = ((Valid<NodeConfig>) file).value();
+        NodeConfig before;
         NodeConfig merged;
-        List<String> taken;
         synchronized (this) {
-            NodeConfig o = now;
-            differs(restart, "node.name", o.name(), next.name());
-            differs(restart, "node.ip", o.ip(), next.ip());
-            differs(restart, "node.zone", o.zone(), next.zone());
-            differs(restart, "node.region", o.region(), next.region());
-            differs(restart, "node.data", o.dataPath(), next.dataPath());
-            differs(restart, "listen.frontend", o.frontend(), next.frontend());
-            differs(restart, "listen.readiness", o.readiness(), next.readiness());
-            differs(restart, "listen.control", o.control(), next.control());
-            differs(restart, "listen.registry", o.registry(), next.registry());
-            differs(restart, "listen.inner", o.innerPort(), next.innerPort());
-            differs(restart, "limit.memoryMb", o.memoryMb(), next.memoryMb());
-            differs(restart, "loss.nodes", o.lossesBorne(), next.lossesBorne());
-            taken = new ArrayList<>();
-            differs(taken, "seeds", o.seeds(), next.seeds());
-            differs(taken, "zone", o.regionOfZone(), next.regionOfZone());
-            differs(taken, "engine.beatMs", o.engineBeatMs(), next.engineBeatMs());
-            differs(taken, "bound.contactMs", o.contactMs(), next.contactMs());
-            differs(taken, "bound.drainMs", o.drainMs(), next.drainMs());
-            differs(taken, "bound.graceS", o.graceS(), next.graceS());
-            differs(taken, "bound.retryRatio", o.retryRatio(), next.retryRatio());
-            differs(taken, "bound.retryWindowS", o.retryWindowS(), next.retryWindowS());
-            differs(taken, "bound.retrySlack", o.retrySlack(), next.retrySlack());
-            differs(taken, "bound.warmupOverrun", o.warmupOverrun(), next.warmupOverrun());
-            differs(taken, "bound.warmupSlack", o.warmupSlack(), next.warmupSlack());
-            differs(taken, "bound.evacuationMs", o.evacuationMs(), next.evacuationMs());
-            differs(taken, "bound.ttlS", o.ttlS(), next.ttlS());
-            merged = new NodeConfig(
-                    o.name(),
-                    o.ip(),
-                    o.zone(),
-                    o.region(),
-                    o.bootstrap(),
-                    o.dataPath(),
-                    o.frontend(),
-                    o.readiness(),
-                    o.control(),
-                    o.registry(),
-                    o.innerPort(),
-                    next.seeds(),
-                    next.regionOfZone(),
-                    o.memoryMb(),
-                    next.engineBeatMs(),
-                    next.contactMs(),
-                    next.drainMs(),
-                    next.graceS(),
-                    next.retryRatio(),
-                    next.retryWindowS(),
-                    next.retrySlack(),
-                    next.warmupOverrun(),
-                    next.warmupSlack(),
-                    next.evacuationMs(),
-                    next.ttlS(),
-                    o.lossesBorne());
+            before = now;
+            merged = before.withReloadable(next);
             now = merged;
         }
+        List<String> taken = differing(RELOADABLE, before, next);
         if (!taken.isEmpty()) {
-            listeners.forEach(l -> l.settings(merged));
+            listeners.forEach(listener -> listener.settings(merged));
         }
-        return new Reload(List.copyOf(taken), List.copyOf(restart), List.of());
+        return new Reload(taken, differing(NEED_RESTART, before, next), List.of());
     }
 
-    private static void differs(List<String> names, String name, Object was, Object is) {
-        if (!was.equals(is)) {
-            names.add(name);
-        }
+    private static List<String> differing(List<Setting> settings, NodeConfig before, NodeConfig next) {
+        return settings.stream()
+                .filter(setting -> setting.differs(before, next))
+                .map(Setting::key)
+                .toList();
     }
 }
--- a/src/main/java/ringspindle/config/Validated.java
+++ b/src/main/java/ringspindle/config/Validated.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** A value, or what is wrong with it. */
+/** The result of a validation: a valid value, or the errors for which there is none. */
 public sealed interface Validated<T> {
     /** A value that passed all checks. */
     record Valid<T>(T value) implements Validated<T> {}
 
-    /** The problems for which there is no value. */
-    record Invalid<T>(List<ConfigError> problems) implements Validated<T> {}
+    /** All errors that were found, at least one. */
+    record Invalid<T>(List<ConfigError> errors) implements Validated<T> {}
 
-    /** {@code Validated.refused(new ConfigError.Missing("node.zone"))}. */
-    static <T> Validated<T> refused(ConfigError... p) {
-        return new Invalid<>(List.of(p));
+    /** A result with these errors. */
+    static <T> Validated<T> refused(ConfigError... errors) {
+        return new Invalid<>(List.of(errors));
     }
 }
--- a/src/main/java/ringspindle/controlplane/RulesResource.java
+++ b/src/main/java/ringspindle/controlplane/RulesResource.java
@@ -61,7 +61,7 @@
     private List<ConfigError> errors(byte[] body) {
         Validated<ServingRules> read = ServingRules.read(body);
         if (read instanceof Validated.Invalid<ServingRules> invalid) {
-            return invalid.problems();
+            return invalid.errors();
         }
         ServingRules rules = ((Validated.Valid<ServingRules>) read).value();
         return ServingRulesValidator.validate(
--- a/src/main/java/ringspindle/replication/ConfigurationOrders.java
+++ b/src/main/java/ringspindle/replication/ConfigurationOrders.java
@@ -35,7 +35,7 @@
         }
         Validated<JsonObject> patch = FleetConfig.json(order.body());
         if (patch instanceof Validated.Invalid<JsonObject> invalid) {
-            return Decision.invalid(invalid.problems());
+            return Decision.invalid(invalid.errors());
         }
         if (state.config().length == 0 || order.base() != state.revision()) {
             return otherVersion(state, order);
@@ -45,7 +45,7 @@
 
     private Decision replace(State state, Call order, long digest, Validated<FleetConfig> checked) {
         if (checked instanceof Validated.Invalid<FleetConfig> invalid) {
-            return Decision.invalid(invalid.problems());
+            return Decision.invalid(invalid.errors());
         }
         FleetConfig next = value(checked);
         if (order.base() != state.revision()) {
@@ -67,7 +67,7 @@
     Decision rules(State state, Call order) {
         Validated<ServingRules> checked = ServingRules.read(order.body());
         if (checked instanceof Validated.Invalid<ServingRules> invalid) {
-            return Decision.invalid(invalid.problems());
+            return Decision.invalid(invalid.errors());
         }
         ServingRules next = value(checked);
         ServingRules inForce = rulesInForce(state);
--- a/src/main/java/ringspindle/routing/ServingRules.java
+++ b/src/main/java/ringspindle/routing/ServingRules.java
@@ -69,7 +69,7 @@
     /** Names of the rules whose route the configuration does not have; they stay valid and never apply. */
     public List<String> idleRules(FleetConfig configuration) {
         Set<String> routes = new HashSet<>();
-        configuration.mappings().forEach(route -> routes.add(route.name()));
+        configuration.routes().forEach(route -> routes.add(route.name()));
         return rules.stream()
                 .filter(rule -> !rule.match().route().isEmpty()
                         && !routes.contains(rule.match().route()))
--- a/src/main/java/ringspindle/routing/ServingRulesParser.java
+++ b/src/main/java/ringspindle/routing/ServingRulesParser.java
@@ -41,7 +41,7 @@
         }
         Validated<JsonObject> json = FleetConfig.json(body);
         if (json instanceof Invalid<JsonObject> invalid) {
-            return new Invalid<>(invalid.problems());
+            return new Invalid<>(invalid.errors());
         }
         ServingRulesParser parser = new ServingRulesParser();
         ServingRules rules = parser.document(((Valid<JsonObject>) json).value());
--- a/src/main/java/ringspindle/routing/ServingRulesValidator.java
+++ b/src/main/java/ringspindle/routing/ServingRulesValidator.java
@@ -73,7 +73,7 @@
     }
 
     private FleetConfig.Route route(String name) {
-        return configuration.mappings().stream()
+        return configuration.routes().stream()
                 .filter(route -> route.name().equals(name))
                 .findFirst()
                 .orElse(null);
--- a/src/test/java/ringspindle/config/FleetConfigTest.java
+++ b/src/test/java/ringspindle/config/FleetConfigTest.java
@@ -32,14 +32,14 @@
     private static FleetConfig good(String json) {
         Validated<FleetConfig> c = FleetConfig.read(json.getBytes(UTF_8));
         assertInstanceOf(
-                Valid.class, c, () -> ((Invalid<FleetConfig>) c).problems().toString());
+                Valid.class, c, () -> ((Invalid<FleetConfig>) c).errors().toString());
         return ((Valid<FleetConfig>) c).value();
     }
 
     private static ConfigError bad(String json) {
         Validated<FleetConfig> c = FleetConfig.read(json.getBytes(UTF_8));
         assertInstanceOf(Invalid.class, c, json);
-        return ((Invalid<FleetConfig>) c).problems().get(0);
+        return ((Invalid<FleetConfig>) c).errors().get(0);
     }
 
     private static Validated<FleetConfig> patched(FleetConfig c, String patch) {
@@ -67,7 +67,8 @@
         assertInstanceOf(
                 ConfigError.UnknownService.class,
                 bad(whole(1, mapping("a", "/x/", "").replace("\"service\":\"s\"", "\"service\":\"t\""))));
-        assertInstanceOf(ConfigError.SamePlace.class, bad(whole(1, mapping("a", "/x/", ""), mapping("b", "/x/", ""))));
+        assertInstanceOf(
+                ConfigError.DuplicateRoute.class, bad(whole(1, mapping("a", "/x/", ""), mapping("b", "/x/", ""))));
         assertInstanceOf(ConfigError.SameName.class, bad(whole(1, mapping("a", "/x/", ""), mapping("a", "/y/", ""))));
         assertInstanceOf(
                 ConfigError.NoWeight.class,
@@ -118,11 +119,20 @@
                 "-3",
                 "some.field",
                 "unknown"));
-        String all = ((Invalid<NodeConfig>) NodeConfig.check(p)).problems().toString();
+        String all = ((Invalid<NodeConfig>) NodeConfig.check(p)).errors().toString();
         for (String key :
                 List.of("node.region", "node.ip", "listen.inner", "seeds", "listen.frontend", "bound.graceS")) {
             assertTrue(all.contains(key), key + " is not named in " + all);
         }
         assertFalse(all.contains("some.field"));
     }
+
+    @Test
+    void portsThatAreOnlyACommaAreAnErrorLikeAnyOther() {
+        java.util.Properties properties = new java.util.Properties();
+        properties.setProperty("listen.inner", ",");
+        String errors =
+                ((Invalid<NodeConfig>) NodeConfig.check(properties)).errors().toString();
+        assertTrue(errors.contains("listen.inner"), errors);
+    }
 }
--- a/src/test/java/ringspindle/config/SettingsTest.java
+++ b/src/test/java/ringspindle/config/SettingsTest.java
@@ -69,7 +69,7 @@
         Settings s = new Settings(good(file()));
         s.listen(c -> fail("told of a bad file"));
         Settings.Reload r = s.reload(file("bound.retrySlack", "many", "node.ip", "x"));
-        assertEquals(2, r.problems().size(), r.problems().toString());
+        assertEquals(2, r.errors().size(), r.errors().toString());
         assertEquals(50, s.now().retrySlack());
     }
 }
--- a/src/test/java/ringspindle/routing/RulesDocumentsTest.java
+++ b/src/test/java/ringspindle/routing/RulesDocumentsTest.java
@@ -70,7 +70,7 @@
         Validated<ServingRules> read = ServingRules.read(json.getBytes(UTF_8));
         if (read instanceof Validated.Invalid<ServingRules> invalid) {
             refused++;
-            noteErrors(invalid.problems());
+            noteErrors(invalid.errors());
             return;
         }
         ServingRules rules = ((Validated.Valid<ServingRules>) read).value();
--- a/src/test/java/ringspindle/routing/ServingRulesTest.java
+++ b/src/test/java/ringspindle/routing/ServingRulesTest.java
@@ -34,13 +34,13 @@
         Validated<ServingRules> c = ServingRules.read(json.getBytes(UTF_8));
         assertTrue(
                 c instanceof Validated.Valid<ServingRules>,
-                () -> ((Validated.Invalid<ServingRules>) c).problems().toString());
+                () -> ((Validated.Invalid<ServingRules>) c).errors().toString());
         return ((Validated.Valid<ServingRules>) c).value();
     }
 
     private static List<ConfigError> problems(String json) {
         return ServingRules.read(json.getBytes(UTF_8)) instanceof Validated.Invalid<ServingRules> bad
-                ? bad.problems()
+                ? bad.errors()
                 : List.of();
     }
 
