--- a/src/test/java/ringspindle/replication/RolloutTest.java
+++ b/src/test/java/ringspindle/replication/RolloutTest.java
@@ -103,12 +103,12 @@
     @Test
     void checkerSeesBrokenHistories() {
         RolloutSimulation sim = new RolloutSimulation(1, 0.5, false);
-        RolloutSimulation.RequestAttributes a = new RolloutSimulation.RequestAttributes(true, Set.of());
+        RolloutRequest a = new RolloutRequest(true, Set.of());
         a.answers = 2;
         a.pieces.addAll(List.of(1L, 3L));
         a.weights.addAll(List.of(1L, 2L));
         sim.history.add(a);
-        RolloutSimulation.RequestAttributes b = new RolloutSimulation.RequestAttributes(false, Set.of());
+        RolloutRequest b = new RolloutRequest(false, Set.of());
         sim.history.add(b);
         assertEquals(4, sim.problems().size(), sim.problems().toString());
     }
