--- a/src/main/java/ringspindle/replication/ReplicatedState.java
+++ b/src/main/java/ringspindle/replication/ReplicatedState.java
@@ -9,7 +9,10 @@
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
 
-/** The replicated control state of one node: a state machine without clock, socket, disk or chance. */
+/**
+ * The replicated control state of one node: a state machine without clock, socket, disk or chance. Its owner tells it what
+ * happens, one input at a time, and carries out the outputs in their order. Times are milliseconds of the node's steady clock.
+ */
 public interface ReplicatedState {
 
     /** What the owner is to do. */
@@ -17,7 +20,11 @@
         /** Send the message to the node. */
         record Send(NodeId to, Message message) implements Out {}
 
-        /** Write and sync in order, then call {@link ReplicatedState#stored}. */
+        /**
+         * Write and sync the records in order, then call {@link ReplicatedState#stored}.
+         *
+         * @param snapshot true if the records take the place of all that was written before
+         */
         record Store(long token, List<Message> records, boolean snapshot) implements Out {}
 
         /** The answer to a call that came in at this node. */
@@ -30,10 +37,12 @@
         record Viewed(View view) implements Out {}
     }
 
+    // ---- inputs
+
     /** A message came. */
     List<Out> receive(NodeId from, Message message, long nowMs);
 
-    /** A new wire to that node stands; what was sent on an older one may be lost. */
+    /** A new connection to that node stands; what was sent on an older one may be lost. */
     List<Out> opened(NodeId peer, long nowMs);
 
     /** Time went on. */
@@ -45,6 +54,8 @@
     /** The records of that token are synced. */
     List<Out> stored(long token, long nowMs);
 
+    // ---- what it holds
+
     /** The newest view, null if unknown. */
     View view();
 
@@ -60,16 +71,22 @@
     /** True while this node has not relearned what was promised; it can neither vote nor hold state. */
     boolean relearning();
 
-    /** All that must not be forgotten, for an image of the disk. */
+    /** All that must not be forgotten, for a snapshot on disk. */
     List<Message> durable();
 
     /**
-     * {@code ReplicatedState.create(me, seeds, true, disk.load(), 7, 5)}: the first start of a system that must bear the loss of
-     * two disks at once, so that five have to vote before anything is acknowledged; with records on disk,
-     * {@code bootstrap} does not count.
+     * {@code ReplicatedState.create(self, seeds, true, disk.load(), 7, 5)}: the first start of a system that must bear the loss
+     * of two disks at once, so that five have to vote before anything is acknowledged.
+     *
+     * @param self this node
+     * @param seeds nodes that are known from the settings
+     * @param bootstrap true for the first start of a system; does not count if records were found
+     * @param found the records found on disk, in the order in which they were written
+     * @param randomSeed seeds the pauses between attempts and the numbers of confirmations; differs from start to start
+     * @param leastVoters as many voters as remain at least: 2f + 1 for the loss of f disks
      */
     static ReplicatedState create(
-            NodeId me, List<NodeId> seeds, boolean bootstrap, List<Message> found, long luck, int leastVoters) {
-        return new ChainReplicatedState(me, seeds, bootstrap, found, luck, leastVoters);
+            NodeId self, List<NodeId> seeds, boolean bootstrap, List<Message> found, long randomSeed, int leastVoters) {
+        return new ChainReplicatedState(self, seeds, bootstrap, found, randomSeed, leastVoters);
     }
 }
--- a/src/main/java/ringspindle/replication/Rollout.java
+++ b/src/main/java/ringspindle/replication/Rollout.java
@@ -1,6 +1,5 @@
 package ringspindle.replication;
 
-import jakarta.json.JsonArrayBuilder;
 import jakarta.json.JsonObject;
 import jakarta.json.JsonReader;
 import jakarta.json.JsonString;
@@ -11,11 +10,16 @@
 /**
  * A roll-out of a checkpoint over the engines of a service, as it stands in the control state.
  *
+ * @param service whose engines take the checkpoint
  * @param target the weights' revision that all are to have
  * @param from the one they had, -1 if unknown
  * @param atOnce how many may be out of service for it at a time
- * @param floor the share of a region's engines that stays in service
+ * @param floor the share of a region's engines that stays in service, from 0 to below 1
+ * @param patienceS how long a swap may take before the roll-out pauses, in seconds
+ * @param cause why it paused, empty otherwise
+ * @param epoch the view in which it was started
  * @param turn engines whose turn it is: they get no new requests
+ * @param swapped engines that have swapped
  */
 public record Rollout(
         String service,
@@ -33,23 +37,34 @@
 
     /** How far it is. */
     public enum Standing {
+        /** Engines take their turns. */
         RUNNING,
+        /** Nothing goes on until an operator resumes or ends it. */
         PAUSED,
+        /** All engines have the target. */
         DONE,
+        /** An operator has given it up. */
         ABORTED
     }
 
-    Rollout with(Standing s, String why, List<String> inTurn, List<String> done) {
+    /** The same roll-out, so far; lists are copied. */
+    Rollout with(Standing standing, String reason, List<String> inTurn, List<String> done) {
         return new Rollout(
-                service, target, from, atOnce, floor, patienceS, s, why, epoch, List.copyOf(inTurn), List.copyOf(done));
+                service,
+                target,
+                from,
+                atOnce,
+                floor,
+                patienceS,
+                standing,
+                reason,
+                epoch,
+                List.copyOf(inTurn),
+                List.copyOf(done));
     }
 
-    /** As JSON; {@code Rollout.read(r.write()).equals(r)}. */
+    /** As JSON; {@code Rollout.read(rollout.write()).equals(rollout)}. */
     public String write() {
-        JsonArrayBuilder t = JSON.createArrayBuilder();
-        turn.forEach(t::add);
-        JsonArrayBuilder s = JSON.createArrayBuilder();
-        swapped.forEach(s::add);
         return JSON.createObjectBuilder()
                 .add("service", service)
                 .add("target", target)
@@ -60,33 +75,33 @@
                 .add("state", state.name())
                 .add("cause", cause)
                 .add("epoch", epoch)
-                .add("turn", t)
-                .add("swapped", s)
+                .add("turn", JSON.createArrayBuilder(turn))
+                .add("swapped", JSON.createArrayBuilder(swapped))
                 .build()
                 .toString();
     }
 
     /** Reads what {@link #write} wrote. */
     public static Rollout read(String json) {
-        try (JsonReader r = JSON.createReader(new StringReader(json))) {
-            JsonObject o = r.readObject();
+        try (JsonReader reader = JSON.createReader(new StringReader(json))) {
+            JsonObject fields = reader.readObject();
             return new Rollout(
-                    o.getString("service"),
-                    o.getJsonNumber("target").longValue(),
-                    o.getJsonNumber("from").longValue(),
-                    o.getInt("atOnce"),
-                    o.getJsonNumber("floor").doubleValue(),
-                    o.getInt("patienceS"),
-                    Standing.valueOf(o.getString("state")),
-                    o.getString("cause"),
-                    o.getJsonNumber("epoch").longValue(),
-                    strings(o, "turn"),
-                    strings(o, "swapped"));
+                    fields.getString("service"),
+                    fields.getJsonNumber("target").longValue(),
+                    fields.getJsonNumber("from").longValue(),
+                    fields.getInt("atOnce"),
+                    fields.getJsonNumber("floor").doubleValue(),
+                    fields.getInt("patienceS"),
+                    Standing.valueOf(fields.getString("state")),
+                    fields.getString("cause"),
+                    fields.getJsonNumber("epoch").longValue(),
+                    strings(fields, "turn"),
+                    strings(fields, "swapped"));
         }
     }
 
-    private static List<String> strings(JsonObject o, String key) {
-        return o.getJsonArray(key).getValuesAs(JsonString.class).stream()
+    private static List<String> strings(JsonObject fields, String key) {
+        return fields.getJsonArray(key).getValuesAs(JsonString.class).stream()
                 .map(JsonString::getString)
                 .toList();
     }
--- a/src/test/java/ringspindle/replication/RolloutTest.java
+++ b/src/test/java/ringspindle/replication/RolloutTest.java
@@ -81,6 +81,16 @@
         assertEquals(Outcome.INVALID, ((Decision.Answer) unknown).outcome());
     }
 
+    @Test
+    void textInTheControlStateStaysAsItWas() {
+        Rollout rollout = new Rollout(
+                "s", 2, 1, 2, 0.5, 8, Rollout.Standing.PAUSED, "c", 3, List.of("i-1", "i-2"), List.of("i-3"));
+        String text = "{\"service\":\"s\",\"target\":2,\"from\":1,\"atOnce\":2,\"floor\":0.5,\"patienceS\":8,"
+                + "\"state\":\"PAUSED\",\"cause\":\"c\",\"epoch\":3,\"turn\":[\"i-1\",\"i-2\"],\"swapped\":[\"i-3\"]}";
+        assertEquals(text, rollout.write());
+        assertEquals(rollout, Rollout.read(text));
+    }
+
     @Test
     void floorThatCannotBeKeptIsSeen() {
         List<RolloutPlanner.Member> members = List.of(
