--- a/src/main/java/ringspindle/consensus/VoterState.java
+++ b/src/main/java/ringspindle/consensus/VoterState.java
@@ -18,13 +18,19 @@
     Ballot promised();
 
     /** The ballot under which a view was accepted, {@link Ballot#NONE} if none was. */
-    Ballot acceptedBallot();
+    default Ballot acceptedBallot() {
+        return Ballot.NONE;
+    }
 
     /** The view that was accepted, null if none was. */
-    View accepted();
+    default View accepted() {
+        return null;
+    }
 
     /** The state after a promise of that ballot: what was accepted for the same epoch stays accepted. */
-    VoterState promising(ProposalId proposal);
+    default VoterState promising(ProposalId proposal) {
+        return new Promised(proposal.epoch(), proposal.ballot());
+    }
 
     /** Nothing is promised; whatever was, for epochs up to this one, is decided. */
     record Free(long epoch) implements VoterState {
@@ -32,40 +38,10 @@
         public Ballot promised() {
             return Ballot.NONE;
         }
-
-        @Override
-        public Ballot acceptedBallot() {
-            return Ballot.NONE;
-        }
-
-        @Override
-        public View accepted() {
-            return null;
-        }
-
-        @Override
-        public VoterState promising(ProposalId proposal) {
-            return new Promised(proposal.epoch(), proposal.ballot());
-        }
     }
 
     /** A ballot is promised, and no view accepted. */
-    record Promised(long epoch, Ballot promised) implements VoterState {
-        @Override
-        public Ballot acceptedBallot() {
-            return Ballot.NONE;
-        }
-
-        @Override
-        public View accepted() {
-            return null;
-        }
-
-        @Override
-        public VoterState promising(ProposalId proposal) {
-            return new Promised(proposal.epoch(), proposal.ballot());
-        }
-    }
+    record Promised(long epoch, Ballot promised) implements VoterState {}
 
     /** A view is accepted; it may be decided. A higher ballot may have been promised since. */
     record Accepting(long epoch, Ballot promised, Ballot acceptedBallot, View accepted) implements VoterState {
