--- a/src/main/java/ringspindle/telemetry/EnginePresence.java
+++ b/src/main/java/ringspindle/telemetry/EnginePresence.java
@@ -57,9 +57,17 @@
         return rows.computeIfAbsent(LoadSummary.key(id), k -> new Row(id, Math.max(nowMs, startMs + START_MS)));
     }
 
-    /** The engine called here; true if what it says is news. */
+    /**
+     * The engine called here. A call that was overtaken by a later one shows nothing: neither that the engine lives now, nor
+     * that it is still the one at its address.
+     *
+     * @return true if what it says is news
+     */
     public boolean heard(String id, Engine e, long seq, long nowMs) {
         Row r = row(id, nowMs);
+        if (seq < r.seq) {
+            return false;
+        }
         r.ownMs = nowMs;
         r.evidenceMs = Math.max(r.evidenceMs, nowMs);
         Row before = byAddress.put(e.address(), r);
--- a/src/main/java/ringspindle/transport/FrameConnection.java
+++ b/src/main/java/ringspindle/transport/FrameConnection.java
@@ -83,8 +83,9 @@
     @Override
     public void onOpen() {
         super.onOpen();
-        fillInterested();
+        // first of all: whatever else another thread sends from here on, the peer must have the greeting before it
         send(owner.greeting());
+        fillInterested();
     }
 
     @Override
--- a/src/test/java/ringspindle/telemetry/EnginePresenceTest.java
+++ b/src/test/java/ringspindle/telemetry/EnginePresenceTest.java
@@ -33,6 +33,18 @@
         assertFalse(p.heard("i-1", engine(0, false), 49, 60_100), "a late call");
     }
 
+    /** An engine crashes and another starts at its address; then a call of the first comes that was held up on its way. */
+    @Test
+    void callThatWasOvertakenIsNoSignOfLifeAndTakesNoAddress() {
+        EnginePresence p = new EnginePresence(1000);
+        p.heard("i-old", engine(0, false), 7, 0);
+        p.heard("i-new", engine(0, false), 1, 8000);
+        p.judge(e -> true, 8000);
+        p.heard("i-old", engine(0, false), 6, 8500);
+        assertTrue(p.agoMs("i-old", 8500) >= 8500, "heard long ago at the latest");
+        assertEquals(List.of(), p.judge(e -> true, 8500), "one of the two is judged anew");
+    }
+
     @Test
     void coldEngineIsNewsAtItsStartAndOnceItIsWarm() {
         EnginePresence p = new EnginePresence(1200);
