--- a/src/main/java/ringspindle/cli/Explain.java
+++ b/src/main/java/ringspindle/cli/Explain.java
@@ -10,7 +10,7 @@
 import ringspindle.routing.RequestAttributes;
 import ringspindle.routing.ServingRule;
 import ringspindle.routing.ServingRules;
-import ringspindle.telemetry.LoadSummary;
+import ringspindle.telemetry.EngineKey;
 
 /** Says which rule a request falls under, which engine has affinity to it, and where else it may go. */
 final class Explain {
@@ -69,7 +69,7 @@
     /** The engines that rank first for the key, as the load balancer ranks them. */
     private static List<String> ranking(Affinity.Key key, List<Candidate> engines) {
         List<Candidate> ranked = new ArrayList<>(engines);
-        ranked.sort(Comparator.comparingLong(engine -> RendezvousHash.rank(LoadSummary.key(engine.id()), key.hash())));
+        ranked.sort(Comparator.comparingLong(engine -> RendezvousHash.rank(EngineKey.of(engine.id()), key.hash())));
         List<String> lines = new ArrayList<>();
         for (Candidate engine : ranked.subList(0, Math.min(CANDIDATES_SHOWN, ranked.size()))) {
             String label = lines.isEmpty() ? "holder     " : "next       ";
--- a/src/main/java/ringspindle/controlplane/EnginesPage.java
+++ b/src/main/java/ringspindle/controlplane/EnginesPage.java
@@ -12,6 +12,7 @@
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.Message.Fact;
 import ringspindle.telemetry.AttemptCounts;
+import ringspindle.telemetry.EngineKey;
 import ringspindle.telemetry.LoadSummary;
 
 /** The page on which a control node shows operators the engines. Tools read it: names and order are fixed. */
@@ -37,7 +38,7 @@
         Engine engine = (Engine) Codec.decode(fact.value());
         Fact leaving = node.fleet().read(store -> store.get(FactKind.LEAVING, id));
         long ageMs = Math.min(Integer.MAX_VALUE, node.queries().ageMs(FactKind.ENGINE, id));
-        AttemptCounts counts = load.all(LoadSummary.key(id));
+        AttemptCounts counts = load.counts(EngineKey.of(id));
         return JSON.createObjectBuilder()
                 .add("turn", turn(node, id))
                 .add("id", id)
--- a/src/main/java/ringspindle/controlplane/FleetFacts.java
+++ b/src/main/java/ringspindle/controlplane/FleetFacts.java
@@ -13,8 +13,8 @@
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.Message.Fact;
 import ringspindle.rollout.RolloutPlanner;
+import ringspindle.telemetry.EngineKey;
 import ringspindle.telemetry.EnginePresence;
-import ringspindle.telemetry.LoadSummary;
 import ringspindle.telemetry.LoadTotals;
 import ringspindle.time.MonotonicClock;
 
@@ -65,7 +65,7 @@
         for (Fact fact : store.merge(facts)) {
             seenMs.put(seenKey(fact.kind(), fact.key()), nowMs);
             if (fact.kind() == FactKind.ENGINE) {
-                presence.told(fact.key(), (Engine) Codec.decode(fact.value()), fact.version(), nowMs);
+                presence.onForwardedReport(fact.key(), (Engine) Codec.decode(fact.value()), fact.version(), nowMs);
             } else if (fact.kind() == FactKind.SILENT && isSilent(fact)) {
                 contradict(fact, nowMs);
             }
@@ -75,8 +75,8 @@
     /** An engine that is heard here is not silent, whoever says so: the heartbeat heard makes the newer fact. */
     private void contradict(Fact silent, long nowMs) {
         String id = silent.key();
-        if (presence.contradicts(id, heartbeatOf(silent), nowMs)) {
-            store.merge(List.of(silence(id, presence.seq(id), false)));
+        if (presence.contradictsSilence(id, heartbeatOf(silent), nowMs)) {
+            store.merge(List.of(silence(id, presence.lastSeq(id), false)));
         }
     }
 
@@ -106,7 +106,7 @@
     /** Milliseconds since a fact last changed, as this node saw it; of engines since they were last heard. */
     long ageMs(FactKind kind, String key) {
         if (kind == FactKind.ENGINE) {
-            return presence.agoMs(key, clock.nowMs());
+            return presence.ageMs(key, clock.nowMs());
         }
         Long changedMs = seenMs(kind, key);
         return changedMs == null ? Long.MAX_VALUE : clock.nowMs() - changedMs;
@@ -120,20 +120,20 @@
 
     /** An engine's heartbeat, spread only if it says something new. */
     void heartbeat(String id, Engine engine, long sequence) {
-        if (presence.heard(id, engine, sequence, clock.nowMs())) {
+        if (presence.onHeartbeat(id, engine, sequence, clock.nowMs())) {
             merge(List.of(new Fact(FactKind.ENGINE, id, 0, sequence, Codec.encode(engine))));
         }
     }
 
     /** Engines of this region that fell silent or are heard again become facts. */
     void judgeEngines(long nowMs) {
-        for (EnginePresence.Change change : presence.judge(this::inThisRegion, nowMs)) {
+        for (EnginePresence.Change change : presence.detectChanges(this::inThisRegion, nowMs)) {
             LOG.atInfo()
                     .with(LogField.ENGINE, change.id())
                     .log(change.silent() ? "engine is silent" : "engine is heard again");
             merge(List.of(silence(change.id(), change.seq(), change.silent())));
         }
-        for (String id : presence.forget(FORGET_MS, nowMs)) {
+        for (String id : presence.removeSilent(FORGET_MS, nowMs)) {
             forget(FactKind.ENGINE, id);
             forget(FactKind.SILENT, id);
         }
@@ -157,10 +157,7 @@
             if (heard && !isLeaving(fact.key())) {
                 Engine engine = (Engine) Codec.decode(fact.value());
                 members.add(new LoadTotals.Member(
-                        LoadSummary.key(fact.key()),
-                        engine.service(),
-                        config.regionOf(engine.zone()),
-                        engine.capacity()));
+                        EngineKey.of(fact.key()), engine.service(), config.regionOf(engine.zone()), engine.capacity()));
             }
         }
         return members;
@@ -176,7 +173,7 @@
         long nowMs = clock.nowMs();
         for (Fact fact : store.all(FactKind.ENGINE)) {
             Engine engine = (Engine) Codec.decode(fact.value());
-            long ageMs = presence.agoMs(fact.key(), nowMs);
+            long ageMs = presence.ageMs(fact.key(), nowMs);
             if (engine.service().equals(service) && ageMs < ROLLOUT_SILENT_MS) {
                 members.add(new RolloutPlanner.Member(
                         fact.key(),
--- a/src/main/java/ringspindle/controlplane/LoadAggregator.java
+++ b/src/main/java/ringspindle/controlplane/LoadAggregator.java
@@ -64,13 +64,13 @@
 
     /** A session says which incarnation of its node counts from now on. */
     void opened(Hello peer) {
-        sources.restarted(peer.node(), peer.life());
-        peers.restarted(peer.node(), peer.life());
+        sources.onSessionOpened(peer.node(), peer.life());
+        peers.onSessionOpened(peer.node(), peer.life());
     }
 
     /** The session of a data node is gone: what it said here counts no more. */
     void closed(NodeId peer) {
-        sources.drop(peer);
+        sources.onSessionClosed(peer);
     }
 
     /** A report came; it counts only if it is of the incarnation that the session stands for. */
@@ -80,8 +80,8 @@
             return;
         }
         ReportCollector collector = peer.hello().kind() == NodeKind.DATA ? sources : peers;
-        ReportVerdict verdict = collector.take(from, report, nowMs);
-        if (verdict.refused()) {
+        ReportVerdict verdict = collector.accept(from, report, nowMs);
+        if (verdict.isRejected()) {
             LOG.atWarning()
                     .with(LogField.NODE, peer.hello().name())
                     .with(LogField.REASON, verdict)
@@ -90,8 +90,8 @@
             return;
         }
         if (verdict == ReportVerdict.NEWEST && peer.hello().kind() == NodeKind.CONTROL) {
-            facts.presence().peers(LoadSummary.of(report), nowMs);
-            report.sources().forEach(source -> sources.leave(source.node(), source.life(), source.seq()));
+            facts.presence().onPeerHeartbeats(LoadSummary.of(report), nowMs);
+            report.sources().forEach(source -> sources.onReportedElsewhere(source.node(), source.life(), source.seq()));
         }
     }
 
@@ -118,8 +118,8 @@
         total = own.merge(peers.sum(nowMs));
         sequence++;
         boolean speaks = sendToRegion(own, nowMs).equals(me);
-        List<RegionLoad> ownRegion = LoadTotals.region(total, facts.loadMembers(), region);
-        Load toDataNodes = new Load(incarnation, sequence, LoadTotals.engines(total), allRegions(ownRegion, nowMs));
+        List<RegionLoad> ownRegion = LoadTotals.byService(total, facts.loadMembers(), region);
+        Load toDataNodes = new Load(incarnation, sequence, LoadTotals.byEngine(total), allRegions(ownRegion, nowMs));
         Set<NodeId> reporting = sources.sources(nowMs);
         for (SessionTable.Peer peer : sessions.peers()) {
             Hello hello = peer.hello();
@@ -149,9 +149,9 @@
         Report report = new Report(
                 incarnation,
                 sequence,
-                own.report(incarnation, sequence).tallies(),
-                facts.presence().own(nowMs),
-                sources.holds(nowMs));
+                own.toReport(incarnation, sequence).tallies(),
+                facts.presence().ownHeartbeats(nowMs),
+                sources.countedReports(nowMs));
         NodeId speaker = me;
         for (SessionTable.Peer peer : sessions.peers()) {
             Hello hello = peer.hello();
--- a/src/main/java/ringspindle/dataplane/LoadReporter.java
+++ b/src/main/java/ringspindle/dataplane/LoadReporter.java
@@ -62,7 +62,7 @@
         boolean due = !seen.equals(LoadSummary.NONE) || nowMs - reportedMs > IDLE_PERIOD_MS;
         if (collector != null && due) {
             reportedMs = nowMs;
-            mesh.send(collector, seen.report(incarnation, ++reportSequence));
+            mesh.send(collector, seen.toReport(incarnation, ++reportSequence));
         }
     }
 
@@ -70,7 +70,7 @@
         NodeId nearest = nearest();
         if (collector != null && !collector.equals(nearest)) {
             // what was said there counts no more
-            mesh.send(collector, LoadSummary.NONE.report(incarnation, ++reportSequence));
+            mesh.send(collector, LoadSummary.NONE.toReport(incarnation, ++reportSequence));
         }
         collector = nearest;
     }
--- a/src/main/java/ringspindle/loadbalancing/AttemptWindow.java
+++ b/src/main/java/ringspindle/loadbalancing/AttemptWindow.java
@@ -3,6 +3,7 @@
 import java.util.Arrays;
 import ringspindle.retry.AttemptOutcome;
 import ringspindle.telemetry.AttemptCounts;
+import ringspindle.telemetry.LatencyHistogram;
 import ringspindle.telemetry.RequestKind;
 
 /**
@@ -12,20 +13,19 @@
  * <p>Counts lie in one array, as there is a window for each engine and each attempt goes through it. Confined to the lock of
  * {@link EngineTableLoadBalancer}.
  */
-@SuppressWarnings("EnumOrdinal") // kinds are rows of the array, never stored or sent by it
 final class AttemptWindow {
     private static final int BUCKETS = 4;
     private static final int BUCKET_MS = 500;
-    private static final int KINDS = RequestKind.values().length;
+    private static final int KINDS = RequestKind.COUNT;
     private static final long UNSET = Long.MIN_VALUE;
 
-    /** Columns of the array; the latencies are one column for each of {@link AttemptCounts#BUCKET_MS}. */
+    /** Columns of the array; latencies have one for each bucket of {@link LatencyHistogram}. */
     private static final int ANSWERED = 0;
 
     private static final int NOT_RUN = 1;
     private static final int FAILED = 2;
     private static final int LATENCIES = 3;
-    private static final int COLUMNS = LATENCIES + AttemptCounts.BUCKET_MS.length;
+    private static final int COLUMNS = LATENCIES + LatencyHistogram.BUCKETS;
 
     private final int[] counts = new int[BUCKETS * KINDS * COLUMNS];
     private final int[] running = new int[KINDS];
@@ -35,8 +35,8 @@
     /** An attempt starts. */
     void start(RequestKind kind, long attemptTokens, long nowMs) {
         advance(nowMs);
-        running[kind.ordinal()]++;
-        tokens[kind.ordinal()] += attemptTokens;
+        running[kind.code()]++;
+        tokens[kind.code()] += attemptTokens;
     }
 
     /**
@@ -46,7 +46,7 @@
      */
     void end(RequestKind kind, long attemptTokens, AttemptOutcome outcome, long firstMs, long nowMs) {
         advance(nowMs);
-        int k = kind.ordinal();
+        int k = kind.code();
         running[k] = Math.max(0, running[k] - 1);
         // without attempts there are no tokens, whatever was counted
         tokens[k] = running[k] == 0 ? 0 : Math.max(0, tokens[k] - attemptTokens);
@@ -54,7 +54,7 @@
         if (outcome == AttemptOutcome.ANSWERED) {
             counts[row + ANSWERED]++;
             if (firstMs >= 0) {
-                counts[row + LATENCIES + AttemptCounts.bucket(firstMs)]++;
+                counts[row + LATENCIES + LatencyHistogram.bucketOf(firstMs)]++;
             }
         } else if (outcome == AttemptOutcome.NOT_RUN) {
             counts[row + NOT_RUN]++;
@@ -73,13 +73,15 @@
                 sum[column] += counts[row + column];
             }
         }
+        LatencyHistogram latencies = new LatencyHistogram(
+                sum[LATENCIES],
+                sum[LATENCIES + 1],
+                sum[LATENCIES + 2],
+                sum[LATENCIES + 3],
+                sum[LATENCIES + 4],
+                sum[LATENCIES + 5]);
         return new AttemptCounts(
-                sum[ANSWERED],
-                sum[NOT_RUN],
-                sum[FAILED],
-                running[kind.ordinal()],
-                tokens[kind.ordinal()],
-                Arrays.copyOfRange(sum, LATENCIES, COLUMNS));
+                sum[ANSWERED], sum[NOT_RUN], sum[FAILED], running[kind.code()], tokens[kind.code()], latencies);
     }
 
     /** What the window holds of all kinds together. */
@@ -110,6 +112,6 @@
     }
 
     private static int row(long bucket, RequestKind kind) {
-        return bucketStart(bucket) + kind.ordinal() * COLUMNS;
+        return bucketStart(bucket) + kind.code() * COLUMNS;
     }
 }
--- a/src/main/java/ringspindle/loadbalancing/EngineEntry.java
+++ b/src/main/java/ringspindle/loadbalancing/EngineEntry.java
@@ -3,7 +3,7 @@
 import ringspindle.config.FleetConfig;
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.NodeId;
-import ringspindle.telemetry.LoadSummary;
+import ringspindle.telemetry.EngineKey;
 
 /**
  * One engine as this node knows it: what it last reported of itself, and the state that each concern keeps of it. Entries
@@ -29,7 +29,7 @@
         this.id = id;
         this.draining = draining;
         this.heartbeatMissing = heartbeatMissing;
-        key = LoadSummary.key(id);
+        key = EngineKey.of(id);
         heartbeatChangedMs = nowMs;
         slowStart = new SlowStart(nowMs);
     }
--- a/src/main/java/ringspindle/loadbalancing/EngineTableLoadBalancer.java
+++ b/src/main/java/ringspindle/loadbalancing/EngineTableLoadBalancer.java
@@ -157,12 +157,12 @@
             engine.load().markReported();
             for (RequestKind kind : RequestKind.values()) {
                 AttemptCounts counts = engine.attempts().counts(kind, nowMs);
-                if (!counts.empty()) {
+                if (!counts.isEmpty()) {
                     summaries.add(LoadSummary.of(engine.key(), kind, counts));
                 }
             }
         }
-        return LoadSummary.all(summaries);
+        return LoadSummary.mergeAll(summaries);
     }
 
     @Override
--- a/src/main/java/ringspindle/telemetry/EnginePresence.java
+++ b/src/main/java/ringspindle/telemetry/EnginePresence.java
@@ -6,181 +6,154 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.Predicate;
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.Message.HeartbeatRow;
 
 /**
  * Engines' own heartbeats as one control node knows them: those it heard itself, and how long ago its region's other
- * control nodes heard theirs. Only what changes is news: an engine that is new or says something else, one that fell
- * silent, one that is heard again. Pure; not thread safe.
+ * control nodes heard theirs. Only changes are passed on: an engine that is new or reports something else, one that fell
+ * silent, one that is heard again. A state machine without a clock; not thread safe.
  */
 public final class EnginePresence {
-    /** Ours: an engine may miss three heartbeats. */
-    private static final double SILENT_BEATS = 3.2;
-    /** Ours: after a start of this node engines get this long to find it. */
-    private static final int START_MS = 5000;
-    /** Ours: how far a cold engine may be from what it said before that is news. */
-    private static final int COLD_SLACK_MS = 600;
-
-    private static final class Row {
-        final String id;
-        Engine said;
-        long seq = -1;
-        long saidMs;
-        long ownMs = Long.MIN_VALUE / 2;
-        long evidenceMs;
-        boolean silent;
-
-        Row(String id, long evidenceMs) {
-            this.id = id;
-            this.evidenceMs = evidenceMs;
-        }
-    }
+    /** An engine is silent after this many intervals: it may miss three heartbeats. */
+    private static final double SILENT_INTERVALS = 3.2;
+    /** After a start of this node engines get this long to find it, in ms. */
+    private static final int START_GRACE_MS = 5000;
+
+    private static final long UNSET = Long.MIN_VALUE;
 
-    /** An engine that fell silent or is heard again, with the last heartbeat's number that this rests on. */
+    /** An engine that fell silent or is heard again, with the number of the last heartbeat that this rests on. */
     public record Change(String id, boolean silent, long seq) {}
 
     private final int silentMs;
-    private final int beatMs;
-    private final Long2ObjectMap<Row> rows = new Long2ObjectRBTreeMap<>();
-    private final Map<String, Row> byAddress = new HashMap<>();
-    private long startMs = Long.MIN_VALUE;
-
-    /** {@code new EnginePresence(1200)} for engines that beat every 1.2 s. */
-    public EnginePresence(int beatMs) {
-        this.beatMs = beatMs;
-        silentMs = (int) (SILENT_BEATS * beatMs);
-    }
+    private final Long2ObjectMap<EngineHeartbeats> engines = new Long2ObjectRBTreeMap<>();
+    private final Map<String, EngineHeartbeats> byAddress = new HashMap<>();
+    private long startMs = UNSET;
 
-    private Row row(String id, long nowMs) {
-        startMs = startMs == Long.MIN_VALUE ? nowMs : startMs;
-        return rows.computeIfAbsent(LoadSummary.key(id), k -> new Row(id, Math.max(nowMs, startMs + START_MS)));
+    /**
+     * Knows no engines yet.
+     *
+     * @param intervalMs interval at which engines send heartbeats, in ms
+     */
+    public EnginePresence(int intervalMs) {
+        silentMs = (int) (SILENT_INTERVALS * intervalMs);
     }
 
     /**
-     * The engine called here. A call that was overtaken by a later one shows nothing: neither that the engine lives now, nor
-     * that it is still the one at its address.
+     * The engine sent a heartbeat to this node. One that was overtaken by a later one shows nothing: neither that the engine
+     * lives now, nor that it is still the one at its address.
      *
-     * @return true if what it says is news
+     * @return true if what it reports must be passed on
      */
-    public boolean heard(String id, Engine e, long seq, long nowMs) {
-        Row r = row(id, nowMs);
-        if (seq < r.seq) {
+    public boolean onHeartbeat(String id, Engine report, long seq, long nowMs) {
+        EngineHeartbeats engine = engine(id, nowMs);
+        if (seq < engine.seq()) {
             return false;
         }
-        r.ownMs = nowMs;
-        r.evidenceMs = Math.max(r.evidenceMs, nowMs);
-        Row before = byAddress.put(e.address(), r);
-        if (before != null && before != r) {
-            // another life answers at that address now
-            before.evidenceMs = Long.MIN_VALUE / 2;
+        engine.heardHere(nowMs);
+        EngineHeartbeats before = byAddress.put(report.address(), engine);
+        if (before != null && before != engine) {
+            // another incarnation answers at that address now
+            before.forgetEvidence();
         }
-        boolean news = seq > r.seq && (r.said == null || differs(r, e, nowMs));
-        r.seq = Math.max(r.seq, seq);
-        if (news) {
-            r.said = e;
-            r.saidMs = nowMs;
-        }
-        return news;
-    }
-
-    private static boolean differs(Row r, Engine e, long nowMs) {
-        Engine o = r.said;
-        long leftMs = Math.max(0, o.coldMs() - (nowMs - r.saidMs));
-        return o.capacity() != e.capacity()
-                || o.draining() != e.draining()
-                || o.weights() != e.weights()
-                || o.remainingMs() != e.remainingMs()
-                || !o.service().equals(e.service())
-                || !o.address().equals(e.address())
-                || !o.zone().equals(e.zone())
-                || !o.revision().equals(e.revision())
-                || Math.abs(e.coldMs() - leftMs) > COLD_SLACK_MS
-                || o.coldMs() > 0 && e.coldMs() == 0;
+        return engine.update(report, seq, nowMs);
     }
 
-    /** Another node passed on what the engine said; what was said here last still counts if it is newer. */
-    public void told(String id, Engine e, long seq, long nowMs) {
-        Row r = row(id, nowMs);
-        if (seq > r.seq || r.said == null) {
-            r.seq = Math.max(r.seq, seq);
-            r.said = e;
-            r.saidMs = nowMs;
-            byAddress.putIfAbsent(e.address(), r);
+    /** Another node passed on what the engine reported; what was reported here counts if it is newer. */
+    public void onForwardedReport(String id, Engine report, long seq, long nowMs) {
+        EngineHeartbeats engine = engine(id, nowMs);
+        if (engine.updateIfNewer(report, seq, nowMs)) {
+            byAddress.putIfAbsent(report.address(), engine);
         }
     }
 
-    /** What the region's other control nodes heard. */
-    public void peers(LoadSummary s, long nowMs) {
-        for (long key : s.heartbeats()) {
-            Row r = rows.get(key);
-            if (r != null) {
-                r.evidenceMs = Math.max(r.evidenceMs, nowMs - s.agoMs(key));
+    /** What another control node of the region heard. */
+    public void onPeerHeartbeats(LoadSummary summary, long nowMs) {
+        for (long key : summary.heartbeatKeys()) {
+            EngineHeartbeats engine = engines.get(key);
+            if (engine != null) {
+                engine.heardElsewhere(nowMs - summary.heartbeatAgeMs(key));
             }
         }
     }
 
-    /** Of the engines of this region: who fell silent, who is heard again; {@code judge(e -> inRegion(e), nowMs)}. */
-    public List<Change> judge(java.util.function.Predicate<Engine> own, long nowMs) {
-        List<Change> out = new ArrayList<>();
-        for (Row r : rows.values()) {
-            if (r.said == null || !own.test(r.said)) {
+    private EngineHeartbeats engine(String id, long nowMs) {
+        startMs = startMs == UNSET ? nowMs : startMs;
+        long graceUntilMs = Math.max(nowMs, startMs + START_GRACE_MS);
+        return engines.computeIfAbsent(EngineKey.of(id), key -> new EngineHeartbeats(id, graceUntilMs));
+    }
+
+    /**
+     * The engines that fell silent or are heard again since the last call.
+     *
+     * @param judged which engines this node judges, by what they report: those of its region
+     */
+    public List<Change> detectChanges(Predicate<Engine> judged, long nowMs) {
+        List<Change> changes = new ArrayList<>();
+        for (EngineHeartbeats engine : engines.values()) {
+            if (engine.report() == null || !judged.test(engine.report())) {
                 continue;
             }
-            boolean silent = nowMs - r.evidenceMs > silentMs;
-            if (silent != r.silent) {
-                r.silent = silent;
-                out.add(new Change(r.id, silent, r.seq));
+            boolean silent = engine.ageMs(nowMs) > silentMs;
+            if (silent != engine.isSilent()) {
+                engine.setSilent(silent);
+                changes.add(new Change(engine.id(), silent, engine.seq()));
             }
         }
-        return out;
+        return changes;
     }
 
-    /** Another node says that an engine is silent, resting on that heartbeat; true if this node knows better. */
-    public boolean contradicts(String id, long seq, long nowMs) {
-        Row r = rows.get(LoadSummary.key(id));
-        if (r == null) {
+    /**
+     * Another node says that an engine is silent.
+     *
+     * @param seq number of the last heartbeat that this rests on
+     * @return true if this node has heard a later one just now; else it takes the engine for silent as well
+     */
+    public boolean contradictsSilence(String id, long seq, long nowMs) {
+        EngineHeartbeats engine = engines.get(EngineKey.of(id));
+        if (engine == null) {
             return false;
         }
-        boolean better = r.seq > seq && nowMs - r.ownMs < silentMs / 2;
-        r.silent = !better;
-        return better;
+        boolean contradicts = engine.seq() > seq && engine.wasHeardHereWithin(silentMs / 2, nowMs);
+        engine.setSilent(!contradicts);
+        return contradicts;
     }
 
-    /** The number of the engine's last heartbeat known here. */
-    public long seq(String id) {
-        Row r = rows.get(LoadSummary.key(id));
-        return r == null ? -1 : r.seq;
+    /** Number of the engine's last heartbeat that is known here; below 0 if none is. */
+    public long lastSeq(String id) {
+        EngineHeartbeats engine = engines.get(EngineKey.of(id));
+        return engine == null ? EngineHeartbeats.NO_SEQ : engine.seq();
     }
 
-    /** How long ago the engine was heard, here or in the region; {@code Long.MAX_VALUE} if never. */
-    public long agoMs(String id, long nowMs) {
-        Row r = rows.get(LoadSummary.key(id));
-        return r == null ? Long.MAX_VALUE : Math.max(0, nowMs - r.evidenceMs);
+    /** How long ago the engine was heard, here or in the region, in ms; {@code Long.MAX_VALUE} if never. */
+    public long ageMs(String id, long nowMs) {
+        EngineHeartbeats engine = engines.get(EngineKey.of(id));
+        return engine == null ? Long.MAX_VALUE : Math.max(0, engine.ageMs(nowMs));
     }
 
-    /** Heartbeats heard here, for the region's other control nodes. */
-    public List<HeartbeatRow> own(long nowMs) {
-        List<HeartbeatRow> out = new ArrayList<>();
-        rows.forEach((k, r) -> {
-            if (nowMs - r.ownMs < silentMs) {
-                out.add(new HeartbeatRow(k, (int) Math.max(0, nowMs - r.ownMs)));
+    /** Heartbeats heard here, for the region's other control nodes, by the engines' keys in ascending order. */
+    public List<HeartbeatRow> ownHeartbeats(long nowMs) {
+        List<HeartbeatRow> rows = new ArrayList<>();
+        engines.forEach((key, engine) -> {
+            if (engine.wasHeardHereWithin(silentMs, nowMs)) {
+                rows.add(new HeartbeatRow(key, (int) Math.max(0, engine.heardHereAgeMs(nowMs))));
             }
         });
-        return out;
+        return rows;
     }
 
-    /** Forgets engines silent for so long that nobody asks any more; returns them. */
-    public List<String> forget(long afterMs, long nowMs) {
-        List<String> out = new ArrayList<>();
-        rows.values().removeIf(r -> {
-            boolean old = nowMs - Math.max(r.evidenceMs, r.saidMs) > afterMs;
+    /** Forgets the engines of which nothing was heard for longer than that, and returns their ids. */
+    public List<String> removeSilent(long afterMs, long nowMs) {
+        List<String> removed = new ArrayList<>();
+        engines.values().removeIf(engine -> {
+            boolean old = engine.isOlderThan(afterMs, nowMs);
             if (old) {
-                out.add(r.id);
-                byAddress.values().remove(r);
+                removed.add(engine.id());
+                byAddress.values().remove(engine);
             }
             return old;
         });
-        return out;
+        return removed;
     }
 }
--- a/src/main/java/ringspindle/telemetry/LoadSummary.java
+++ b/src/main/java/ringspindle/telemetry/LoadSummary.java
@@ -1,8 +1,5 @@
 package ringspindle.telemetry;
 
-import static java.nio.charset.StandardCharsets.UTF_8;
-
-import com.google.common.hash.Hashing;
 import it.unimi.dsi.fastutil.longs.Long2IntRBTreeMap;
 import it.unimi.dsi.fastutil.longs.Long2IntSortedMap;
 import it.unimi.dsi.fastutil.longs.Long2ObjectRBTreeMap;
@@ -12,168 +9,159 @@
 import java.util.List;
 import ringspindle.protocol.Message.HeartbeatRow;
 import ringspindle.protocol.Message.Report;
-import ringspindle.protocol.Message.SourceRow;
 import ringspindle.protocol.Message.TallyRow;
 
 /**
- * Tallies by engine and kind, and when each engine's own heartbeat was last heard. Sums can be added in any order and
- * grouping: {@code a.merge(b)} equals {@code b.merge(a)}, and {@code NONE} changes nothing.
+ * Attempts by engine and kind of request, and how long ago each engine's own heartbeat was heard. Immutable. Summaries can
+ * be merged in any order and grouping: {@code a.merge(b)} equals {@code b.merge(a)}, and {@link #NONE} changes nothing.
  */
 public final class LoadSummary {
     /** Nothing seen. */
-    public static final LoadSummary NONE = new LoadSummary(new Long2ObjectRBTreeMap<>(), new Long2IntRBTreeMap());
-
-    private static final int U16 = 65534;
-    private static final long U32 = 4294967294L;
-    /** Ours: a report names at most so many engines, far more than a node talks to in its window. */
-    static final int ROWS_MAX = 8192;
+    public static final LoadSummary NONE = new LoadSummary();
 
-    private final Long2ObjectSortedMap<AttemptCounts[]> tallies;
-    private final Long2IntSortedMap agoMs;
+    /** Most engines that a report may name, far more than a node talks to in its window. */
+    static final int MAX_ROWS = 8192;
 
-    private LoadSummary(Long2ObjectSortedMap<AttemptCounts[]> tallies, Long2IntSortedMap agoMs) {
-        this.tallies = tallies;
-        this.agoMs = agoMs;
-    }
+    /** By engine key; the array is by {@link RequestKind#code}, null where nothing was seen. */
+    private final Long2ObjectSortedMap<AttemptCounts[]> attempts = new Long2ObjectRBTreeMap<>();
+    /** By engine key, in ms. */
+    private final Long2IntSortedMap heartbeatAgeMs = new Long2IntRBTreeMap();
 
-    /** How an engine is named in sums; {@code LoadSummary.key("i-7f3a91c2")}. */
-    public static long key(String engine) {
-        return Hashing.murmur3_128().hashString(engine, UTF_8).asLong();
-    }
+    private LoadSummary() {}
 
-    /** What a report says; numbers are as its source sent them. {@code LoadSummary.of(report)}. */
-    public static LoadSummary of(Report r) {
-        LoadSummary out = new LoadSummary(new Long2ObjectRBTreeMap<>(), new Long2IntRBTreeMap());
-        for (TallyRow t : r.tallies()) {
-            out.add(
-                    t.engine(),
-                    t.kind(),
-                    new AttemptCounts(t.answered(), t.notRun(), t.failed(), t.running(), t.tokens(), new int[] {
-                        t.b0(), t.b1(), t.b2(), t.b3(), t.b4(), t.b5()
-                    }));
+    /** What a report says; numbers are as its source sent them. */
+    public static LoadSummary of(Report report) {
+        LoadSummary summary = new LoadSummary();
+        for (TallyRow row : report.tallies()) {
+            summary.add(row.engine(), row.kind(), counts(row));
         }
-        for (HeartbeatRow h : r.heartbeats()) {
-            out.agoMs.merge(h.engine(), h.agoMs(), Math::min);
+        for (HeartbeatRow row : report.heartbeats()) {
+            summary.heartbeatAgeMs.merge(row.engine(), row.agoMs(), Math::min);
         }
-        return out;
+        return summary;
+    }
+
+    private static AttemptCounts counts(TallyRow row) {
+        LatencyHistogram latencies = new LatencyHistogram(row.b0(), row.b1(), row.b2(), row.b3(), row.b4(), row.b5());
+        return new AttemptCounts(row.answered(), row.notRun(), row.failed(), row.running(), row.tokens(), latencies);
     }
 
-    /** One engine seen by one source; {@code LoadSummary.of(LoadSummary.key("i-1"), RequestKind.SHORT, tally)}. */
-    public static LoadSummary of(long engine, RequestKind kind, AttemptCounts t) {
-        LoadSummary out = new LoadSummary(new Long2ObjectRBTreeMap<>(), new Long2IntRBTreeMap());
-        out.add(engine, kind.ordinal(), t);
-        return out;
+    /** One engine and one kind, as one source saw it. */
+    public static LoadSummary of(long engineKey, RequestKind kind, AttemptCounts counts) {
+        LoadSummary summary = new LoadSummary();
+        summary.add(engineKey, kind.code(), counts);
+        return summary;
     }
 
-    /** All together, each looked at once; {@code LoadSummary.all(List.of(a, b))} equals {@code a.merge(b)}. */
-    public static LoadSummary all(Iterable<LoadSummary> sums) {
-        LoadSummary out = new LoadSummary(new Long2ObjectRBTreeMap<>(), new Long2IntRBTreeMap());
-        sums.forEach(out::addAll);
-        return out;
+    /** All together, each looked at once; the same as merging one after the other. */
+    public static LoadSummary mergeAll(Iterable<LoadSummary> summaries) {
+        LoadSummary merged = new LoadSummary();
+        summaries.forEach(merged::addAll);
+        return merged;
     }
 
     /** Both together. */
-    public LoadSummary merge(LoadSummary o) {
-        return all(List.of(this, o));
+    public LoadSummary merge(LoadSummary other) {
+        return mergeAll(List.of(this, other));
     }
 
-    private void addAll(LoadSummary o) {
-        o.agoMs.forEach((k, v) -> agoMs.merge((long) k, (int) v, Math::min));
-        o.tallies.forEach((k, byKind) -> {
-            for (int i = 0; i < byKind.length; i++) {
-                if (byKind[i] != null) {
-                    add(k, i, byKind[i]);
+    private void addAll(LoadSummary other) {
+        other.heartbeatAgeMs.forEach((key, ageMs) -> heartbeatAgeMs.merge((long) key, (int) ageMs, Math::min));
+        other.attempts.forEach((key, byKind) -> {
+            for (int kind = 0; kind < byKind.length; kind++) {
+                if (byKind[kind] != null) {
+                    add(key, kind, byKind[kind]);
                 }
             }
         });
     }
 
-    private void add(long engine, int kind, AttemptCounts t) {
-        AttemptCounts[] of = tallies.computeIfAbsent(engine, k -> new AttemptCounts[RequestKind.values().length]);
-        of[kind] = of[kind] == null ? t : of[kind].merge(t);
+    private void add(long engineKey, int kind, AttemptCounts counts) {
+        AttemptCounts[] byKind = attempts.computeIfAbsent(engineKey, key -> new AttemptCounts[RequestKind.COUNT]);
+        byKind[kind] = byKind[kind] == null ? counts : byKind[kind].merge(counts);
     }
 
-    /** Engines of which anything was seen. */
-    public LongSortedSet engines() {
-        return tallies.keySet();
+    /** Keys of the engines at which attempts were seen. */
+    public LongSortedSet engineKeys() {
+        return attempts.keySet();
     }
 
-    /** Engines whose own heartbeat was heard. */
-    public LongSortedSet heartbeats() {
-        return agoMs.keySet();
+    /** Keys of the engines whose own heartbeat was heard. */
+    public LongSortedSet heartbeatKeys() {
+        return heartbeatAgeMs.keySet();
     }
 
-    /** One kind at one engine; NONE if nothing was seen. */
-    public AttemptCounts of(long engine, RequestKind kind) {
-        AttemptCounts[] of = tallies.get(engine);
-        return of == null || of[kind.ordinal()] == null ? AttemptCounts.NONE : of[kind.ordinal()];
+    /** Attempts of one kind at one engine; {@link AttemptCounts#NONE} if none were seen. */
+    public AttemptCounts counts(long engineKey, RequestKind kind) {
+        AttemptCounts[] byKind = attempts.get(engineKey);
+        return byKind == null || byKind[kind.code()] == null ? AttemptCounts.NONE : byKind[kind.code()];
     }
 
-    /** All kinds at one engine; {@code sum.all(LoadSummary.key("i-1")).running()}. */
-    public AttemptCounts all(long engine) {
-        AttemptCounts out = AttemptCounts.NONE;
-        for (RequestKind k : RequestKind.values()) {
-            out = out.merge(of(engine, k));
+    /** Attempts of all kinds at one engine; {@link AttemptCounts#NONE} if none were seen. */
+    public AttemptCounts counts(long engineKey) {
+        AttemptCounts sum = AttemptCounts.NONE;
+        for (RequestKind kind : RequestKind.values()) {
+            sum = sum.merge(counts(engineKey, kind));
         }
-        return out;
+        return sum;
     }
 
-    /** How long ago the engine's own heartbeat was heard, below 0 if it was not. */
-    public int agoMs(long engine) {
-        return agoMs.getOrDefault(engine, -1);
+    /** How long ago the engine's own heartbeat was heard, in ms; below 0 if it was not. */
+    public int heartbeatAgeMs(long engineKey) {
+        return heartbeatAgeMs.getOrDefault(engineKey, -1);
     }
 
-    /** As it goes out; counts that do not fit their field stay at its end. {@code sum.report(life, seq)}. */
-    public Report report(long life, long seq) {
-        return report(life, seq, List.of());
-    }
-
-    /** The same, with the sources it was summed from. */
-    public Report report(long life, long seq, List<SourceRow> sources) {
+    /**
+     * The summary as it is sent. Counts that do not fit their field are sent as the largest that does.
+     *
+     * @param life incarnation of the sender
+     * @param seq number of the report within it
+     */
+    public Report toReport(long life, long seq) {
         List<TallyRow> rows = new ArrayList<>();
-        tallies.forEach((engine, byKind) -> {
-            for (int i = 0; i < byKind.length; i++) {
-                AttemptCounts t = byKind[i];
-                if (t != null && !t.empty()) {
-                    int[] f = t.firsts();
-                    rows.add(new TallyRow(
-                            engine,
-                            i,
-                            u16(t.answered()),
-                            u16(t.notRun()),
-                            u16(t.failed()),
-                            u16(t.running()),
-                            Math.min(U32, t.tokens()),
-                            u16(f[0]),
-                            u16(f[1]),
-                            u16(f[2]),
-                            u16(f[3]),
-                            u16(f[4]),
-                            u16(f[5])));
+        attempts.forEach((key, byKind) -> {
+            for (int kind = 0; kind < byKind.length; kind++) {
+                if (byKind[kind] != null && !byKind[kind].isEmpty()) {
+                    rows.add(row(key, kind, byKind[kind]));
                 }
             }
         });
-        List<HeartbeatRow> beats = new ArrayList<>();
-        agoMs.forEach((engine, ago) -> beats.add(new HeartbeatRow(engine, ago)));
-        return new Report(life, seq, rows, beats, sources);
-    }
-
-    private static int u16(int n) {
-        return Math.min(U16, n);
-    }
-
+        List<HeartbeatRow> heartbeats = new ArrayList<>();
+        heartbeatAgeMs.forEach((key, ageMs) -> heartbeats.add(new HeartbeatRow(key, ageMs)));
+        return new Report(life, seq, rows, heartbeats, List.of());
+    }
+
+    private static TallyRow row(long engineKey, int kind, AttemptCounts counts) {
+        LatencyHistogram latencies = counts.latencies();
+        return new TallyRow(
+                engineKey,
+                kind,
+                WireLimits.u16(counts.answered()),
+                WireLimits.u16(counts.notRun()),
+                WireLimits.u16(counts.failed()),
+                WireLimits.u16(counts.running()),
+                WireLimits.u32(counts.tokens()),
+                WireLimits.u16(latencies.upTo50Ms()),
+                WireLimits.u16(latencies.upTo150Ms()),
+                WireLimits.u16(latencies.upTo400Ms()),
+                WireLimits.u16(latencies.upTo1000Ms()),
+                WireLimits.u16(latencies.upTo2500Ms()),
+                WireLimits.u16(latencies.over2500Ms()));
+    }
+
+    /** Equal summaries are sent as equal reports. */
     @Override
-    public boolean equals(Object o) {
-        return o instanceof LoadSummary s && report(0, 0).equals(s.report(0, 0));
+    public boolean equals(Object other) {
+        return other instanceof LoadSummary summary && toReport(0, 0).equals(summary.toReport(0, 0));
     }
 
     @Override
     public int hashCode() {
-        return report(0, 0).hashCode();
+        return toReport(0, 0).hashCode();
     }
 
     @Override
     public String toString() {
-        return report(0, 0).toString();
+        return toReport(0, 0).toString();
     }
 }
--- a/src/main/java/ringspindle/telemetry/LoadTotals.java
+++ b/src/main/java/ringspindle/telemetry/LoadTotals.java
@@ -8,46 +8,63 @@
 import ringspindle.protocol.Message.EngineLoad;
 import ringspindle.protocol.Message.RegionLoad;
 
-/** From sums to what goes back: engines with their totals, regions by service. Pure. */
+/** From a summary to what goes back to data nodes: totals by engine, and by service of a region. Stateless. */
 public final class LoadTotals {
-    /** An engine as the collector knows it. */
+    /**
+     * An engine of the fleet.
+     *
+     * @param key {@link EngineKey} of its id
+     * @param capacity how many requests it runs at once
+     */
     public record Member(long key, String service, String region, int capacity) {}
 
+    private static final class ServiceTotals {
+        int engines;
+        int free;
+        int running;
+        int answered;
+        int failed;
+
+        void add(Member member, AttemptCounts counts) {
+            engines++;
+            free += Math.max(0, member.capacity() - counts.running());
+            running += counts.running();
+            answered += counts.answered();
+            failed += counts.failed();
+        }
+    }
+
     private LoadTotals() {}
 
-    /** Every engine of which anything was seen; {@code LoadTotals.engines(sum)}. */
-    public static List<EngineLoad> engines(LoadSummary s) {
-        List<EngineLoad> out = new ArrayList<>();
-        for (long key : s.engines()) {
-            AttemptCounts t = s.all(key);
-            if (!t.empty()) {
-                out.add(new EngineLoad(
+    /** Totals of every engine of which anything was seen, by their keys in ascending order. */
+    public static List<EngineLoad> byEngine(LoadSummary summary) {
+        List<EngineLoad> loads = new ArrayList<>();
+        for (long key : summary.engineKeys()) {
+            AttemptCounts counts = summary.counts(key);
+            if (!counts.isEmpty()) {
+                loads.add(new EngineLoad(
                         key,
-                        Math.min(65534, t.answered()),
-                        Math.min(65534, t.failed()),
-                        Math.min(65534, t.running()),
-                        Math.min(4294967294L, t.tokens())));
+                        WireLimits.u16(counts.answered()),
+                        WireLimits.u16(counts.failed()),
+                        WireLimits.u16(counts.running()),
+                        WireLimits.u32(counts.tokens())));
             }
         }
-        return out;
+        return loads;
     }
 
-    /** One region by service; {@code LoadTotals.region(sum, members, "ahd")}. */
-    public static List<RegionLoad> region(LoadSummary s, Collection<Member> members, String region) {
-        Map<String, int[]> by = new TreeMap<>();
-        for (Member m : members) {
-            if (m.region().equals(region)) {
-                AttemptCounts t = s.all(m.key());
-                int[] n = by.computeIfAbsent(m.service(), k -> new int[5]);
-                n[0]++;
-                n[1] += Math.max(0, m.capacity() - t.running());
-                n[2] += t.running();
-                n[3] += t.answered();
-                n[4] += t.failed();
+    /** Totals of the members in that region by service, in the order of the services' names. */
+    public static List<RegionLoad> byService(LoadSummary summary, Collection<Member> members, String region) {
+        Map<String, ServiceTotals> totals = new TreeMap<>();
+        for (Member member : members) {
+            if (member.region().equals(region)) {
+                totals.computeIfAbsent(member.service(), service -> new ServiceTotals())
+                        .add(member, summary.counts(member.key()));
             }
         }
-        List<RegionLoad> out = new ArrayList<>();
-        by.forEach((service, n) -> out.add(new RegionLoad(region, service, n[0], n[1], n[2], n[3], n[4])));
-        return out;
+        List<RegionLoad> loads = new ArrayList<>();
+        totals.forEach((service, total) -> loads.add(new RegionLoad(
+                region, service, total.engines, total.free, total.running, total.answered, total.failed)));
+        return loads;
     }
 }
--- a/src/main/java/ringspindle/telemetry/ReportCollector.java
+++ b/src/main/java/ringspindle/telemetry/ReportCollector.java
@@ -1,7 +1,7 @@
 package ringspindle.telemetry;
 
 import java.util.ArrayList;
-import java.util.Iterator;
+import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -14,124 +14,145 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * The newest report of each source, and their sum, computed anew each time: a resend, a reorder or a second way in adds
- * nothing. Reports expire on steady time. Pure; not thread safe.
+ * The newest report of each source, and their sum, which is computed anew each time: a report that comes twice, late or by
+ * a second way adds nothing. Reports expire on steady time. A state machine without a clock; not thread safe.
  */
 public final class ReportCollector {
-    private record Held(long life, long seq, LoadSummary sum, long atMs) {}
-
-    /** Ours: how long it is remembered what an expired source said last, so that nothing older counts again. */
+    /** How long it is remembered what an expired source reported last, so that nothing older counts again, in ms. */
     private static final int MEMORY_MS = 600_000;
 
+    /**
+     * The newest report that is known of a source.
+     *
+     * @param withdrawn whether it counts no more, and is known only so that nothing older counts again
+     */
+    private record SourceReport(long life, long seq, LoadSummary summary, long receivedMs, boolean withdrawn) {
+        boolean isOlderThan(long otherLife, long otherSeq) {
+            return otherLife > life || (otherLife == life && otherSeq > seq);
+        }
+    }
+
     private final int ttlMs;
-    private final Map<NodeId, Held> newest = new TreeMap<>();
-    private final long[] counts = new long[ReportVerdict.values().length];
+    private final Map<NodeId, SourceReport> newest = new TreeMap<>();
+    private final Map<ReportVerdict, Long> verdicts = new EnumMap<>(ReportVerdict.class);
 
-    /** {@code new ReportCollector(2000)} forgets a source that was silent for two seconds. */
+    /**
+     * An empty collector.
+     *
+     * @param ttlMs how long a report counts, in ms
+     */
     public ReportCollector(int ttlMs) {
         this.ttlMs = ttlMs;
     }
 
-    /** A report came; {@code collector.take(from, report, nowMs)} is NEWEST if it counts from now on. */
-    public ReportVerdict take(NodeId source, Report r, long nowMs) {
-        ReportVerdict t = judge(source, r);
-        counts[t.ordinal()]++;
-        if (t == ReportVerdict.NEWEST) {
-            newest.put(source, new Held(r.life(), r.seq(), LoadSummary.of(r), nowMs));
+    /** A report came; it counts from now on if the verdict is {@link ReportVerdict#NEWEST}. */
+    public ReportVerdict accept(NodeId source, Report report, long nowMs) {
+        ReportVerdict verdict = judge(source, report);
+        verdicts.merge(verdict, 1L, Long::sum);
+        if (verdict == ReportVerdict.NEWEST) {
+            newest.put(source, new SourceReport(report.life(), report.seq(), LoadSummary.of(report), nowMs, false));
         }
-        return t;
+        return verdict;
     }
 
-    private ReportVerdict judge(NodeId source, Report r) {
-        if (r.tallies().size() > LoadSummary.ROWS_MAX || r.heartbeats().size() > LoadSummary.ROWS_MAX) {
+    private ReportVerdict judge(NodeId source, Report report) {
+        if (report.tallies().size() > LoadSummary.MAX_ROWS
+                || report.heartbeats().size() > LoadSummary.MAX_ROWS) {
             return ReportVerdict.OVERSIZED;
         }
-        for (TallyRow t : r.tallies()) {
-            if (t.kind() >= RequestKind.values().length || t.tokens() < 0) {
-                return ReportVerdict.GARBLED;
+        if (isGarbled(report)) {
+            return ReportVerdict.GARBLED;
+        }
+        SourceReport known = newest.get(source);
+        boolean isNewer = known == null || known.isOlderThan(report.life(), report.seq());
+        return isNewer ? ReportVerdict.NEWEST : ReportVerdict.OLD;
+    }
+
+    private static boolean isGarbled(Report report) {
+        for (TallyRow row : report.tallies()) {
+            if (row.kind() >= RequestKind.COUNT || row.tokens() < 0) {
+                return true;
             }
         }
-        for (HeartbeatRow h : r.heartbeats()) {
-            if (h.agoMs() < 0) {
-                return ReportVerdict.GARBLED;
+        for (HeartbeatRow row : report.heartbeats()) {
+            if (row.agoMs() < 0) {
+                return true;
             }
         }
-        Held had = newest.get(source);
-        boolean newer = had == null || r.life() > had.life() || r.life() == had.life() && r.seq() > had.seq();
-        return newer ? ReportVerdict.NEWEST : ReportVerdict.OLD;
+        return false;
     }
 
     /**
-     * A source says in a new session which life it is in: what it said in another counts no more, and that life may have the
-     * higher number if the time of day went back. {@code collector.restarted(node, hello.life())}.
+     * A source says in a new session which incarnation it is: what it reported as another counts no more, and that one may
+     * have the higher number if the time of day went back.
      */
-    public void restarted(NodeId source, long life) {
-        Held h = newest.get(source);
-        if (h != null && h.life() != life) {
+    public void onSessionOpened(NodeId source, long life) {
+        SourceReport known = newest.get(source);
+        if (known != null && known.life() != life) {
             newest.remove(source);
         }
     }
 
-    /** The sum of the newest reports that have not expired. */
-    public LoadSummary sum(long nowMs) {
-        List<LoadSummary> count = new ArrayList<>();
-        for (Iterator<Held> it = newest.values().iterator(); it.hasNext(); ) {
-            Held h = it.next();
-            if (nowMs - h.atMs() <= ttlMs) {
-                count.add(h.sum());
-            } else if (nowMs - h.atMs() > MEMORY_MS) {
-                it.remove();
-            }
+    /** The session with the source ended: what it reported counts no more until it reports anew. */
+    public void onSessionClosed(NodeId source) {
+        SourceReport known = newest.get(source);
+        if (known != null) {
+            newest.put(source, withdrawn(known.life(), known.seq(), known));
         }
-        return LoadSummary.all(count);
     }
 
-    /** The source has gone elsewhere with that report, or ended: what it said here before counts no more. */
-    public void leave(NodeId source, long life, long seq) {
-        Held h = newest.get(source);
-        if (h != null && (life > h.life() || life == h.life() && seq > h.seq())) {
-            newest.put(source, new Held(life, seq, LoadSummary.NONE, h.atMs()));
+    /** Another collector counts that report of the source: what it reported here before counts no more. */
+    public void onReportedElsewhere(NodeId source, long life, long seq) {
+        SourceReport known = newest.get(source);
+        if (known != null && known.isOlderThan(life, seq)) {
+            newest.put(source, withdrawn(life, seq, known));
         }
     }
 
-    /** The session with the source ended; {@code collector.drop(node)} until it reports anew. */
-    public void drop(NodeId source) {
-        Held h = newest.get(source);
-        if (h != null) {
-            newest.put(source, new Held(h.life(), h.seq(), LoadSummary.NONE, h.atMs()));
+    private static SourceReport withdrawn(long life, long seq, SourceReport known) {
+        return new SourceReport(life, seq, LoadSummary.NONE, known.receivedMs(), true);
+    }
+
+    /** The sum of the newest reports that have not expired. Forgets sources that have been silent for very long. */
+    public LoadSummary sum(long nowMs) {
+        newest.values().removeIf(report -> nowMs - report.receivedMs() > Math.max(ttlMs, MEMORY_MS));
+        List<LoadSummary> counted = new ArrayList<>();
+        for (SourceReport report : newest.values()) {
+            if (counts(report, nowMs)) {
+                counted.add(report.summary());
+            }
         }
+        return LoadSummary.mergeAll(counted);
+    }
+
+    private boolean counts(SourceReport report, long nowMs) {
+        return nowMs - report.receivedMs() <= ttlMs;
     }
 
-    /** What this collector counts, for others that may hold something older of the same sources. */
-    public List<SourceRow> holds(long nowMs) {
-        List<SourceRow> out = new ArrayList<>();
-        newest.forEach((k, h) -> {
-            if (nowMs - h.atMs() <= ttlMs && h.sum() != LoadSummary.NONE) {
-                out.add(new SourceRow(k, h.life(), h.seq()));
+    /** The reports that count here, for other collectors that may hold older ones of the same sources. */
+    public List<SourceRow> countedReports(long nowMs) {
+        List<SourceRow> rows = new ArrayList<>();
+        newest.forEach((source, report) -> {
+            if (counts(report, nowMs) && !report.withdrawn()) {
+                rows.add(new SourceRow(source, report.life(), report.seq()));
             }
         });
-        return out;
+        return rows;
     }
 
-    /** Sources that count now; {@code collector.sources(nowMs).contains(node)}. */
+    /** Sources whose report has not expired. */
     public Set<NodeId> sources(long nowMs) {
-        Set<NodeId> out = new TreeSet<>();
-        newest.forEach((k, h) -> {
-            if (nowMs - h.atMs() <= ttlMs) {
-                out.add(k);
+        Set<NodeId> sources = new TreeSet<>();
+        newest.forEach((source, report) -> {
+            if (counts(report, nowMs)) {
+                sources.add(source);
             }
         });
-        return out;
-    }
-
-    /** How long ago a source's report came in, below 0 if it has none. */
-    public long ageMs(NodeId source, long nowMs) {
-        Held h = newest.get(source);
-        return h == null ? -1 : nowMs - h.atMs();
+        return sources;
     }
 
-    /** How many reports became what; {@code collector.count(ReportVerdict.GARBLED)}. */
-    public long count(ReportVerdict t) {
-        return counts[t.ordinal()];
+    /** How many reports had that verdict. */
+    public long count(ReportVerdict verdict) {
+        return verdicts.getOrDefault(verdict, 0L);
     }
 }
--- a/src/main/java/ringspindle/telemetry/ReportVerdict.java
+++ b/src/main/java/ringspindle/telemetry/ReportVerdict.java
@@ -1,18 +1,18 @@
 package ringspindle.telemetry;
 
-/** What became of a report. */
+/** What became of a report. The names appear in log lines. */
 public enum ReportVerdict {
-    /** It is the newest of its source. */
+    /** It is the newest of its source, and counts. */
     NEWEST,
-    /** Its source has said something newer, or just this. */
+    /** Its source has reported something newer, or just this. */
     OLD,
     /** It names more engines than a source may. */
     OVERSIZED,
     /** A number or a kind is out of its range. */
     GARBLED;
 
-    /** True if it changed nothing and shows a fault; {@code ReportVerdict.GARBLED.refused()}. */
-    public boolean refused() {
+    /** True if the report was rejected as faulty and changed nothing. */
+    public boolean isRejected() {
         return this == OVERSIZED || this == GARBLED;
     }
 }
--- a/src/test/java/ringspindle/loadbalancing/LoadBalancerTest.java
+++ b/src/test/java/ringspindle/loadbalancing/LoadBalancerTest.java
@@ -33,6 +33,7 @@
 import ringspindle.retry.AttemptOutcome;
 import ringspindle.routing.FallbackTarget;
 import ringspindle.telemetry.AttemptCounts;
+import ringspindle.telemetry.EngineKey;
 import ringspindle.telemetry.LoadSummary;
 import ringspindle.telemetry.RequestKind;
 
@@ -269,7 +270,7 @@
 
     private static Load load(Map<String, int[]> byEngine, String... regions) {
         List<EngineLoad> rows = new ArrayList<>();
-        byEngine.forEach((id, n) -> rows.add(new EngineLoad(LoadSummary.key(id), n[0], n[1], n[2], 0)));
+        byEngine.forEach((id, n) -> rows.add(new EngineLoad(EngineKey.of(id), n[0], n[1], n[2], 0)));
         List<RegionLoad> there = new ArrayList<>();
         for (String r : regions) {
             there.add(new RegionLoad(r, "s", 3, 90, 6, 10, 0));
@@ -380,12 +381,12 @@
             p.onAttemptEnded("i-a", any(), AttemptOutcome.BROKEN, LoadBalancer.STALE_MS, 101 + i);
         }
         assertEquals(List.of(), p.dueHealthProbes(200));
-        assertEquals(0, p.summarizeLoad(200).all(LoadSummary.key("i-a")).failed());
+        assertEquals(0, p.summarizeLoad(200).counts(EngineKey.of("i-a")).failed());
         for (int i = 0; i < 6; i++) {
             p.select(any(), 300 + i);
             p.onAttemptEnded("i-a", any(), AttemptOutcome.BROKEN, -1, 301 + i);
         }
-        assertEquals(6, p.summarizeLoad(400).all(LoadSummary.key("i-a")).failed());
+        assertEquals(6, p.summarizeLoad(400).counts(EngineKey.of("i-a")).failed());
         assertEquals(1, p.dueHealthProbes(400).size());
     }
 
@@ -398,12 +399,13 @@
         p.select(any(), 100);
         p.onAttemptEnded("i-a", any(), AttemptOutcome.ANSWERED, 120, 200);
         LoadSummary s = p.summarizeLoad(300);
-        assertEquals(1, s.of(LoadSummary.key("i-a"), RequestKind.LONG).running());
-        assertEquals(1, s.of(LoadSummary.key("i-a"), RequestKind.SHORT).answered());
-        assertEquals(1, s.of(LoadSummary.key("i-a"), RequestKind.SHORT).firsts()[1]);
+        assertEquals(1, s.counts(EngineKey.of("i-a"), RequestKind.LONG).running());
+        assertEquals(1, s.counts(EngineKey.of("i-a"), RequestKind.SHORT).answered());
+        assertEquals(
+                1, s.counts(EngineKey.of("i-a"), RequestKind.SHORT).latencies().upTo150Ms());
         p.onAttemptEnded("i-a", digest, AttemptOutcome.PARENT_ENDED, -1, 400);
-        AttemptCounts later = p.summarizeLoad(2500).all(LoadSummary.key("i-a"));
-        assertTrue(later.empty(), "clients' cancels stay out, what is old goes: " + later);
+        AttemptCounts later = p.summarizeLoad(2500).counts(EngineKey.of("i-a"));
+        assertTrue(later.isEmpty(), "clients' cancels stay out, what is old goes: " + later);
     }
 
     /** Turns at a cold engine: whatever the number of nodes, its bound holds in every second and it is not idle. */
@@ -450,7 +452,7 @@
             p.updateEngine("i-" + i, engine(i % 2 == 0 ? "a1" : "b1", i, 0, false), 1, 0);
             ids.add("i-" + i);
         }
-        ids.sort(Comparator.comparingLong(id -> RendezvousHash.rank(LoadSummary.key(id), 4711)));
+        ids.sort(Comparator.comparingLong(id -> RendezvousHash.rank(EngineKey.of(id), 4711)));
         return ids;
     }
 
@@ -465,8 +467,7 @@
         Map<String, int[]> seen = new HashMap<>();
         ranked.forEach(i -> seen.put(i, new int[] {1, 0, 1}));
         List<EngineLoad> rows = new ArrayList<>();
-        ranked.forEach(
-                i -> rows.add(new EngineLoad(LoadSummary.key(i), 1, 0, 1, i.equals(ranked.get(0)) ? 900_000 : 0)));
+        ranked.forEach(i -> rows.add(new EngineLoad(EngineKey.of(i), 1, 0, 1, i.equals(ranked.get(0)) ? 900_000 : 0)));
         p.updateRegionLoad(new Load(1, 1, rows, List.of()), 20);
         assertEquals(
                 "none", id(p.select(steered(new RoutingPreference(0, 1.5, busy, List.of(), 50), 4711), 30)), "not yet");
--- a/src/test/java/ringspindle/loadbalancing/SelectionSequence.java
+++ b/src/test/java/ringspindle/loadbalancing/SelectionSequence.java
@@ -27,6 +27,8 @@
 import ringspindle.retry.AttemptOutcome;
 import ringspindle.routing.FallbackTarget;
 import ringspindle.telemetry.AttemptCounts;
+import ringspindle.telemetry.EngineKey;
+import ringspindle.telemetry.LatencyHistogram;
 import ringspindle.telemetry.LoadSummary;
 
 /**
@@ -313,10 +315,10 @@
                 int failed = random.nextInt(7) == 0 ? random.nextInt(12) : 0;
                 int answered = random.nextInt(14);
                 engines.add(new EngineLoad(
-                        LoadSummary.key("i-" + i), answered, failed, random.nextInt(20), random.nextInt(60_000)));
+                        EngineKey.of("i-" + i), answered, failed, random.nextInt(20), random.nextInt(60_000)));
             }
         }
-        engines.add(new EngineLoad(LoadSummary.key("i-none"), 1, 1, 1, 1));
+        engines.add(new EngineLoad(EngineKey.of("i-none"), 1, 1, 1, 1));
         List<RegionLoad> regions = new ArrayList<>();
         for (String region : REGIONS) {
             if (random.nextInt(6) > 0) {
@@ -329,12 +331,12 @@
 
     private void summarizes() {
         LoadSummary summary = node().summarizeLoad(nowMs);
-        for (long key : summary.engines()) {
-            AttemptCounts counts = summary.all(key);
+        for (long key : summary.engineKeys()) {
+            AttemptCounts counts = summary.counts(key);
             note(key, counts.answered(), counts.notRun(), counts.failed(), counts.running(), counts.tokens());
-            for (int count : counts.firsts()) {
-                note(count);
-            }
+            LatencyHistogram latencies = counts.latencies();
+            note(latencies.upTo50Ms(), latencies.upTo150Ms(), latencies.upTo400Ms());
+            note(latencies.upTo1000Ms(), latencies.upTo2500Ms(), latencies.over2500Ms());
         }
     }
 
--- a/src/test/java/ringspindle/proxy/ProxyHandlerTest.java
+++ b/src/test/java/ringspindle/proxy/ProxyHandlerTest.java
@@ -346,7 +346,7 @@
         assertEquals(
                 0,
                 picker.summarizeLoad(clock.nowMs())
-                        .all(ringspindle.telemetry.LoadSummary.key("i-1"))
+                        .counts(ringspindle.telemetry.EngineKey.of("i-1"))
                         .failed());
         for (int i = 3; i < 7; i++) {
             String got = ok("/card/x", "t" + i);
--- a/src/test/java/ringspindle/scale/RestartTest.java
+++ b/src/test/java/ringspindle/scale/RestartTest.java
@@ -15,7 +15,7 @@
 import ringspindle.loadbalancing.LoadBalancer;
 import ringspindle.protocol.Message.Engine;
 import ringspindle.protocol.NodeId;
-import ringspindle.telemetry.LoadSummary;
+import ringspindle.telemetry.EngineKey;
 
 /** A data node that restarts under a clock that went back is counted soon, though its life has a lower number. */
 class RestartTest {
@@ -69,7 +69,7 @@
     }
 
     private int running() {
-        return control.total().all(LoadSummary.key(ENGINE)).running();
+        return control.total().counts(EngineKey.of(ENGINE)).running();
     }
 
     @Test
