--- a/src/main/java/ringspindle/proxy/ProxiedAttempt.java
+++ b/src/main/java/ringspindle/proxy/ProxiedAttempt.java
@@ -263,7 +263,8 @@
         if (result != null) {
             onComplete(result);
         } else if (!last) {
-            run();
+            // not read from here: Jetty runs the reading after whatever else it does with the exchange at this moment
+            content.demand(this);
         }
     }
 
--- a/src/main/java/ringspindle/replication/OrderPipeline.java
+++ b/src/main/java/ringspindle/replication/OrderPipeline.java
@@ -87,6 +87,8 @@
     /** A new view: others ask anew; what was decided and not answered is decided anew. */
     void startView() {
         confirmations.startView();
+        // an answer is final: what was refused here must not be passed on and acted on there
+        held.forgetAnswered();
         held.keepOnly(replica.self());
         goOn();
     }
--- a/src/test/java/ringspindle/replication/ChainReplicatedStateTest.java
+++ b/src/test/java/ringspindle/replication/ChainReplicatedStateTest.java
@@ -132,6 +132,17 @@
         assertEquals(List.of(Outcome.TAKEN, Outcome.OTHER_VERSION), answers(a.receive(B, new Synced(1, 1), 40)));
     }
 
+    /** An answer is final: what was refused must not be acted on by the head of the next view. */
+    @Test
+    void refusedOrderIsNotPassedOnInTheNextView() {
+        ReplicatedState a = head();
+        synced(a, a.call(put(1, 0, 3), 30));
+        a.receive(B, new Synced(1, 1), 40);
+        assertEquals(List.of(Outcome.OTHER_VERSION), answersOnceConfirmed(a, put(2, 0, 9), 50));
+        List<Out> next = synced(a, a.receive(B, new Decided(new View(2, ALL, List.of(B, A))), 60));
+        assertEquals(List.of(), sent(next, Call.class));
+    }
+
     @Test
     void orderSentAgainIsKnownByItsDigest() {
         ReplicatedState a = head();
