--- a/src/main/java/ringspindle/proxy/ProxyHandler.java
+++ b/src/main/java/ringspindle/proxy/ProxyHandler.java
@@ -26,6 +26,7 @@
 import ringspindle.logging.LogField;
 import ringspindle.protocol.Message.LedgerReport;
 import ringspindle.retry.Action;
+import ringspindle.retry.CancelCause;
 import ringspindle.retry.TerminalEvent;
 import ringspindle.routing.RequestLedger;
 import ringspindle.routing.ServingRules;
@@ -255,7 +256,7 @@
         ledger.onEnded(event);
         String end = event.state() + (event.cause() == null ? "" : " " + event.cause());
         endCounts.computeIfAbsent(end, key -> new LongAdder()).increment();
-        if (event.state() != Action.State.COMPLETED) {
+        if (event.state() != Action.State.COMPLETED && event.cause() != CancelCause.CLIENT_GONE) {
             LOG.atFine()
                     .with(LogField.REQUEST, event.actionId())
                     .with(LogField.OUTCOME, end)
--- a/src/main/java/ringspindle/routing/Affinity.java
+++ b/src/main/java/ringspindle/routing/Affinity.java
@@ -50,6 +50,10 @@
     }
 
     private static Key ofSession(String[] prefixParts) {
+        if (prefixParts.length == 0) {
+            // nothing but commas
+            return NO_KEY;
+        }
         String last = prefixParts[prefixParts.length - 1];
         int colon = last.indexOf(':');
         if (colon <= 0) {
--- a/src/test/java/ringspindle/routing/ServingRulesTest.java
+++ b/src/test/java/ringspindle/routing/ServingRulesTest.java
@@ -178,4 +178,14 @@
                 ServingRulesValidator.validate(read(names), config(), Set.of()));
         assertEquals(List.of("a"), read(names).idleRules(config()));
     }
+
+    /** A client may send any prefix; one without parts belongs to no session and shares nothing. */
+    @Test
+    void prefixWithoutPartsHasNoKeyOnAnyBasis() {
+        for (Affinity.Basis basis : Affinity.Basis.values()) {
+            for (String prefix : new String[] {"", ",", ",,", ":", ":1", "a"}) {
+                assertEquals(0, new Affinity(basis, 4, 4096, 2.0).key(prefix).hash(), basis + " " + prefix);
+            }
+        }
+    }
 }
