--- a/src/main/java/ringspindle/config/FleetConfig.java
+++ b/src/main/java/ringspindle/config/FleetConfig.java
@@ -29,12 +29,12 @@
      *
      * @param deadlineMs milliseconds that a request may take in all
      * @param aimMs the target latency in milliseconds
-     * @param priority greater is more urgent
+     * @param priority the rank among requests that wait, 0 being served first
      * @param targets the services, at least one
      * @param maxAttempts how often a request may be sent to engines, at least 1
      * @param resumable whether a broken stream may be resumed on another engine
      * @param sticky whether requests with the same key go to the same engine
-     * @param tokenGapMs milliseconds without a token after which a stream counts as stuck
+     * @param tokenGapMs the longest pause between events, in milliseconds, that keeps an answer in time
      * @param homes the only regions that may serve it, empty for all
      */
     public record Route(
@@ -71,9 +71,9 @@
      * Engines that can stand in for each other.
      *
      * @param healthPath the path of their health check
-     * @param maxConnections connections that a data node opens to one engine at most
+     * @param maxConnections connections that one engine accepts from all callers together
      * @param warmupS seconds of slow start, 0 for none
-     * @param warmupPerS further seconds of slow start by second out of service
+     * @param warmupPerS requests a second that an engine bears while it warms up
      * @param cacheTokens tokens that an engine's prefix cache holds, 0 if not known
      * @param capacity requests that an engine runs at a time, 0 if not known
      */
--- a/src/main/java/ringspindle/proxy/ClientEndPoint.java
+++ b/src/main/java/ringspindle/proxy/ClientEndPoint.java
@@ -14,30 +14,34 @@
 import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.BufferUtil;
 import org.eclipse.jetty.util.Callback;
+import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * An endpoint that notices the consumer's close while its request is at work. Jetty's HTTP/1.1 reads nothing in that
- * time, so this reads into a small held buffer and hands those bytes back to the parser afterwards.
+ * The end point of a client's connection, which notices that the client closes it while its request is at work. Jetty's
+ * HTTP/1.1 reads nothing in that time, so this reads into a small buffer of its own and hands those bytes, which are of a
+ * following request, to Jetty's parser afterwards.
+ *
+ * <p>A reset and an orderly close are not told apart here, as either way the client is gone; a request whose body is cut
+ * short fails by its own framing.
  */
 final class ClientEndPoint extends SocketChannelEndPoint {
-    private static final int HELD_MAX = 16384;
+    /** So many bytes of following requests are read ahead at most. */
+    private static final int READ_AHEAD_MAX = 16384;
 
-    /** Hands out watched endpoints. */
+    private static final int READ_BYTES = 2048;
+
+    /** Accepts connections whose end points are of this kind. */
     static final class Connector extends ServerConnector {
-        Connector(
-                Server server,
-                Executor pool,
-                org.eclipse.jetty.util.thread.Scheduler beats,
-                ConnectionFactory... factories) {
-            super(server, pool, beats, null, 0, 1, factories);
+        Connector(Server server, Executor pool, Scheduler scheduler, ConnectionFactory... factories) {
+            super(server, pool, scheduler, null, 0, 1, factories);
         }
 
         @Override
-        protected SocketChannelEndPoint newEndPoint(SocketChannel channel, ManagedSelector select, SelectionKey key)
+        protected SocketChannelEndPoint newEndPoint(SocketChannel channel, ManagedSelector selector, SelectionKey key)
                 throws IOException {
-            ClientEndPoint e = new ClientEndPoint(channel, select, key, getScheduler(), getExecutor());
-            e.setIdleTimeout(getIdleTimeout());
-            return e;
+            ClientEndPoint endPoint = new ClientEndPoint(channel, selector, key, getScheduler(), getExecutor());
+            endPoint.setIdleTimeout(getIdleTimeout());
+            return endPoint;
         }
 
         /** Registers the end point; a limit that was raised since it was made holds for it as well. */
@@ -49,22 +53,28 @@
     }
 
     private final Executor pool;
+    /** Guards all fields below; nothing of others is called under it but Jetty's own reading. */
     private final Object lock = new Object();
-    private ByteBuffer held;
+    /** Bytes that were read ahead, null if there are none. */
+    private ByteBuffer readAhead;
+    /** The client's side has ended. */
     private boolean ended;
-    private boolean registered;
-    private Callback reader;
-    private Runnable gone;
+    /** The watcher waits for the client's bytes. */
+    private boolean watcherRegistered;
+    /** Jetty's reader, where it wants to wait while the watcher is registered. */
+    private Callback waitingReader;
+    /** What is to be run once the client is gone, null if nobody watches. */
+    private Runnable onClientGone;
 
     private final Callback watcher = new Callback() {
         @Override
         public void succeeded() {
-            readable();
+            onReadable();
         }
 
         @Override
-        public void failed(Throwable x) {
-            broken(x);
+        public void failed(Throwable failure) {
+            onFailure(failure);
         }
 
         @Override
@@ -74,165 +84,166 @@
     };
 
     ClientEndPoint(
-            SocketChannel channel,
-            ManagedSelector select,
-            SelectionKey key,
-            org.eclipse.jetty.util.thread.Scheduler beats,
-            Executor pool) {
-        super(channel, select, key, beats);
+            SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler, Executor pool) {
+        super(channel, selector, key, scheduler);
         this.pool = pool;
     }
 
-    /** From now on a close of the other side runs that; the request must have been read whole. */
-    void watch(Runnable consumerGone) {
-        boolean now;
+    /** From now on a close by the client runs that; the request must have been read whole. */
+    void watch(Runnable clientGone) {
+        boolean alreadyEnded;
         synchronized (lock) {
-            gone = consumerGone;
-            now = ended;
-            if (!now && !registered && reader == null && held == null) {
-                registered = true;
+            onClientGone = clientGone;
+            alreadyEnded = ended;
+            if (!alreadyEnded && !watcherRegistered && waitingReader == null && readAhead == null) {
+                watcherRegistered = true;
                 super.fillInterested(watcher);
             }
         }
-        if (now) {
-            consumerGone.run();
+        if (alreadyEnded) {
+            clientGone.run();
         }
     }
 
     /** The request is over. */
     void unwatch() {
         synchronized (lock) {
-            gone = null;
+            onClientGone = null;
         }
     }
 
-    private void readable() {
-        Callback r = null;
-        Runnable g = null;
+    private void onReadable() {
+        Callback reader = null;
+        Runnable clientGone = null;
         synchronized (lock) {
-            registered = false;
-            if (reader != null) {
-                r = reader;
-                reader = null;
+            watcherRegistered = false;
+            if (waitingReader != null) {
+                reader = waitingReader;
+                waitingReader = null;
             } else {
-                ByteBuffer b = BufferUtil.allocate(2048);
-                int n;
-                try {
-                    n = super.fill(b);
-                } catch (IOException x) {
-                    n = -1;
-                }
-                if (n < 0) {
-                    ended = true;
-                    g = gone;
-                } else if (n > 0) {
-                    hold(b);
-                }
-                if (n == 0 || n > 0 && held.remaining() < HELD_MAX) {
-                    registered = true;
-                    super.fillInterested(watcher);
-                }
+                clientGone = readAheadOrEnd();
             }
         }
-        if (r != null) {
-            r.succeeded();
+        if (reader != null) {
+            reader.succeeded();
         }
-        if (g != null) {
-            g.run();
+        if (clientGone != null) {
+            clientGone.run();
         }
     }
 
-    private void hold(ByteBuffer b) {
-        int had = held == null ? 0 : held.remaining();
-        ByteBuffer more = ByteBuffer.allocate(had + b.remaining());
-        if (held != null) {
-            more.put(held);
+    /** Reads what has come and waits for more; returns what is to be run if that was the end, else null. */
+    private Runnable readAheadOrEnd() {
+        ByteBuffer bytes = BufferUtil.allocate(READ_BYTES);
+        int filled;
+        try {
+            filled = super.fill(bytes);
+        } catch (IOException closedHere) {
+            filled = -1;
+        }
+        if (filled < 0) {
+            ended = true;
+            return onClientGone;
         }
-        held = more.put(b).flip();
+        if (filled > 0) {
+            keep(bytes);
+        }
+        if (filled == 0 || readAhead.remaining() < READ_AHEAD_MAX) {
+            watcherRegistered = true;
+            super.fillInterested(watcher);
+        }
+        return null;
+    }
+
+    private void keep(ByteBuffer bytes) {
+        int before = readAhead == null ? 0 : readAhead.remaining();
+        ByteBuffer all = ByteBuffer.allocate(before + bytes.remaining());
+        if (readAhead != null) {
+            all.put(readAhead);
+        }
+        readAhead = all.put(bytes).flip();
     }
 
-    private void broken(Throwable x) {
-        Callback r;
-        Runnable g = null;
+    private void onFailure(Throwable failure) {
+        Callback reader;
+        Runnable clientGone = null;
         synchronized (lock) {
-            registered = false;
-            r = reader;
-            reader = null;
-            if (r == null) {
-                if (x instanceof TimeoutException) {
-                    // the consumer is idle, as it should be while it waits
-                    registered = true;
+            watcherRegistered = false;
+            reader = waitingReader;
+            waitingReader = null;
+            if (reader == null) {
+                if (failure instanceof TimeoutException) {
+                    // the client is idle, as it should be while it waits
+                    watcherRegistered = true;
                     super.fillInterested(watcher);
                 } else {
                     ended = true;
-                    g = gone;
+                    clientGone = onClientGone;
                 }
             }
         }
-        if (r != null) {
-            r.failed(x);
+        if (reader != null) {
+            reader.failed(failure);
         }
-        if (g != null) {
-            g.run();
+        if (clientGone != null) {
+            clientGone.run();
         }
     }
 
-    /** The watcher's own reading is nobody's business: Jetty drops a wire whose reader seems to be left over. */
+    /** The watcher's own waiting does not count: Jetty closes a connection whose reader seems to be left over. */
     @Override
     public boolean isFillInterested() {
         synchronized (lock) {
-            return registered ? reader != null : super.isFillInterested();
+            return watcherRegistered ? waitingReader != null : super.isFillInterested();
         }
     }
 
     @Override
-    public void fillInterested(Callback callback) {
-        boolean now;
+    public void fillInterested(Callback reader) {
+        if (!register(reader)) {
+            // not here and now: whoever registers is still on its way out of the request before
+            pool.execute(reader::succeeded);
+        }
+    }
+
+    /** Lets Jetty's reader wait; false if there is something for it already. */
+    private boolean register(Callback reader) {
         synchronized (lock) {
-            now = held != null || ended;
-            if (!now) {
-                if (registered) {
-                    reader = callback;
-                } else {
-                    super.fillInterested(callback);
-                }
+            if (readAhead != null || ended) {
+                return false;
             }
-        }
-        if (now) {
-            // not here and now: whoever registers is still on its way out of the request before
-            pool.execute(callback::succeeded);
+            if (watcherRegistered) {
+                waitingReader = reader;
+            } else {
+                super.fillInterested(reader);
+            }
+            return true;
         }
     }
 
     @Override
-    public boolean tryFillInterested(Callback callback) {
+    public boolean tryFillInterested(Callback reader) {
         synchronized (lock) {
-            if (held == null && !ended) {
-                if (!registered) {
-                    return super.tryFillInterested(callback);
+            if (readAhead == null && !ended) {
+                if (!watcherRegistered) {
+                    return super.tryFillInterested(reader);
                 }
-                if (reader != null) {
+                if (waitingReader != null) {
                     return false;
                 }
-                reader = callback;
+                waitingReader = reader;
                 return true;
             }
         }
-        pool.execute(callback::succeeded);
+        pool.execute(reader::succeeded);
         return true;
     }
 
     @Override
     public int fill(ByteBuffer buffer) throws IOException {
         synchronized (lock) {
-            if (held != null) {
-                int at = BufferUtil.flipToFill(buffer);
-                int n = BufferUtil.put(held, buffer);
-                BufferUtil.flipToFlush(buffer, at);
-                if (!held.hasRemaining()) {
-                    held = null;
-                }
-                return n;
+            if (readAhead != null) {
+                return takeReadAhead(buffer);
             }
             if (ended) {
                 return -1;
@@ -240,4 +251,14 @@
         }
         return super.fill(buffer);
     }
+
+    private int takeReadAhead(ByteBuffer buffer) {
+        int position = BufferUtil.flipToFill(buffer);
+        int taken = BufferUtil.put(readAhead, buffer);
+        BufferUtil.flipToFlush(buffer, position);
+        if (!readAhead.hasRemaining()) {
+            readAhead = null;
+        }
+        return taken;
+    }
 }
--- a/src/test/java/ringspindle/loadbalancing/LoadBalancerTest.java
+++ b/src/test/java/ringspindle/loadbalancing/LoadBalancerTest.java
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void consumerCancelsNeverMakeAnEngineSuspect() {
+    void clientsThatLeaveNeverGetAnEngineEjected() {
         LoadBalancer p = picker("a1", "a");
         p.updateEngine("i-a", engine("a1", 1, 0, false), 1, 0);
         for (int i = 0; i < 50; i++) {
--- a/src/test/java/ringspindle/proxy/ProxyHandlerTest.java
+++ b/src/test/java/ringspindle/proxy/ProxyHandlerTest.java
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void consumerGoneStopsTheEngineAndCountsAgainstNobody() throws Exception {
+    void clientThatLeavesStopsTheEngineAndCountsAgainstNobody() throws Exception {
         StandInEngine e = engine("i-1", "z", (x, out, socket) -> {
             if (x.line().contains("/short/")) {
                 // waits for the other side to close
--- a/src/test/java/ringspindle/proxy/StreamFaultsTest.java
+++ b/src/test/java/ringspindle/proxy/StreamFaultsTest.java
@@ -21,7 +21,6 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import ringspindle.protocol.Message.Engine;
 import ringspindle.proxy.EventStreams.Ending;
 import ringspindle.proxy.EventStreams.Received;
 
@@ -29,8 +28,8 @@
 @Timeout(60)
 class StreamFaultsTest extends ProxyFixture {
     private static final String CLOSE = "Connection: close\r\n";
-    private static final String END_OF_CHUNKS = "0\r\n\r\n";
-    private static final int LAST_ID = 9;
+    static final String END_OF_CHUNKS = "0\r\n\r\n";
+    static final int LAST_ID = 9;
     private static final int MEBIBYTE = 1 << 20;
 
     /** What an engine sends in place of the event that is due, and how it ends. */
@@ -78,11 +77,11 @@
 
     private final List<StandInEngine.Seen> requests = Collections.synchronizedList(new ArrayList<>());
 
-    private static String event(int id) {
+    static String event(int id) {
         return "id: " + id + "\ndata: <" + id + ">\n\n";
     }
 
-    private static String events(int from, int to) {
+    static String events(int from, int to) {
         StringBuilder out = new StringBuilder();
         for (int id = from; id <= to; id++) {
             out.append(event(id));
@@ -338,71 +337,4 @@
             }
         }
     }
-
-    @Test
-    void longEventIsPassedOnWhole() throws Exception {
-        String longOne = "id: 0\ndata: " + "x".repeat(3 * MEBIBYTE) + "\n\n";
-        engine(
-                "i-1",
-                "z",
-                (seen, out, socket) -> StandInEngine.say(
-                        out, StandInEngine.streamHead(seen) + StandInEngine.chunk(longOne + event(1)) + END_OF_CHUNKS));
-        Received received = Received.of(ok("/short/x", "t1"));
-        assertTrue(received.looksComplete());
-        assertEquals(longOne + event(1), received.body());
-    }
-
-    @Test
-    void eventsWithoutAnIdArePassedOn() throws Exception {
-        String stream = ": comment\n\n" + event(0) + "data: none\n\n" + event(1);
-        engine(
-                "i-1",
-                "z",
-                (seen, out, socket) -> StandInEngine.say(
-                        out, StandInEngine.streamHead(seen) + StandInEngine.chunk(stream) + END_OF_CHUNKS));
-        Received received = Received.of(ok("/short/x", "t1"));
-        assertTrue(received.looksComplete());
-        assertEquals(stream, received.body());
-    }
-
-    /** A further run could bring it again, or not: nobody can tell the engine where to go on. */
-    @Test
-    void streamBrokenBehindDataWithoutAnIdIsNotResumed() throws Exception {
-        StandInEngine.Script script = (seen, out, socket) -> {
-            requests.add(seen);
-            StandInEngine.say(out, StandInEngine.streamHead(seen) + StandInEngine.chunk(event(0) + "data: none\n\n"));
-            Ending.CLOSE.end(socket);
-        };
-        engine("i-1", "z", script);
-        engine("i-2", "z", script);
-        Received received = Received.of(ok("/long/x", "t1"));
-        assertFalse(received.looksComplete());
-        assertEquals(event(0) + "data: none\n\n", received.body());
-        assertEquals(1, requests.size());
-    }
-
-    /** An engine that goes on with other weights than those of the events before is no continuation. */
-    @Test
-    void runWithOtherWeightsIsNotJoined() throws Exception {
-        StandInEngine.Script script = (seen, out, socket) -> {
-            requests.add(seen);
-            if (requests.size() == 1) {
-                String change = "weight-versions: 2\nid: 1\ndata: <1>\n\n";
-                StandInEngine.say(out, StandInEngine.streamHead(seen) + StandInEngine.chunk(event(0) + change));
-                Ending.CLOSE.end(socket);
-            }
-            // says 1 in its head, though 2 was asked for
-            StandInEngine.say(
-                    out, StandInEngine.streamHead(seen) + StandInEngine.chunk(events(2, LAST_ID)) + END_OF_CHUNKS);
-        };
-        for (String id : List.of("i-1", "i-2")) {
-            // says of no weights which it has, so that it is asked
-            String address = engine(id, "z", script).address();
-            picker.updateEngine(id, new Engine(8, 0, false, -1, -1, "s", address, "z", "v"), 2, clock.nowMs());
-        }
-        Received received = Received.of(ok("/long/x", "t1"));
-        assertFalse(received.looksComplete());
-        assertFalse(received.body().contains("<2>"), received.body());
-        assertEquals("2", requests.get(1).heads().get("Expected-Revision"));
-    }
 }
--- a/src/test/java/ringspindle/retry/RaceSteps.java
+++ b/src/test/java/ringspindle/retry/RaceSteps.java
@@ -98,7 +98,7 @@
         }
     }
 
-    @When("the consumer goes")
+    @When("the client goes")
     public void gone() {
         action.cancel(CancelCause.CLIENT_GONE, nowMs);
         // the wire to the engine breaks because of that, and twice at that
--- a/src/test/resources/features/races.feature
+++ b/src/test/resources/features/races.feature
@@ -1,11 +1,11 @@
 Feature: One action, one end
   The design's races: whatever comes when, one of completion and cancellation wins, nothing starts afterwards,
-  and what the consumer or the deadline ended never counts against an engine.
+  and what the client or the deadline ended never counts against an engine.
 
-  Scenario Outline: a consumer goes <when>
+  Scenario Outline: a client goes <when>
     Given a <kind> action with 2 engines at most and 8000 ms
     When it has come to "<when>"
-    And the consumer goes
+    And the client goes
     Then it is CANCELED by CLIENT_GONE
     And <attempts> attempts were started
     And no further attempt can start
@@ -28,7 +28,7 @@
     Given a repeatable action with 2 engines at most and 8000 ms
     When it has come to "waiting for a byte"
     And the answer is whole
-    And the consumer goes
+    And the client goes
     Then it is COMPLETED
     And there is one terminal event
     And no further attempt can start
@@ -71,9 +71,9 @@
     Then an attempt of 2000 ms ends at 500 ms with its parent
     And an attempt of 200 ms ends at 200 ms alone
 
-  Scenario: an attempt's own timeout keeps its mark when the consumer goes later
+  Scenario: an attempt's own timeout keeps its mark when the client goes later
     Given a repeatable action with 2 engines at most and 8000 ms
     When it has come to "during fallback" after ATTEMPT_TIMEOUT
-    And the consumer goes
+    And the client goes
     Then it is CANCELED by CLIENT_GONE
     And the first attempt ended with ATTEMPT_TIMEOUT
