--- a/src/main/java/ringspindle/controlplane/QuotaLeaseIssuer.java
+++ b/src/main/java/ringspindle/controlplane/QuotaLeaseIssuer.java
@@ -18,12 +18,14 @@
     private static final int TAKEOVER_MS = TTL_MS + 500;
 
     private static final int PERIOD_TICKS = 10;
+    private static final long NEVER = -1;
+    private static final long FIRST_EPOCH = 1;
 
     private final NodeId me;
     private final FleetFacts facts;
     private final DataNodeDirectory dataNodes;
-    /** The head as of the last tick that knew one, null before the first. */
-    private NodeId lastHead;
+    /** The newest epoch in which this node held the role, {@link #NEVER} before the first. */
+    private long heldEpoch = NEVER;
 
     private long grantFromMs;
 
@@ -40,23 +42,24 @@
      * @param quorate only then this node may act as the head
      */
     void tick(View view, boolean quorate, long ticks, long nowMs) {
-        if (view == null) {
+        if (view == null || !quorate || !view.head().equals(me)) {
             return;
         }
-        if (!quorate || !view.head().equals(me)) {
-            lastHead = view.head();
-            return;
-        }
-        if (!me.equals(lastHead)) {
-            boolean firstHeadEver = lastHead == null && view.epoch() == 1;
+        if (!succeedsItself(view.epoch())) {
+            boolean firstHeadEver = heldEpoch == NEVER && view.epoch() == FIRST_EPOCH;
             grantFromMs = firstHeadEver ? nowMs : nowMs + TAKEOVER_MS;
-            lastHead = me;
         }
+        heldEpoch = view.epoch();
         if (nowMs >= grantFromMs && ticks % PERIOD_TICKS == 0) {
             grant(view.epoch(), nowMs);
         }
     }
 
+    /** True if nobody else can have granted anything since this node did: no view of another head lies in between. */
+    private boolean succeedsItself(long epoch) {
+        return heldEpoch != NEVER && epoch - heldEpoch <= 1;
+    }
+
     private void grant(long epoch, long nowMs) {
         int sharers = dataNodes.sharing(nowMs);
         if (sharers == 0) {
--- /dev/null
+++ b/src/test/java/ringspindle/controlplane/QuotaLeaseIssuerTest.java
@@ -0,0 +1,123 @@
+package ringspindle.controlplane;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import java.util.Map;
+import java.util.Properties;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import ringspindle.config.NodeConfig;
+import ringspindle.config.Validated;
+import ringspindle.membership.DataNodeFact;
+import ringspindle.membership.SessionTable;
+import ringspindle.protocol.Codec;
+import ringspindle.protocol.FactKind;
+import ringspindle.protocol.Message.Fact;
+import ringspindle.protocol.Message.Hello;
+import ringspindle.protocol.Message.Lease;
+import ringspindle.protocol.Message.View;
+import ringspindle.protocol.NodeFlags;
+import ringspindle.protocol.NodeId;
+import ringspindle.protocol.NodeKind;
+
+/** A new holder grants nothing before the leases of the one before it have run out. */
+class QuotaLeaseIssuerTest {
+    private static final NodeId ME = NodeId.of("10.0.0.1:7000");
+    private static final NodeId OTHER = NodeId.of("10.0.0.2:7000");
+    private static final int TICK_MS = 100;
+    private static final long START_MS = 1_000_000;
+
+    private FleetFacts facts;
+    private QuotaLeaseIssuer issuer;
+    private long nowMs = START_MS;
+    private long ticks;
+
+    @BeforeEach
+    void create() {
+        Properties settings = new Properties();
+        settings.putAll(Map.of(
+                "node.name",
+                "c",
+                "node.ip",
+                "10.0.0.1",
+                "node.zone",
+                "za",
+                "node.region",
+                "a",
+                "listen.control",
+                "10.0.0.1:1",
+                "listen.registry",
+                "10.0.0.1:2",
+                "listen.inner",
+                "7000",
+                "seeds",
+                "10.0.0.1:1",
+                "node.data",
+                "/data",
+                "zone.za",
+                "a"));
+        facts = new FleetFacts(((Validated.Valid<NodeConfig>) NodeConfig.check(settings)).value(), () -> nowMs);
+        issuer = new QuotaLeaseIssuer(ME, facts, new DataNodeDirectory(ME, SessionTable.forControl(ME), facts));
+        NodeId node = NodeId.of("10.1.0.1:7000");
+        Hello hello = new Hello(node, 1, NodeKind.DATA, node.bits(), "d", "za", "a");
+        facts.merge(List.of(new Fact(
+                FactKind.NODE, node.toString(), 1, 1, new DataNodeFact(NodeFlags.READY, OTHER, hello).value())));
+    }
+
+    private static View view(long epoch, NodeId head) {
+        return new View(epoch, List.of(ME, OTHER), List.of(head));
+    }
+
+    private void run(View view, boolean quorate, int forMs) {
+        for (long endMs = nowMs + forMs; nowMs < endMs; nowMs += TICK_MS) {
+            issuer.tick(view, quorate, ++ticks, nowMs);
+        }
+    }
+
+    /** The epoch under which the newest lease was granted, 0 if there is none. */
+    private long grantedEpoch() {
+        Fact lease = facts.store().get(FactKind.LEASE, "");
+        return lease == null ? 0 : ((Lease) Codec.decode(lease.value())).epoch();
+    }
+
+    @Test
+    void theVeryFirstHeadGrantsAtOnce() {
+        run(view(1, ME), false, 1000);
+        run(view(1, ME), true, 1500);
+        assertEquals(1, grantedEpoch());
+    }
+
+    /** As after a restart of the whole control plane: the head knows its view before it knows a quorum. */
+    @Test
+    void headThatFindsItsQuorumLaterWaitsAllTheSame() {
+        run(view(5, ME), false, 1000);
+        run(view(5, ME), true, 3000);
+        assertEquals(0, grantedEpoch(), "leases of the head before may still hold");
+        run(view(5, ME), true, 2000);
+        assertEquals(5, grantedEpoch());
+    }
+
+    @Test
+    void headThatMissedTheViewsOfOthersWaits() {
+        run(view(1, ME), true, 1500);
+        run(view(4, ME), true, 3000);
+        assertEquals(1, grantedEpoch());
+        run(view(4, ME), true, 2000);
+        assertEquals(4, grantedEpoch());
+    }
+
+    @Test
+    void headThatSucceedsItselfGoesOn() {
+        run(view(1, ME), true, 1500);
+        run(view(1, ME), false, 1500);
+        run(view(2, ME), true, 1500);
+        assertEquals(2, grantedEpoch());
+    }
+
+    @Test
+    void whoIsNotTheHeadGrantsNothing() {
+        run(view(1, OTHER), true, 9000);
+        assertEquals(0, grantedEpoch());
+    }
+}
