--- /dev/null
+++ b/src/main/java/ringspindle/proxy/BodyDeadline.java
@@ -0,0 +1,60 @@
+package ringspindle.proxy;
+
+import org.eclipse.jetty.util.thread.Scheduler;
+
+/**
+ * The deadline of a request whose body is still on its way: either the body comes first or the deadline does, and only the
+ * first has an effect. Thread safe.
+ */
+final class BodyDeadline {
+    private enum State {
+        OPEN,
+        MET,
+        PASSED
+    }
+
+    private final Runnable onPassed;
+    private State state = State.OPEN;
+    private Scheduler.Task timer;
+
+    /** Runs that if the deadline comes before the body is whole. */
+    BodyDeadline(Runnable onPassed) {
+        this.onPassed = onPassed;
+    }
+
+    /** The timer that will call {@link #pass}. */
+    synchronized void set(Scheduler.Task timer) {
+        if (state == State.OPEN) {
+            this.timer = timer;
+        } else {
+            timer.cancel();
+        }
+    }
+
+    synchronized boolean isMet() {
+        return state == State.MET;
+    }
+
+    /** The body is whole, or its reading has failed; false if the client has its answer already. */
+    synchronized boolean meet() {
+        if (state != State.OPEN) {
+            return false;
+        }
+        state = State.MET;
+        if (timer != null) {
+            timer.cancel();
+        }
+        return true;
+    }
+
+    /** The deadline has come. */
+    void pass() {
+        synchronized (this) {
+            if (state != State.OPEN) {
+                return;
+            }
+            state = State.PASSED;
+        }
+        onPassed.run();
+    }
+}
--- a/src/main/java/ringspindle/proxy/ProxyHandler.java
+++ b/src/main/java/ringspindle/proxy/ProxyHandler.java
@@ -346,10 +346,14 @@
             long receivedMs,
             long timeLimitMs,
             int bytesMax) {
+        BodyDeadline deadline = new BodyDeadline(() -> client.respond(Outcome.NO_TIME, 0, true));
         new BoundedBody(
                         request,
                         bytesMax,
                         body -> {
+                            if (!deadline.meet()) {
+                                return;
+                            }
                             if (body == null) {
                                 client.respond(Outcome.TOO_LARGE, 0, isLeaving());
                                 return;
@@ -361,7 +365,14 @@
                                     request, body, route, service, attemptId, receivedMs, timeLimitMs, rules);
                             new ProxiedRequest(this, admitted, client).begin();
                         },
-                        client::breakOff)
+                        failure -> {
+                            if (deadline.meet()) {
+                                client.breakOff(failure);
+                            }
+                        })
                 .run();
+        if (!deadline.isMet()) {
+            deadline.set(schedule(deadline::pass, Math.max(1, timeLimitMs)));
+        }
     }
 }
--- a/src/test/java/ringspindle/proxy/LimitsTest.java
+++ b/src/test/java/ringspindle/proxy/LimitsTest.java
@@ -163,4 +163,20 @@
         assertTrue(served.startsWith("HTTP/1.1 200"), served);
         assertEquals(2, e.seen.size());
     }
+
+    /** The deadline holds for a body that does not come, too: nothing has run, and the client is told so. */
+    @Test
+    void requestWhoseBodyDoesNotComeIsAnsweredAtItsDeadline() throws Exception {
+        StandInEngine e = engine("i-1", "z", StandInEngine.whole(200, "hello", ""));
+        try (Socket client = new Socket("127.0.0.1", port)) {
+            client.setSoTimeout(20_000);
+            StandInEngine.say(
+                    client.getOutputStream(),
+                    "POST /once/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: t1\r\nDeadline-Ms: 300\r\n"
+                            + "Content-Length: 10\r\n\r\nabc");
+            String got = until(client, "\r\n\r\n");
+            assertTrue(got.startsWith("HTTP/1.1 503") && got.contains("Retry-After"), got);
+        }
+        assertEquals(0, e.seen.size());
+    }
 }
