--- a/src/main/java/ringspindle/proxy/EventSplitter.java
+++ b/src/main/java/ringspindle/proxy/EventSplitter.java
@@ -64,13 +64,13 @@
         length += added;
     }
 
-    /** True if the byte at i is the LF of the blank line that closes the event which begins at start. */
-    private boolean endsEvent(int i, int start) {
-        if (buffer[i] != '\n') {
+    /** True if the byte at that index is the LF of the blank line that closes the event which begins at start. */
+    private boolean endsEvent(int index, int start) {
+        if (buffer[index] != '\n') {
             return false;
         }
-        boolean afterLf = buffer[i - 1] == '\n' && i - 1 >= start;
-        boolean afterLfAndCr = i >= start + 3 && buffer[i - 1] == '\r' && buffer[i - 2] == '\n';
+        boolean afterLf = buffer[index - 1] == '\n' && index - 1 >= start;
+        boolean afterLfAndCr = index >= start + 3 && buffer[index - 1] == '\r' && buffer[index - 2] == '\n';
         return afterLf || afterLfAndCr;
     }
 }
