--- a/src/test/java/ringspindle/controlplane/DataNodeDirectoryTest.java
+++ b/src/test/java/ringspindle/controlplane/DataNodeDirectoryTest.java
@@ -7,12 +7,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Properties;
 import java.util.Set;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import ringspindle.config.FleetConfig;
-import ringspindle.config.NodeConfig;
 import ringspindle.config.Validated;
 import ringspindle.membership.DataNodeFact;
 import ringspindle.membership.SessionTable;
@@ -39,29 +37,8 @@
 
     @BeforeEach
     void create() {
-        Properties settings = new Properties();
-        settings.putAll(Map.of(
-                "node.name",
-                "c",
-                "node.ip",
-                "10.0.0.1",
-                "node.zone",
-                "za",
-                "node.region",
-                "a",
-                "listen.control",
-                "10.0.0.1:1",
-                "listen.registry",
-                "10.0.0.1:2",
-                "listen.inner",
-                "7000",
-                "seeds",
-                "10.0.0.1:1",
-                "node.data",
-                "/data"));
-        settings.putAll(Map.of("zone.za", "a", "zone.zb", "b", "zone.zc", "c"));
         sessions = SessionTable.forControl(ME);
-        facts = new FleetFacts(((Validated.Valid<NodeConfig>) NodeConfig.check(settings)).value(), () -> nowMs);
+        facts = new FleetFacts(ControlNodeSettings.create(), () -> nowMs);
         directory = new DataNodeDirectory(ME, sessions, facts);
     }
 
--- a/src/test/java/ringspindle/controlplane/QuotaLeaseIssuerTest.java
+++ b/src/test/java/ringspindle/controlplane/QuotaLeaseIssuerTest.java
@@ -3,12 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import java.util.Map;
-import java.util.Properties;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import ringspindle.config.NodeConfig;
-import ringspindle.config.Validated;
 import ringspindle.membership.DataNodeFact;
 import ringspindle.membership.SessionTable;
 import ringspindle.protocol.Codec;
@@ -35,29 +31,7 @@
 
     @BeforeEach
     void create() {
-        Properties settings = new Properties();
-        settings.putAll(Map.of(
-                "node.name",
-                "c",
-                "node.ip",
-                "10.0.0.1",
-                "node.zone",
-                "za",
-                "node.region",
-                "a",
-                "listen.control",
-                "10.0.0.1:1",
-                "listen.registry",
-                "10.0.0.1:2",
-                "listen.inner",
-                "7000",
-                "seeds",
-                "10.0.0.1:1",
-                "node.data",
-                "/data",
-                "zone.za",
-                "a"));
-        facts = new FleetFacts(((Validated.Valid<NodeConfig>) NodeConfig.check(settings)).value(), () -> nowMs);
+        facts = new FleetFacts(ControlNodeSettings.create(), () -> nowMs);
         issuer = new QuotaLeaseIssuer(ME, facts, new DataNodeDirectory(ME, SessionTable.forControl(ME), facts));
         NodeId node = NodeId.of("10.1.0.1:7000");
         Hello hello = new Hello(node, 1, NodeKind.DATA, node.bits(), "d", "za", "a");
