--- a/src/main/java/ringspindle/consensus/Acceptor.java
+++ b/src/main/java/ringspindle/consensus/Acceptor.java
@@ -19,17 +19,17 @@
  * neither takes entries of e nor confirms e. Whatever is told is on disk first.
  */
 final class Acceptor {
-    private final Replica replica;
+    private final ReplicaContext replica;
     private final Effects effects;
     private final Supplier<Position> position;
-    private VoterState state = new VoterState.Free(0);
+    private VoterState state = new VoterState.Unpromised(0);
     /** When the newest epoch was promised, as far as this process knows. */
     private long fencedSinceMs;
 
     /**
      * @param position how far this node's copy of the control state has come
      */
-    Acceptor(Replica replica, Effects effects, Supplier<Position> position) {
+    Acceptor(ReplicaContext replica, Effects effects, Supplier<Position> position) {
         this.replica = replica;
         this.effects = effects;
         this.position = position;
@@ -46,7 +46,7 @@
     /** A newer view is in force: what was promised and accepted for it is settled. */
     void settled(View view) {
         if (state.epoch() <= view.epoch()) {
-            state = new VoterState.Free(state.epoch());
+            state = new VoterState.Unpromised(state.epoch());
         }
     }
 
@@ -104,7 +104,7 @@
     }
 
     private void promise(NodeId proposer, ProposalId proposal) {
-        become(state.promising(proposal));
+        become(state.withPromise(proposal));
         Position held = position.get();
         Pledge promise = new Pledge(
                 proposal.epoch(),
--- a/src/main/java/ringspindle/consensus/MemberState.java
+++ b/src/main/java/ringspindle/consensus/MemberState.java
@@ -3,7 +3,7 @@
 import ringspindle.protocol.Message.View;
 
 /**
- * Whether this node remembers what it promised. {@link Replica} owns all transitions.
+ * Whether this node remembers what it promised. {@link ReplicaContext} owns all transitions.
  *
  * <p>Invariants: a process that participates never goes back to relearning; the epoch of {@link #view} never falls.
  */
--- a/src/main/java/ringspindle/consensus/Proposer.java
+++ b/src/main/java/ringspindle/consensus/Proposer.java
@@ -31,7 +31,7 @@
     /** For how long after a view came into force the next one is not proposed. */
     private static final long AFTER_VIEW_MS = 300;
 
-    private final Replica replica;
+    private final ReplicaContext replica;
     private final Effects effects;
     private final Random random;
     private final Acceptor acceptor;
@@ -46,7 +46,7 @@
      * @param decided hears of the view that was decided
      */
     Proposer(
-            Replica replica,
+            ReplicaContext replica,
             Effects effects,
             Random random,
             Acceptor acceptor,
--- a/src/main/java/ringspindle/consensus/Relearning.java
+++ b/src/main/java/ringspindle/consensus/Relearning.java
@@ -20,7 +20,7 @@
     private static final long ASK_EVERY_MS = 300;
     private static final long ASK_AS_LEARNER_EVERY_MS = 2000;
 
-    private final Replica replica;
+    private final ReplicaContext replica;
     private final Effects effects;
     private final Random random;
     private final Map<NodeId, Relearned> answers = new TreeMap<>();
@@ -29,7 +29,7 @@
     /**
      * @param random chooses whom a learner asks
      */
-    Relearning(Replica replica, Effects effects, Random random) {
+    Relearning(ReplicaContext replica, Effects effects, Random random) {
         this.replica = replica;
         this.effects = effects;
         this.random = random;
--- a/src/main/java/ringspindle/consensus/Replica.java
+++ b/src/main/java/ringspindle/consensus/ReplicaContext.java
@@ -9,7 +9,7 @@
  * This node as a member of the control side: who it is, the view in force, its place there, and the time and links of the
  * input at hand. Other packages read it; only the agreement on views changes the view.
  */
-public final class Replica {
+public final class ReplicaContext {
     /** A gap between two ticks that is taken for a pause of this node; after it links are given time to show. */
     private static final long PAUSE_MS = 500;
 
@@ -23,7 +23,7 @@
     private long lastTickMs = NEVER;
     private long pausedMs = Long.MIN_VALUE / 2;
 
-    Replica(NodeId self, List<NodeId> seeds) {
+    ReplicaContext(NodeId self, List<NodeId> seeds) {
         this.self = self;
         this.seeds = List.copyOf(seeds);
     }
--- a/src/main/java/ringspindle/consensus/ViewConsensus.java
+++ b/src/main/java/ringspindle/consensus/ViewConsensus.java
@@ -24,13 +24,13 @@
  */
 public final class ViewConsensus {
     /** More voters bear no loss that is asked for, and each of them is one more sync and hop for every order. */
-    public static final int VOTERS_MAX = 9;
+    public static final int MAX_VOTERS = 9;
     /** How long nobody may have heard of a voter before its seat is given away, in milliseconds. */
-    public static final long SILENT_VOTER_MS = 2000;
+    public static final long VOTER_SILENCE_TIMEOUT_MS = 2000;
 
-    private final Replica replica;
+    private final ReplicaContext replica;
     private final Effects effects;
-    private final LocalCopy copy;
+    private final LocalState localState;
     private final Acceptor acceptor;
     private final Proposer proposer;
     private final Relearning relearning;
@@ -42,9 +42,9 @@
      * @param self this node
      * @param seeds nodes that are known from the settings
      * @param bootstrap true for the first start of a system: its seeds are the first voters
-     * @param leastVoters as many voters as remain at least: 2f + 1 for the loss of f disks
+     * @param minVoters as many voters as remain at least: 2f + 1 for the loss of f disks
      */
-    public record Settings(NodeId self, List<NodeId> seeds, boolean bootstrap, int leastVoters) {}
+    public record Settings(NodeId self, List<NodeId> seeds, boolean bootstrap, int minVoters) {}
 
     /**
      * A node without memory: until {@link #restore}, {@link #bootstrap} or the answers of a majority give it one, it neither
@@ -52,11 +52,11 @@
      *
      * @param copy is first called in an input, not in this constructor
      */
-    public ViewConsensus(Settings settings, Random random, Effects effects, LocalCopy copy) {
+    public ViewConsensus(Settings settings, Random random, Effects effects, LocalState copy) {
         this.effects = effects;
-        this.copy = copy;
-        replica = new Replica(settings.self(), settings.seeds());
-        VoterSelection selection = new VoterSelection(settings.self(), Math.min(VOTERS_MAX, settings.leastVoters()));
+        this.localState = copy;
+        replica = new ReplicaContext(settings.self(), settings.seeds());
+        VoterSelection selection = new VoterSelection(settings.self(), Math.min(MAX_VOTERS, settings.minVoters()));
         monitor = new ViewMonitor(replica, selection, settings.bootstrap());
         acceptor = new Acceptor(replica, effects, copy::position);
         proposer = new Proposer(replica, effects, random, acceptor, new ViewPlanner(replica, selection), this::learn);
@@ -64,7 +64,7 @@
     }
 
     /** This node, its view and its place there. */
-    public Replica replica() {
+    public ReplicaContext replica() {
         return replica;
     }
 
@@ -101,18 +101,18 @@
     }
 
     /** True if contact with a majority of the voters dates from so lately that this node hears of all that is committed. */
-    public boolean quorumProven(long nowMs) {
+    public boolean hasRecentQuorum(long nowMs) {
         return monitor.quorumProven(nowMs);
     }
 
     /** True while a start with too few voters waits for nodes that may still join. */
-    public boolean founding(long nowMs) {
+    public boolean awaitingVoters(long nowMs) {
         return monitor.founding(nowMs);
     }
 
     /** True if the view in force, which must be known, has as many voters as any view may have. */
-    public boolean allSeatsTaken() {
-        return replica.view().voters().size() >= VOTERS_MAX;
+    public boolean hasMaxVoters() {
+        return replica.view().voters().size() >= MAX_VOTERS;
     }
 
     // ---- inputs
@@ -144,7 +144,7 @@
     }
 
     /** A new connection to that node stands: whichever of the two missed a view learns it. */
-    public void opened(NodeId peer) {
+    public void onConnectionOpened(NodeId peer) {
         if (replica.participates()) {
             effects.send(peer, new Decided(replica.view()));
         } else {
@@ -161,7 +161,7 @@
     }
 
     /** The second step of a tick: asks peers for what this node may have forgotten or missed. */
-    public void askPeers() {
+    public void requestMissingState() {
         if (replica.participates()) {
             relearning.askOne();
         } else {
@@ -176,7 +176,7 @@
         }
         if (proposer.proposing()) {
             proposer.tick();
-        } else if (monitor.proposalDue(copy, acceptor) && proposer.mayPropose()) {
+        } else if (monitor.proposalDue(localState, acceptor) && proposer.mayPropose()) {
             proposer.propose();
         }
     }
@@ -200,7 +200,7 @@
         acceptor.settled(view);
         proposer.startView();
         monitor.startView();
-        copy.onViewStarted(view);
+        localState.onViewStarted(view);
     }
 
     private void onRelearned(NodeId from, Relearned answer) {
@@ -212,7 +212,7 @@
         if (promised != null) {
             acceptor.restore(promised);
             replica.participate(replica.view());
-            copy.onRelearned(replica.view());
+            localState.onRelearned(replica.view());
         }
     }
 
--- a/src/main/java/ringspindle/consensus/ViewMonitor.java
+++ b/src/main/java/ringspindle/consensus/ViewMonitor.java
@@ -38,7 +38,7 @@
         record Defective(long sinceMs) implements Verdict {}
     }
 
-    private final Replica replica;
+    private final ReplicaContext replica;
     private final VoterSelection selection;
     private final boolean bootstrap;
     private long startedMs = UNSET;
@@ -46,7 +46,7 @@
     private long quorumMs = Long.MIN_VALUE / 2;
     private long readdMs = READD_MS;
 
-    ViewMonitor(Replica replica, VoterSelection selection, boolean bootstrap) {
+    ViewMonitor(ReplicaContext replica, VoterSelection selection, boolean bootstrap) {
         this.replica = replica;
         this.selection = selection;
         this.bootstrap = bootstrap;
@@ -109,7 +109,7 @@
     }
 
     /** True if this node is to propose another view now. */
-    boolean proposalDue(LocalCopy copy, Acceptor acceptor) {
+    boolean proposalDue(LocalState copy, Acceptor acceptor) {
         boolean able = replica.votes() && quorumLinked() && !replica.justPaused();
         ViewDefect defect = able ? defect(copy, acceptor) : null;
         if (defect == null) {
@@ -132,7 +132,7 @@
     }
 
     /** What is wrong with the view in force, null if nothing is. */
-    private ViewDefect defect(LocalCopy copy, Acceptor acceptor) {
+    private ViewDefect defect(LocalState copy, Acceptor acceptor) {
         View view = replica.view();
         if (acceptor.fenced()) {
             return ViewDefect.FENCED;
@@ -143,10 +143,11 @@
         if (memberLeaves(view)) {
             return ViewDefect.MEMBER_LEAVES;
         }
-        if (replica.isHead() && copy.ofThisView() && copy.stalledFor(STALLED_MS)) {
+        if (replica.isHead() && copy.belongsToCurrentView() && copy.stalledFor(STALLED_MS)) {
             return ViewDefect.STALLED;
         }
-        if (replica.isHead() && !copy.ofThisView() || replica.connectivity().relearning(view.head())) {
+        if (replica.isHead() && !copy.belongsToCurrentView()
+                || replica.connectivity().relearning(view.head())) {
             return ViewDefect.HEAD_WITHOUT_STATE;
         }
         if (voterToAdd(view)) {
--- a/src/main/java/ringspindle/consensus/ViewPlanner.java
+++ b/src/main/java/ringspindle/consensus/ViewPlanner.java
@@ -15,10 +15,10 @@
  * over links that stand, through a majority of its voters. Asked only once links are known.
  */
 final class ViewPlanner {
-    private final Replica replica;
+    private final ReplicaContext replica;
     private final VoterSelection selection;
 
-    ViewPlanner(Replica replica, VoterSelection selection) {
+    ViewPlanner(ReplicaContext replica, VoterSelection selection) {
         this.replica = replica;
         this.selection = selection;
     }
--- a/src/main/java/ringspindle/consensus/VoterSelection.java
+++ b/src/main/java/ringspindle/consensus/VoterSelection.java
@@ -81,7 +81,7 @@
             voters.remove(gone);
         }
         for (NodeId joiner : joiners) {
-            if (voters.size() < ViewConsensus.VOTERS_MAX) {
+            if (voters.size() < ViewConsensus.MAX_VOTERS) {
                 voters.add(joiner);
             }
         }
@@ -98,7 +98,8 @@
         }
         return view.voters().stream()
                 .filter(voter -> !voter.equals(keep) && !promised.contains(voter))
-                .filter(voter -> nowMs - silentSinceMs.getOrDefault(voter, nowMs) >= ViewConsensus.SILENT_VOTER_MS)
+                .filter(voter ->
+                        nowMs - silentSinceMs.getOrDefault(voter, nowMs) >= ViewConsensus.VOTER_SILENCE_TIMEOUT_MS)
                 .min(Comparator.comparing(silentSinceMs::get))
                 .orElse(null);
     }
--- a/src/main/java/ringspindle/consensus/VoterState.java
+++ b/src/main/java/ringspindle/consensus/VoterState.java
@@ -28,12 +28,12 @@
     }
 
     /** The state after a promise of that ballot: what was accepted for the same epoch stays accepted. */
-    default VoterState promising(ProposalId proposal) {
+    default VoterState withPromise(ProposalId proposal) {
         return new Promised(proposal.epoch(), proposal.ballot());
     }
 
     /** Nothing is promised; whatever was, for epochs up to this one, is decided. */
-    record Free(long epoch) implements VoterState {
+    record Unpromised(long epoch) implements VoterState {
         @Override
         public Ballot promised() {
             return Ballot.NONE;
@@ -46,7 +46,7 @@
     /** A view is accepted; it may be decided. A higher ballot may have been promised since. */
     record Accepting(long epoch, Ballot promised, Ballot acceptedBallot, View accepted) implements VoterState {
         @Override
-        public VoterState promising(ProposalId proposal) {
+        public VoterState withPromise(ProposalId proposal) {
             return proposal.epoch() == epoch
                     ? new Accepting(epoch, proposal.ballot(), acceptedBallot, accepted)
                     : new Promised(proposal.epoch(), proposal.ballot());
@@ -58,7 +58,7 @@
         if (accepted != null) {
             return new Accepting(epoch, new Ballot(promised), new Ballot(acceptedBallot), accepted);
         }
-        return promised == 0 ? new Free(epoch) : new Promised(epoch, new Ballot(promised));
+        return promised == 0 ? new Unpromised(epoch) : new Promised(epoch, new Ballot(promised));
     }
 
     /** The record for the disk, with the view in force, null if that is unknown. */
--- a/src/main/java/ringspindle/consensus/package-info.java
+++ b/src/main/java/ringspindle/consensus/package-info.java
@@ -6,7 +6,7 @@
  * single-decree agreement (promise, then accept) of a majority of the voters of the view before.
  *
  * <p>The copy of the control state is not part of it. The agreement sees it through
- * {@link ringspindle.consensus.LocalCopy}, asks for messages and writes through {@link ringspindle.consensus.Effects}, and is
+ * {@link ringspindle.consensus.LocalState}, asks for messages and writes through {@link ringspindle.consensus.Effects}, and is
  * told of links through {@link ringspindle.consensus.Connectivity}; the owner of the state implements all three. There is no
  * clock, socket, disk or source of chance inside: time comes with each input, the random generator with the constructor.
  *
--- a/src/main/java/ringspindle/controlplane/CommittedFacts.java
+++ b/src/main/java/ringspindle/controlplane/CommittedFacts.java
@@ -60,7 +60,7 @@
             facts.add(new Fact(FactKind.CONFIG, "", 0, state.revision(), state.config()));
         }
         for (Mark mark : state.marks()) {
-            if (MarkKind.METERING.marks(mark)) {
+            if (MarkKind.METERING.matches(mark)) {
                 // of use to the head alone, which has the state
                 continue;
             }
--- a/src/main/java/ringspindle/controlplane/MeteringTask.java
+++ b/src/main/java/ringspindle/controlplane/MeteringTask.java
@@ -87,7 +87,7 @@
 
     private static MeteredWindow last(State committed) {
         for (Mark mark : committed.marks()) {
-            if (MarkKind.METERING.marks(mark)) {
+            if (MarkKind.METERING.matches(mark)) {
                 return MeteredWindow.read(mark.value());
             }
         }
@@ -110,7 +110,7 @@
                 CallKind.METER,
                 0,
                 MeteredWindow.KEY,
-                new MeteredWindow(next, counts).order(view.epoch()),
+                new MeteredWindow(next, counts).command(view.epoch()),
                 (outcome, body) -> busy.set(false));
     }
 
--- a/src/main/java/ringspindle/controlplane/PendingCalls.java
+++ b/src/main/java/ringspindle/controlplane/PendingCalls.java
@@ -53,7 +53,7 @@
     }
 
     /** Tells the outcome of a call, once, from a thread of the pool. */
-    void complete(ReplicatedState.Out.Answer answer) {
+    void complete(ReplicatedState.Output.Answer answer) {
         PendingCall call = pending.remove(answer.call());
         if (call != null) {
             pool.execute(() -> complete(call, answer));
@@ -61,7 +61,7 @@
     }
 
     /** An outcome that comes late, as after a pause of this process, is no longer told: it may rest on what is old by now. */
-    private void complete(PendingCall call, ReplicatedState.Out.Answer answer) {
+    private void complete(PendingCall call, ReplicatedState.Output.Answer answer) {
         if (clock.nowMs() < call.deadlineMs()) {
             call.callback().completed(answer.outcome(), answer.body());
         } else {
--- a/src/main/java/ringspindle/controlplane/ReplicationDriver.java
+++ b/src/main/java/ringspindle/controlplane/ReplicationDriver.java
@@ -132,7 +132,7 @@
     /** A connection to a control node stands. */
     void opened(NodeId peer, long nowMs) {
         synchronized (lock) {
-            carryOut(state.opened(peer, nowMs));
+            carryOut(state.connectionOpened(peer, nowMs));
         }
     }
 
@@ -147,7 +147,7 @@
     TickResult tick(long nowMs, Connectivity connectivity) {
         synchronized (lock) {
             carryOut(state.tick(nowMs, connectivity));
-            return new TickResult(state.view(), state.relearning(), state.current(nowMs));
+            return new TickResult(state.view(), state.relearning(), state.upToDate(nowMs));
         }
     }
 
@@ -164,14 +164,14 @@
             if (state.relearning()) {
                 return Phase.RELEARNING;
             }
-            return state.founding(nowMs) ? Phase.FOUNDING : Phase.ACTIVE;
+            return state.awaitingVoters(nowMs) ? Phase.FOUNDING : Phase.ACTIVE;
         }
     }
 
     /** True while a first start still waits for voters. */
     boolean founding(long nowMs) {
         synchronized (lock) {
-            return state.founding(nowMs);
+            return state.awaitingVoters(nowMs);
         }
     }
 
@@ -191,28 +191,28 @@
 
     private void stored(long token) {
         synchronized (lock) {
-            carryOut(state.stored(token, context.nowMs()));
+            carryOut(state.recordsSynced(token, context.nowMs()));
         }
     }
 
     private void compact() {
         synchronized (lock) {
-            records.write(new RecordLog.Write(RecordLog.COMPACTION, state.durable(), true));
+            records.write(new RecordLog.Write(RecordLog.COMPACTION, state.durableRecords(), true));
         }
     }
 
     /** Called with the lock held; see the class comment. */
-    private void carryOut(List<ReplicatedState.Out> commands) {
-        for (ReplicatedState.Out command : commands) {
-            if (command instanceof ReplicatedState.Out.Send send) {
+    private void carryOut(List<ReplicatedState.Output> commands) {
+        for (ReplicatedState.Output command : commands) {
+            if (command instanceof ReplicatedState.Output.Send send) {
                 context.mesh().send(send.to(), send.message());
-            } else if (command instanceof ReplicatedState.Out.Store store) {
+            } else if (command instanceof ReplicatedState.Output.Store store) {
                 records.write(new RecordLog.Write(store.token(), store.records(), store.snapshot()));
-            } else if (command instanceof ReplicatedState.Out.Answer answer) {
+            } else if (command instanceof ReplicatedState.Output.Answer answer) {
                 calls.complete(answer);
-            } else if (command instanceof ReplicatedState.Out.Committed newer) {
+            } else if (command instanceof ReplicatedState.Output.Committed newer) {
                 commits.committed(newer.state());
-            } else if (command instanceof ReplicatedState.Out.Viewed changed) {
+            } else if (command instanceof ReplicatedState.Output.ViewChanged changed) {
                 logView(changed.view());
             }
         }
--- a/src/main/java/ringspindle/controlplane/RolloutController.java
+++ b/src/main/java/ringspindle/controlplane/RolloutController.java
@@ -56,8 +56,8 @@
             long nowMs) {
         for (Rollout rollout : rollouts) {
             List<RolloutPlanner.Member> engines = members.apply(rollout.service());
-            if (rollout.state() == Rollout.Standing.RUNNING && ticks % REPORT_TICKS == 0) {
-                rollout.turn().forEach(id -> reports.request(id, addresses.apply(id)));
+            if (rollout.status() == Rollout.Status.RUNNING && ticks % REPORT_TICKS == 0) {
+                rollout.swapping().forEach(id -> reports.request(id, addresses.apply(id)));
             }
             RolloutPlanner planner = planners.computeIfAbsent(rollout.service(), service -> new RolloutPlanner());
             RolloutPlanner.Order order = planner.next(rollout, engines, nowMs);
--- a/src/main/java/ringspindle/controlplane/ShardTask.java
+++ b/src/main/java/ringspindle/controlplane/ShardTask.java
@@ -11,7 +11,7 @@
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
 import ringspindle.replication.CallKind;
-import ringspindle.replication.ShardOrders;
+import ringspindle.replication.ShardCommands;
 import ringspindle.shard.PlacementPlanner;
 import ringspindle.shard.ShardAssignment;
 import ringspindle.shard.ShardCondition;
@@ -105,7 +105,7 @@
                 CallKind.SHARD,
                 0,
                 Integer.toString(shard),
-                ShardOrders.assign(assignment, viewEpoch),
+                ShardCommands.assignCommand(assignment, viewEpoch),
                 (outcome, body) -> {
                     synchronized (ordered) {
                         ordered.remove(shard);
--- a/src/main/java/ringspindle/controlplane/VersionRolloutTask.java
+++ b/src/main/java/ringspindle/controlplane/VersionRolloutTask.java
@@ -13,7 +13,7 @@
 import ringspindle.protocol.NodeId;
 import ringspindle.replication.CallKind;
 import ringspindle.replication.VersionRollout;
-import ringspindle.replication.VersionRollout.Standing;
+import ringspindle.replication.VersionRollout.Status;
 
 /**
  * Has the head of the view end roll-outs of versions before their term. A new version gets no requests, as nothing here judges yet
@@ -44,7 +44,7 @@
         }
         List<VersionRollout> active = fleet.read(store -> store.all(FactKind.VERSION).stream()
                 .map(fact -> VersionRollout.read(new String(fact.value(), UTF_8)))
-                .filter(rollout -> rollout.standing() == Standing.ACTIVE)
+                .filter(rollout -> rollout.status() == Status.ACTIVE)
                 .toList());
         Set<String> services = new HashSet<>();
         active.forEach(rollout -> services.add(rollout.service()));
@@ -55,7 +55,7 @@
         for (VersionRollout rollout : active) {
             long ageMs = nowMs - seenMs.get(rollout.service());
             if (leads && ageMs > rollout.durationS() * MS_PER_S * END_PART) {
-                byte[] order = VersionRollout.end(Standing.REVERTED, view.epoch());
+                byte[] order = VersionRollout.endCommand(Status.REVERTED, view.epoch());
                 replication.call(CallKind.VERSION, 0, rollout.service(), order, (outcome, body) -> {});
             }
         }
--- a/src/main/java/ringspindle/controlplane/server/LedgerPage.java
+++ b/src/main/java/ringspindle/controlplane/server/LedgerPage.java
@@ -48,7 +48,7 @@
             return null;
         }
         for (Mark mark : state.marks()) {
-            if (MarkKind.RULES.marks(mark)) {
+            if (MarkKind.RULES.matches(mark)) {
                 byte[] text = mark.value().getBytes(UTF_8);
                 return ServingRules.read(text) instanceof Validated.Valid<ServingRules> valid ? valid.value() : null;
             }
--- a/src/main/java/ringspindle/controlplane/server/StatusPage.java
+++ b/src/main/java/ringspindle/controlplane/server/StatusPage.java
@@ -87,7 +87,7 @@
         }
         JsonArrayBuilder evacuated = JSON.createArrayBuilder();
         for (Mark mark : state.marks()) {
-            if (MarkKind.EVACUATED.marks(mark) && mark.value().equals("on")) {
+            if (MarkKind.EVACUATED.matches(mark) && mark.value().equals("on")) {
                 evacuated.add(mark.key());
             }
         }
--- a/src/main/java/ringspindle/controlplane/server/VersionResource.java
+++ b/src/main/java/ringspindle/controlplane/server/VersionResource.java
@@ -54,7 +54,7 @@
         }
         VersionRollout rollout = VersionRollout.read(new String(fact.value(), UTF_8));
         exchange.respond(JSON.createObjectBuilder()
-                .add("state", rollout.standing().onWire())
+                .add("state", rollout.status().externalName())
                 .add("targetRevision", rollout.targetRevision())
                 .build());
     }
--- a/src/main/java/ringspindle/dataplane/FactApplier.java
+++ b/src/main/java/ringspindle/dataplane/FactApplier.java
@@ -75,11 +75,11 @@
                 loadBalancer.setZoneEvacuated(fact.key(), text(fact).equals("on"), nowMs);
             case ROLLOUT -> {
                 Rollout rollout = Rollout.read(text(fact));
-                loadBalancer.setRolloutTurn(rollout.service(), new HashSet<>(rollout.turn()), nowMs);
+                loadBalancer.setRolloutTurn(rollout.service(), new HashSet<>(rollout.swapping()), nowMs);
             }
             case VERSION -> {
                 VersionRollout rollout = VersionRollout.read(text(fact));
-                boolean serves = rollout.standing() == VersionRollout.Standing.COMPLETED;
+                boolean serves = rollout.status() == VersionRollout.Status.COMPLETED;
                 loadBalancer.setWithheldVersion(rollout.service(), serves ? "" : rollout.targetRevision());
             }
             case LEASE -> loadBalancer.updateLease((Lease) Codec.decode(fact.value()), nowMs);
--- a/src/main/java/ringspindle/replication/OrderPipeline.java
+++ b/src/main/java/ringspindle/replication/CallPipeline.java
@@ -4,39 +4,39 @@
 
 import java.util.function.BooleanSupplier;
 import ringspindle.api.Outcome;
-import ringspindle.consensus.Replica;
+import ringspindle.consensus.ReplicaContext;
 import ringspindle.protocol.Message.Call;
 import ringspindle.protocol.Message.Confirmed;
 import ringspindle.protocol.Message.Mark;
 import ringspindle.protocol.Message.Reply;
 import ringspindle.protocol.NodeId;
-import ringspindle.replication.HeldCalls.HeldCall;
+import ringspindle.replication.OutstandingCalls.OutstandingCall;
 
 /**
  * Orders and readings on their way: held by the node that took them from a caller, passed to the head or tail of the view,
  * decided there, and answered. A node that took a call passes it on again in the next view; a caller gets one answer.
  */
-final class OrderPipeline implements ChainMember.Listener, Confirmations.Answers {
+final class CallPipeline implements ChainMember.Listener, ViewConfirmations.AnswerHandler {
     /** How long an order is held before its caller is told that nothing is clear. */
     private static final long HELD_MS = 950;
 
     private static final long HELD_CONFIG_MS = 2500;
     private static final byte[] NONE = {};
 
-    private final Replica replica;
+    private final ReplicaContext replica;
     private final OutputQueue outputs;
     private final ChainMember member;
     private final BooleanSupplier takesOrders;
-    private final OrderDecider decider = new OrderDecider();
-    private final HeldCalls held = new HeldCalls();
-    private final Confirmations confirmations;
+    private final CommandDecider decider = new CommandDecider();
+    private final OutstandingCalls held = new OutstandingCalls();
+    private final ViewConfirmations confirmations;
 
     /**
-     * @param firstConfirmation from chance, as {@link Confirmations} needs it
+     * @param firstConfirmation from chance, as {@link ViewConfirmations} needs it
      * @param takesOrders false while too few voters could keep what would be acknowledged
      */
-    OrderPipeline(
-            Replica replica,
+    CallPipeline(
+            ReplicaContext replica,
             OutputQueue outputs,
             ChainMember member,
             long firstConfirmation,
@@ -45,7 +45,7 @@
         this.outputs = outputs;
         this.member = member;
         this.takesOrders = takesOrders;
-        confirmations = new Confirmations(replica, outputs, member, this, firstConfirmation);
+        confirmations = new ViewConfirmations(replica, outputs, member, this, firstConfirmation);
     }
 
     // ---- calls come in
@@ -98,7 +98,7 @@
         if (replica.view() == null) {
             return;
         }
-        for (HeldCall call : held.of(replica.self())) {
+        for (OutstandingCall call : held.of(replica.self())) {
             if (target(call.call()).equals(peer)) {
                 call.waitAgain();
             }
@@ -120,7 +120,7 @@
         held.forgetAnswered();
     }
 
-    private void handOver(HeldCall call) {
+    private void handOver(OutstandingCall call) {
         NodeId target = target(call.call());
         if (target.equals(replica.self())) {
             decideIfReady(call);
@@ -130,30 +130,30 @@
         }
     }
 
-    private void decideIfReady(HeldCall call) {
+    private void decideIfReady(OutstandingCall call) {
         boolean reading = call.kind() == CallKind.READ;
         if (!member.established() || !reading && !takesOrders.getAsBoolean()) {
             return;
         }
         call.handOver(replica.epoch());
         if (reading) {
-            confirmations.ask(new Confirmations.Reading(call));
+            confirmations.ask(new ViewConfirmations.Read(call));
         } else {
             decide(call);
         }
     }
 
-    private void decide(HeldCall call) {
+    private void decide(OutstandingCall call) {
         Decision decision = decider.decide(member.last(), call.call());
         if (decision instanceof Decision.Commit commit) {
             member.append(commit.op(), call.id());
         } else if (decision instanceof Decision.Answer answer) {
-            confirmations.ask(
-                    new Confirmations.Decided(call, answer, member.last().seq()));
+            confirmations.ask(new ViewConfirmations.DecidedAnswer(
+                    call, answer, member.last().seq()));
         }
     }
 
-    private boolean overdue(HeldCall call) {
+    private boolean overdue(OutstandingCall call) {
         return call.ageMs(replica.nowMs()) >= (call.kind().changesConfiguration() ? HELD_CONFIG_MS : HELD_MS);
     }
 
@@ -162,7 +162,7 @@
         held.removeIf(call -> {
             boolean overdue = overdue(call);
             if (overdue && call.id().origin().equals(replica.self())) {
-                outputs.emit(new ReplicatedState.Out.Answer(call.id().number(), Outcome.UNCLEAR, NONE));
+                outputs.emit(new ReplicatedState.Output.Answer(call.id().number(), Outcome.UNCLEAR, NONE));
             }
             return overdue;
         });
@@ -176,7 +176,7 @@
     }
 
     @Override
-    public void give(Confirmations.Reading reading) {
+    public void deliver(ViewConfirmations.Read reading) {
         byte[] found = member.committed().config();
         if (reading.call().call().arg().equals(CallKind.RULES_ARGUMENT)) {
             Mark rules = ControlState.mark(member.committed(), MarkKind.RULES, ControlState.RULES_KEY);
@@ -186,11 +186,11 @@
     }
 
     @Override
-    public void give(Confirmations.Decided decided) {
+    public void deliver(ViewConfirmations.DecidedAnswer decided) {
         answer(decided.call(), decided.answer().outcome(), decided.answer().body());
     }
 
-    private void answer(HeldCall call, Outcome outcome, byte[] body) {
+    private void answer(OutstandingCall call, Outcome outcome, byte[] body) {
         held.answered(call.id());
         reply(call.id(), outcome, body);
     }
@@ -209,7 +209,7 @@
 
     private void reply(CallId call, Outcome outcome, byte[] body) {
         if (call.origin().equals(replica.self())) {
-            outputs.emit(new ReplicatedState.Out.Answer(call.number(), outcome, body));
+            outputs.emit(new ReplicatedState.Output.Answer(call.number(), outcome, body));
         } else {
             outputs.send(call.origin(), new Reply(call.number(), outcome.ordinal(), body));
         }
@@ -219,7 +219,8 @@
     void onReply(Reply reply) {
         boolean known = reply.outcome() >= 0 && reply.outcome() < Outcome.values().length;
         if (known && held.remove(new CallId(replica.self(), reply.id()))) {
-            outputs.emit(new ReplicatedState.Out.Answer(reply.id(), Outcome.values()[reply.outcome()], reply.body()));
+            outputs.emit(
+                    new ReplicatedState.Output.Answer(reply.id(), Outcome.values()[reply.outcome()], reply.body()));
         }
     }
 
--- a/src/main/java/ringspindle/replication/ChainMember.java
+++ b/src/main/java/ringspindle/replication/ChainMember.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.List;
-import ringspindle.consensus.Replica;
+import ringspindle.consensus.ReplicaContext;
 import ringspindle.consensus.ViewConsensus;
 import ringspindle.protocol.Codec;
 import ringspindle.protocol.Message.Entry;
@@ -44,14 +44,14 @@
         }
     }
 
-    private final Replica replica;
+    private final ReplicaContext replica;
     private final ViewConsensus consensus;
     private final OutputQueue outputs;
     private final Listener listener;
     private final ArrayDeque<Uncommitted> uncommitted = new ArrayDeque<>();
     private final SuccessorLink successor = new SuccessorLink();
     private final SyncProgress disk = new SyncProgress();
-    private State last = ControlState.none();
+    private State last = ControlState.empty();
     private State committed;
     private long uncommittedSinceMs;
 
@@ -136,7 +136,7 @@
 
     /** Starts anew with nothing, and with a vote that was relearned. */
     void reset() {
-        load(ControlState.none());
+        load(ControlState.empty());
         writeSnapshot(last, () -> {});
     }
 
@@ -313,7 +313,7 @@
         if (newest != null && newerThanCommitted(newest)) {
             uncommittedSinceMs = replica.nowMs();
             committed = ControlState.inView(newest, replica.epoch());
-            outputs.emit(new ReplicatedState.Out.Committed(committed));
+            outputs.emit(new ReplicatedState.Output.Committed(committed));
         }
         if (replica.predecessor() != null) {
             outputs.send(replica.predecessor(), new Synced(replica.epoch(), seq));
--- a/src/main/java/ringspindle/replication/ChainReplicatedState.java
+++ b/src/main/java/ringspindle/replication/ChainReplicatedState.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Random;
 import ringspindle.consensus.Connectivity;
-import ringspindle.consensus.LocalCopy;
-import ringspindle.consensus.Replica;
+import ringspindle.consensus.LocalState;
+import ringspindle.consensus.ReplicaContext;
 import ringspindle.consensus.ViewConsensus;
 import ringspindle.protocol.Message;
 import ringspindle.protocol.Message.Call;
@@ -28,10 +28,10 @@
     private static final long FENCED_MS = 1500;
 
     private final ViewConsensus consensus;
-    private final Replica replica;
+    private final ReplicaContext replica;
     private final OutputQueue outputs;
     private final ChainMember member;
-    private final OrderPipeline orders;
+    private final CallPipeline orders;
     private boolean announced;
 
     ChainReplicatedState(
@@ -39,11 +39,14 @@
         Random random = new Random(randomSeed);
         outputs = new OutputQueue(self);
         consensus = new ViewConsensus(
-                new ViewConsensus.Settings(self, seeds, bootstrap, leastVoters), random, outputs, new Copy());
+                new ViewConsensus.Settings(self, seeds, bootstrap, leastVoters),
+                random,
+                outputs,
+                new LocalStateAdapter());
         replica = consensus.replica();
         member = new ChainMember(consensus, outputs, new CommitListener());
-        orders = new OrderPipeline(
-                replica, outputs, member, random.nextLong(), () -> !consensus.founding(replica.nowMs()));
+        orders = new CallPipeline(
+                replica, outputs, member, random.nextLong(), () -> !consensus.awaitingVoters(replica.nowMs()));
         found.forEach(this::load);
         if (!replica.participates() && bootstrap && seeds.contains(self)) {
             found(seeds);
@@ -63,7 +66,7 @@
     /** The first start of a system: its seeds are the first voters. */
     private void found(List<NodeId> seeds) {
         consensus.bootstrap(seeds);
-        member.load(ControlState.first());
+        member.load(ControlState.initial());
     }
 
     // ---- what others see
@@ -79,13 +82,13 @@
     }
 
     @Override
-    public boolean current(long nowMs) {
-        if (replica.view() == null || !consensus.quorumProven(nowMs)) {
+    public boolean upToDate(long nowMs) {
+        if (replica.view() == null || !consensus.hasRecentQuorum(nowMs)) {
             return false;
         }
         if (!replica.votes()) {
             // beyond the bound a node learns: it passes calls on, and hears what is committed as facts
-            return consensus.allSeatsTaken() && replica.participates();
+            return consensus.hasMaxVoters() && replica.participates();
         }
         return committed() != null && member.ofThisView() && replica.inChain() && !consensus.fencedFor(FENCED_MS);
     }
@@ -96,17 +99,17 @@
     }
 
     @Override
-    public boolean founding(long nowMs) {
-        return consensus.founding(nowMs);
+    public boolean awaitingVoters(long nowMs) {
+        return consensus.awaitingVoters(nowMs);
     }
 
     @Override
-    public List<Message> durable() {
+    public List<Message> durableRecords() {
         return List.of(consensus.vote(), member.last());
     }
 
     /** Where it stands, for tests and logs. */
-    String standing() {
+    String describe() {
         View view = replica.view();
         return "view " + (view == null ? null : view.epoch() + " " + view.chain()) + " " + consensus + " " + member
                 + " " + orders;
@@ -115,7 +118,7 @@
     // ---- inputs
 
     @Override
-    public List<Out> receive(NodeId from, Message message, long nowMs) {
+    public List<Output> receive(NodeId from, Message message, long nowMs) {
         replica.advanceTo(nowMs);
         announce();
         dispatch(from, message);
@@ -123,24 +126,24 @@
     }
 
     @Override
-    public List<Out> stored(long token, long nowMs) {
+    public List<Output> recordsSynced(long token, long nowMs) {
         replica.advanceTo(nowMs);
         outputs.synced(token);
         return finish();
     }
 
     @Override
-    public List<Out> opened(NodeId peer, long nowMs) {
+    public List<Output> connectionOpened(NodeId peer, long nowMs) {
         replica.advanceTo(nowMs);
         announce();
-        consensus.opened(peer);
+        consensus.onConnectionOpened(peer);
         member.onOpened(peer);
         orders.onOpened(peer);
         return finish();
     }
 
     @Override
-    public List<Out> call(Call call, long nowMs) {
+    public List<Output> call(Call call, long nowMs) {
         replica.advanceTo(nowMs);
         announce();
         orders.take(call);
@@ -148,11 +151,11 @@
     }
 
     @Override
-    public List<Out> tick(long nowMs, Connectivity connectivity) {
+    public List<Output> tick(long nowMs, Connectivity connectivity) {
         consensus.observe(nowMs, connectivity);
         announce();
         orders.tick();
-        consensus.askPeers();
+        consensus.requestMissingState();
         if (replica.participates()) {
             orders.goOn();
             member.tick();
@@ -161,7 +164,7 @@
         return finish();
     }
 
-    private List<Out> finish() {
+    private List<Output> finish() {
         for (Message message = outputs.pollSelf(); message != null; message = outputs.pollSelf()) {
             dispatch(replica.self(), message);
         }
@@ -174,7 +177,7 @@
             return;
         }
         announced = true;
-        outputs.emit(new Out.Viewed(replica.view()));
+        outputs.emit(new Output.ViewChanged(replica.view()));
         member.writeFirst();
     }
 
@@ -211,14 +214,14 @@
     }
 
     /** What the agreement on views sees and tells of the copy held here. */
-    private final class Copy implements LocalCopy {
+    private final class LocalStateAdapter implements LocalState {
         @Override
         public Position position() {
             return member.position();
         }
 
         @Override
-        public boolean ofThisView() {
+        public boolean belongsToCurrentView() {
             return member.ofThisView();
         }
 
@@ -229,14 +232,14 @@
 
         @Override
         public void onViewStarted(View view) {
-            outputs.emit(new Out.Viewed(view));
+            outputs.emit(new Output.ViewChanged(view));
             member.startView();
             orders.startView();
         }
 
         @Override
         public void onRelearned(View view) {
-            outputs.emit(new Out.Viewed(view));
+            outputs.emit(new Output.ViewChanged(view));
             member.reset();
         }
     }
--- /dev/null
+++ b/src/main/java/ringspindle/replication/CommandDecider.java
@@ -0,0 +1,51 @@
+package ringspindle.replication;
+
+import ringspindle.api.Outcome;
+import ringspindle.protocol.Message.Call;
+import ringspindle.protocol.Message.Mark;
+import ringspindle.protocol.Message.State;
+
+/** Decides orders at the head of the chain: a function of the state and the order. */
+final class CommandDecider {
+    private final ConfigurationCommands configurations = new ConfigurationCommands();
+
+    /** What the order comes to on that state; readings are not decided here. */
+    Decision decide(State state, Call command) {
+        return switch (CallKind.of(command.kind())) {
+            case PUT -> configurations.put(state, command);
+            case PATCH -> configurations.patch(state, command);
+            case RULES -> configurations.rules(state, command);
+            case EVACUATE -> evacuation(state, command, true);
+            case RESTORE -> evacuation(state, command, false);
+            case DRAIN, GONE -> leaving(state, command);
+            case ROLLOUT -> RolloutCommands.decide(state, command);
+            case EXPERIMENT -> ExperimentCommands.decide(state, command);
+            case SHARD -> ShardCommands.decideAssignment(state, command);
+            case RETIRE -> ShardCommands.decideRetirement(state, command);
+            case METER -> MeteredWindow.decide(state, command);
+            case VERSION -> VersionRollout.decide(state, command);
+            case READ, UNKNOWN -> Decision.answer(Outcome.NO_SUCH);
+        };
+    }
+
+    /** Written also if it is so already: the newer mark fences an opposite order that is still on its way. */
+    private static Decision evacuation(State state, Call command, boolean evacuates) {
+        Mark mark = ControlState.mark(state, MarkKind.EVACUATED, command.arg());
+        boolean evacuated = mark != null && mark.value().equals(ControlState.ON);
+        return evacuated != evacuates && overtaken(command, mark)
+                ? Decision.answer(Outcome.UNCLEAR)
+                : Decision.commit(command, command.body());
+    }
+
+    private static Decision leaving(State state, Call command) {
+        Mark mark = ControlState.mark(state, MarkKind.LEAVING, command.arg());
+        boolean alreadySo = mark != null
+                && (mark.value().equals(ControlState.GONE) || CallKind.of(command.kind()) == CallKind.DRAIN);
+        return alreadySo ? Decision.answer(Outcome.TAKEN) : Decision.commit(command, command.body());
+    }
+
+    /** True if what the order would replace is newer than what was known when it was taken: it was held up on its way. */
+    static boolean overtaken(Call command, Mark replaced) {
+        return replaced != null && replaced.version() > command.base();
+    }
+}
--- a/src/main/java/ringspindle/replication/TakenOrders.java
+++ b/src/main/java/ringspindle/replication/CommandHistory.java
@@ -11,32 +11,32 @@
  * Orders on configurations and serving rules that the control state remembers, so that one that is sent again is known.
  * {@link State#past} holds them, oldest first.
  */
-final class TakenOrders {
+final class CommandHistory {
     /** So many orders are known again when they are sent again. */
-    static final int MAX = 1024;
+    static final int MAX_COMMANDS = 1024;
     /** In place of a revision: the order was on serving rules. */
     static final long NO_REVISION = -1;
 
-    private TakenOrders() {}
+    private CommandHistory() {}
 
     /**
-     * An order's identity: 64 bits of SHA-256 over kind, base and body as sent. Two of the {@link #MAX} kept and a new one meet
+     * An order's identity: 64 bits of SHA-256 over kind, base and body as sent. Two of the {@link #MAX_COMMANDS} kept and a new one meet
      * by chance less than once in 10^16 orders; callers are trusted not to look for a collision.
      */
-    static long digest(Call order) {
+    static long digest(Call command) {
         return Hashing.sha256()
                 .newHasher()
-                .putInt(order.kind())
-                .putLong(order.base())
-                .putBytes(order.body())
+                .putInt(command.kind())
+                .putLong(command.base())
+                .putBytes(command.body())
                 .hash()
                 .asLong();
     }
 
     /** True if an order of that digest was taken and is remembered. */
-    static boolean contain(State state, long digest) {
-        for (TakenOrder order : state.past()) {
-            if (order.digest() == digest) {
+    static boolean contains(State state, long digest) {
+        for (TakenOrder command : state.past()) {
+            if (command.digest() == digest) {
                 return true;
             }
         }
@@ -45,13 +45,13 @@
 
     /** True if an order on that base may have been taken so long ago that it was forgotten. */
     static boolean mayHaveForgotten(State state, long base) {
-        return state.past().size() >= MAX && base < oldestRevision(state);
+        return state.past().size() >= MAX_COMMANDS && base < oldestRevision(state);
     }
 
     private static long oldestRevision(State state) {
-        for (TakenOrder order : state.past()) {
-            if (order.revision() != NO_REVISION) {
-                return order.revision();
+        for (TakenOrder command : state.past()) {
+            if (command.revision() != NO_REVISION) {
+                return command.revision();
             }
         }
         return state.revision();
@@ -59,11 +59,11 @@
 
     /** What is remembered after one more order. */
     static List<TakenOrder> with(List<TakenOrder> past, long revision, long digest) {
-        List<TakenOrder> orders = new ArrayList<>(past);
-        orders.add(new TakenOrder(revision, digest));
-        if (orders.size() > MAX) {
-            orders.remove(0);
+        List<TakenOrder> commands = new ArrayList<>(past);
+        commands.add(new TakenOrder(revision, digest));
+        if (commands.size() > MAX_COMMANDS) {
+            commands.remove(0);
         }
-        return orders;
+        return commands;
     }
 }
--- a/src/main/java/ringspindle/replication/ConfigurationOrders.java
+++ b/src/main/java/ringspindle/replication/ConfigurationCommands.java
@@ -16,67 +16,67 @@
 import ringspindle.routing.ServingRulesValidator;
 
 /** Orders on the configuration and on serving rules: documents with a revision, each made for the revision it replaces. */
-final class ConfigurationOrders {
+final class ConfigurationCommands {
     /** The configuration parsed last, kept as long as its revision is in force. */
     private FleetConfig parsed;
 
-    Decision put(State state, Call order) {
-        long digest = TakenOrders.digest(order);
-        if (TakenOrders.contain(state, digest)) {
+    Decision put(State state, Call command) {
+        long digest = CommandHistory.digest(command);
+        if (CommandHistory.contains(state, digest)) {
             return Decision.answer(Outcome.TAKEN);
         }
-        return replace(state, order, digest, FleetConfig.read(order.body()));
+        return replace(state, command, digest, FleetConfig.read(command.body()));
     }
 
-    Decision patch(State state, Call order) {
-        long digest = TakenOrders.digest(order);
-        if (TakenOrders.contain(state, digest)) {
+    Decision patch(State state, Call command) {
+        long digest = CommandHistory.digest(command);
+        if (CommandHistory.contains(state, digest)) {
             return Decision.answer(Outcome.TAKEN);
         }
-        Validated<JsonObject> patch = FleetConfig.json(order.body());
+        Validated<JsonObject> patch = FleetConfig.json(command.body());
         if (patch instanceof Validated.Invalid<JsonObject> invalid) {
             return Decision.invalid(invalid.errors());
         }
-        if (state.config().length == 0 || order.base() != state.revision()) {
-            return otherVersion(state, order);
+        if (state.config().length == 0 || command.base() != state.revision()) {
+            return otherVersion(state, command);
         }
-        return replace(state, order, digest, current(state).patched(value(patch)));
+        return replace(state, command, digest, current(state).patched(value(patch)));
     }
 
-    private Decision replace(State state, Call order, long digest, Validated<FleetConfig> checked) {
+    private Decision replace(State state, Call command, long digest, Validated<FleetConfig> checked) {
         if (checked instanceof Validated.Invalid<FleetConfig> invalid) {
             return Decision.invalid(invalid.errors());
         }
         FleetConfig next = value(checked);
-        if (order.base() != state.revision()) {
-            return otherVersion(state, order);
+        if (command.base() != state.revision()) {
+            return otherVersion(state, command);
         }
         if (next.revision() <= state.revision()) {
             return Decision.invalid(List.of(new ConfigError.OldRevision(next.revision(), state.revision())));
         }
-        return Decision.commit(order, next.revision(), digest, next.packed());
+        return Decision.commit(command, next.revision(), digest, next.packed());
     }
 
     /** A stale base is refused only while it is certain that the order was not taken long ago and then forgotten. */
-    private static Decision otherVersion(State state, Call order) {
+    private static Decision otherVersion(State state, Call command) {
         return Decision.answer(
-                TakenOrders.mayHaveForgotten(state, order.base()) ? Outcome.UNCLEAR : Outcome.OTHER_VERSION);
+                CommandHistory.mayHaveForgotten(state, command.base()) ? Outcome.UNCLEAR : Outcome.OTHER_VERSION);
     }
 
     /** Serving rules on top of the revision they were made for; checked against the configuration in force. */
-    Decision rules(State state, Call order) {
-        Validated<ServingRules> checked = ServingRules.read(order.body());
+    Decision rules(State state, Call command) {
+        Validated<ServingRules> checked = ServingRules.read(command.body());
         if (checked instanceof Validated.Invalid<ServingRules> invalid) {
             return Decision.invalid(invalid.errors());
         }
         ServingRules next = value(checked);
         ServingRules inForce = rulesInForce(state);
-        long digest = TakenOrders.digest(order);
-        if (inForce != null && inForce.digest() == next.digest() || TakenOrders.contain(state, digest)) {
+        long digest = CommandHistory.digest(command);
+        if (inForce != null && inForce.digest() == next.digest() || CommandHistory.contains(state, digest)) {
             return Decision.answer(Outcome.TAKEN);
         }
         long revision = inForce == null ? 0 : inForce.revision();
-        if (order.base() != revision) {
+        if (command.base() != revision) {
             return Decision.answer(Outcome.OTHER_VERSION);
         }
         if (next.revision() <= revision) {
@@ -85,7 +85,7 @@
         FleetConfig configuration = state.config().length == 0 ? null : current(state);
         List<ConfigError> errors = ServingRulesValidator.validate(next, configuration, Set.of());
         return errors.isEmpty()
-                ? Decision.commit(order, next.revision(), digest, next.bytes())
+                ? Decision.commit(command, next.revision(), digest, next.bytes())
                 : Decision.invalid(errors);
     }
 
--- a/src/main/java/ringspindle/replication/ControlState.java
+++ b/src/main/java/ringspindle/replication/ControlState.java
@@ -31,12 +31,12 @@
     private ControlState() {}
 
     /** What a node holds that has nothing. */
-    static State none() {
+    static State empty() {
         return new State(Position.NONE.lineage(), Position.NONE.seq(), 0, List.of(), List.of(), NO_CONFIGURATION);
     }
 
     /** What the first view of a system begins with. */
-    static State first() {
+    static State initial() {
         return new State(1, 0, 0, List.of(), List.of(), NO_CONFIGURATION);
     }
 
@@ -50,7 +50,7 @@
     /** The mark of that kind and key, null if there is none. */
     static Mark mark(State state, MarkKind kind, String key) {
         for (Mark mark : state.marks()) {
-            if (kind.marks(mark) && mark.key().equals(key)) {
+            if (kind.matches(mark) && mark.key().equals(key)) {
                 return mark;
             }
         }
@@ -81,13 +81,13 @@
     }
 
     private static State configured(State state, Op op) {
-        List<TakenOrder> past = TakenOrders.with(state.past(), op.revision(), op.digest());
+        List<TakenOrder> past = CommandHistory.with(state.past(), op.revision(), op.digest());
         return new State(state.lineage(), state.seq() + 1, op.revision(), past, state.marks(), op.body());
     }
 
     private static State ruled(State state, Op op) {
         State marked = marked(state, MarkKind.RULES, RULES_KEY, new String(op.body(), UTF_8));
-        List<TakenOrder> past = TakenOrders.with(state.past(), TakenOrders.NO_REVISION, op.digest());
+        List<TakenOrder> past = CommandHistory.with(state.past(), CommandHistory.NO_REVISION, op.digest());
         return new State(marked.lineage(), marked.seq(), marked.revision(), past, marked.marks(), marked.config());
     }
 
@@ -103,12 +103,12 @@
         for (Mark mark : marks) {
             if (mark.kind() != set.kind() || !mark.key().equals(set.key())) {
                 kept.add(mark);
-                leaving += MarkKind.LEAVING.marks(mark) ? 1 : 0;
+                leaving += MarkKind.LEAVING.matches(mark) ? 1 : 0;
             }
         }
         kept.add(set);
         for (int i = 0; leaving > LEAVING_MAX && i < kept.size(); ) {
-            if (MarkKind.LEAVING.marks(kept.get(i))) {
+            if (MarkKind.LEAVING.matches(kept.get(i))) {
                 kept.remove(i);
                 leaving--;
             } else {
--- a/src/main/java/ringspindle/replication/Decision.java
+++ b/src/main/java/ringspindle/replication/Decision.java
@@ -18,13 +18,13 @@
     record Answer(Outcome outcome, byte[] body) implements Decision {}
 
     /** An order that changes the state, known by no digest. */
-    static Decision commit(Call order, byte[] body) {
-        return commit(order, 0, 0, body);
+    static Decision commit(Call command, byte[] body) {
+        return commit(command, 0, 0, body);
     }
 
     /** An order that brings the state to a revision; {@code digest} tells it from others when it is sent again. */
-    static Decision commit(Call order, long revision, long digest, byte[] body) {
-        return new Commit(new Op(order.kind(), order.base(), revision, digest, order.arg(), body));
+    static Decision commit(Call command, long revision, long digest, byte[] body) {
+        return new Commit(new Op(command.kind(), command.base(), revision, digest, command.arg(), body));
     }
 
     static Decision answer(Outcome outcome) {
--- a/src/main/java/ringspindle/replication/ExperimentOrders.java
+++ b/src/main/java/ringspindle/replication/ExperimentCommands.java
@@ -21,7 +21,7 @@
 import ringspindle.protocol.Message.State;
 
 /** One order on an experiment, and what it makes of the control state: an operator's, or one of the judge in charge. */
-final class ExperimentOrders {
+final class ExperimentCommands {
     private static final double LEAST_RAMP = 0.001;
 
     private final State state;
@@ -30,18 +30,18 @@
     /** The experiment of that name as it stands, null if there is none. */
     private final Experiment current;
 
-    private ExperimentOrders(State state, Call order, JsonObject fields, Experiment current) {
+    private ExperimentCommands(State state, Call command, JsonObject fields, Experiment current) {
         this.state = state;
-        this.order = order;
+        this.order = command;
         this.fields = fields;
         this.current = current;
     }
 
     /** What the order, a JSON object about the experiment that the call names, comes to on that state. */
-    static Decision decide(State state, Call order) {
-        return JsonOrder.decide(state, order, MarkKind.EXPERIMENT, (fields, mark) -> {
+    static Decision decide(State state, Call command) {
+        return JsonCommand.decide(state, command, MarkKind.EXPERIMENT, (fields, mark) -> {
             Experiment current = mark == null ? null : Experiment.read(mark.value());
-            return new ExperimentOrders(state, order, fields, current).decide();
+            return new ExperimentCommands(state, command, fields, current).decide();
         });
     }
 
@@ -100,7 +100,7 @@
     /** A route takes part in one open experiment at most, and follows one promoted policy; a salt is used once. */
     private Optional<String> conflict(Plan plan) {
         for (Mark mark : state.marks()) {
-            if (!MarkKind.EXPERIMENT.marks(mark)) {
+            if (!MarkKind.EXPERIMENT.matches(mark)) {
                 continue;
             }
             Experiment other = Experiment.read(mark.value());
@@ -162,7 +162,7 @@
     // ---- orders of the judge in charge; whoever holds an older epoch is refused
 
     private Decision judged(String name) {
-        boolean inCharge = fields.getJsonNumber(JsonOrder.EPOCH).longValue() == state.lineage()
+        boolean inCharge = fields.getJsonNumber(JsonCommand.EPOCH).longValue() == state.lineage()
                 && fields.getJsonNumber("id").longValue() == current.id();
         if (!inCharge || current.state() != Standing.RUNNING) {
             return Decision.answer(Outcome.CLASH);
--- a/src/main/java/ringspindle/replication/JsonOrder.java
+++ b/src/main/java/ringspindle/replication/JsonCommand.java
@@ -9,7 +9,7 @@
 import ringspindle.protocol.Message.State;
 
 /** An order whose body is a JSON object about a mark that the call names, from an operator or from whoever is in charge. */
-final class JsonOrder {
+final class JsonCommand {
     /** What makes an order one of whoever is in charge: the epoch of the view that put it there. */
     static final String EPOCH = "epoch";
 
@@ -24,20 +24,20 @@
         Decision decide(JsonObject fields, Mark mark);
     }
 
-    private JsonOrder() {}
+    private JsonCommand() {}
 
     /** What the order comes to on that state: refused if its body or a field of it cannot be read. */
-    static Decision decide(State state, Call order, MarkKind kind, Rule rule) {
-        if (!(FleetConfig.json(order.body()) instanceof Validated.Valid<JsonObject> valid)) {
+    static Decision decide(State state, Call command, MarkKind kind, Rule rule) {
+        if (!(FleetConfig.json(command.body()) instanceof Validated.Valid<JsonObject> valid)) {
             return Decision.invalid("not a whole JSON object");
         }
-        Mark mark = ControlState.mark(state, kind, order.arg());
+        Mark mark = ControlState.mark(state, kind, command.arg());
         JsonObject fields = valid.value();
         try {
             Decision decision = rule.decide(fields, mark);
             // an operator's order that was held up must not undo a newer one; whoever is in charge names its epoch
             boolean operators = !fields.containsKey(EPOCH);
-            return operators && decision instanceof Decision.Commit && OrderDecider.overtaken(order, mark)
+            return operators && decision instanceof Decision.Commit && CommandDecider.overtaken(command, mark)
                     ? Decision.answer(Outcome.UNCLEAR)
                     : decision;
         } catch (ClassCastException | NullPointerException | ArithmeticException e) {
--- a/src/main/java/ringspindle/replication/MarkKind.java
+++ b/src/main/java/ringspindle/replication/MarkKind.java
@@ -45,7 +45,7 @@
     }
 
     /** True if the mark is of this kind. */
-    public boolean marks(Mark mark) {
+    public boolean matches(Mark mark) {
         return mark.kind() == code;
     }
 }
--- a/src/main/java/ringspindle/replication/MeteredWindow.java
+++ b/src/main/java/ringspindle/replication/MeteredWindow.java
@@ -63,18 +63,18 @@
      *
      * @param epoch of the view whose head gives the order
      */
-    public byte[] order(long epoch) {
-        return fields(WINDOW).add(JsonOrder.EPOCH, epoch).build().toString().getBytes(UTF_8);
+    public byte[] command(long epoch) {
+        return fields(WINDOW).add(JsonCommand.EPOCH, epoch).build().toString().getBytes(UTF_8);
     }
 
     /** Windows are decided in order, each once, by the head of the view alone. */
-    static Decision decide(State state, Call order) {
-        return JsonOrder.decide(state, order, MarkKind.METERING, (fields, mark) -> {
+    static Decision decide(State state, Call command) {
+        return JsonCommand.decide(state, command, MarkKind.METERING, (fields, mark) -> {
             MeteredWindow next = read(fields);
-            boolean inCharge = fields.getJsonNumber(JsonOrder.EPOCH).longValue() == state.lineage();
+            boolean inCharge = fields.getJsonNumber(JsonCommand.EPOCH).longValue() == state.lineage();
             boolean follows = mark == null || next.window() > read(mark.value()).window();
             return inCharge && follows
-                    ? Decision.commit(order, next.write().getBytes(UTF_8))
+                    ? Decision.commit(command, next.write().getBytes(UTF_8))
                     : Decision.answer(Outcome.CLASH);
         });
     }
--- a/src/main/java/ringspindle/replication/OutputQueue.java
+++ b/src/main/java/ringspindle/replication/OutputQueue.java
@@ -14,7 +14,7 @@
     private final NodeId self;
     private final Long2ObjectMap<Runnable> afterSync = new Long2ObjectOpenHashMap<>();
     private final ArrayDeque<Message> toSelf = new ArrayDeque<>();
-    private List<ReplicatedState.Out> outputs = new ArrayList<>();
+    private List<ReplicatedState.Output> outputs = new ArrayList<>();
     private long nextId;
 
     OutputQueue(NodeId self) {
@@ -26,7 +26,7 @@
         if (to.equals(self)) {
             toSelf.add(message);
         } else {
-            outputs.add(new ReplicatedState.Out.Send(to, message));
+            outputs.add(new ReplicatedState.Output.Send(to, message));
         }
     }
 
@@ -43,7 +43,7 @@
     private void store(List<Message> records, boolean snapshot, Runnable whenSynced) {
         long token = nextId();
         afterSync.put(token, whenSynced);
-        outputs.add(new ReplicatedState.Out.Store(token, records, snapshot));
+        outputs.add(new ReplicatedState.Output.Store(token, records, snapshot));
     }
 
     /** The records of that token are synced; a token that is not known is let pass. */
@@ -59,7 +59,7 @@
         return nextId++;
     }
 
-    void emit(ReplicatedState.Out output) {
+    void emit(ReplicatedState.Output output) {
         outputs.add(output);
     }
 
@@ -69,8 +69,8 @@
     }
 
     /** What has come together since the last call. */
-    List<ReplicatedState.Out> takeOutputs() {
-        List<ReplicatedState.Out> taken = outputs;
+    List<ReplicatedState.Output> takeOutputs() {
+        List<ReplicatedState.Output> taken = outputs;
         outputs = new ArrayList<>();
         return taken;
     }
--- a/src/main/java/ringspindle/replication/HeldCalls.java
+++ b/src/main/java/ringspindle/replication/OutstandingCalls.java
@@ -10,7 +10,7 @@
 import ringspindle.protocol.NodeId;
 
 /** Calls that are not answered yet, in the order of the nodes that took them and of their numbers there. */
-final class HeldCalls {
+final class OutstandingCalls {
     /** How far a call is in the view in force. */
     private sealed interface Progress {
         Progress WAITING = new Waiting();
@@ -23,13 +23,13 @@
     }
 
     /** A call that is not answered yet. */
-    static final class HeldCall {
+    static final class OutstandingCall {
         private final CallId id;
         private final Call call;
         private final long sinceMs;
         private Progress progress = Progress.WAITING;
 
-        private HeldCall(CallId id, Call call, long sinceMs) {
+        private OutstandingCall(CallId id, Call call, long sinceMs) {
             this.id = id;
             this.call = call;
             this.sinceMs = sinceMs;
@@ -65,14 +65,14 @@
         }
     }
 
-    private final Map<NodeId, Map<Long, HeldCall>> byOrigin = new TreeMap<>();
+    private final Map<NodeId, Map<Long, OutstandingCall>> byOrigin = new TreeMap<>();
     /** Answered, and to be forgotten once no walk over the calls is under way. */
     private final List<CallId> answered = new ArrayList<>();
 
     /** Holds a call; one of the same origin and number is replaced. */
     void add(NodeId origin, Call call, long nowMs) {
         CallId id = new CallId(origin, call.id());
-        byOrigin.computeIfAbsent(origin, k -> new TreeMap<>()).put(call.id(), new HeldCall(id, call, nowMs));
+        byOrigin.computeIfAbsent(origin, k -> new TreeMap<>()).put(call.id(), new OutstandingCall(id, call, nowMs));
     }
 
     boolean isEmpty() {
@@ -84,15 +84,15 @@
     }
 
     /** Calls that the node took itself from callers. */
-    Iterable<HeldCall> of(NodeId origin) {
+    Iterable<OutstandingCall> of(NodeId origin) {
         return byOrigin.getOrDefault(origin, Map.of()).values();
     }
 
-    void forEach(Consumer<HeldCall> action) {
+    void forEach(Consumer<OutstandingCall> action) {
         byOrigin.values().forEach(calls -> calls.values().forEach(action));
     }
 
-    void removeIf(Predicate<HeldCall> condition) {
+    void removeIf(Predicate<OutstandingCall> condition) {
         byOrigin.values().forEach(calls -> calls.values().removeIf(condition));
     }
 
@@ -102,12 +102,12 @@
 
     /** Forgets a call at once; false if it is not held. */
     boolean remove(CallId id) {
-        Map<Long, HeldCall> calls = byOrigin.get(id.origin());
+        Map<Long, OutstandingCall> calls = byOrigin.get(id.origin());
         return calls != null && calls.remove(id.number()) != null;
     }
 
     private boolean holds(CallId id) {
-        Map<Long, HeldCall> calls = byOrigin.get(id.origin());
+        Map<Long, OutstandingCall> calls = byOrigin.get(id.origin());
         return calls != null && calls.containsKey(id.number());
     }
 
--- a/src/main/java/ringspindle/replication/ReplicatedState.java
+++ b/src/main/java/ringspindle/replication/ReplicatedState.java
@@ -16,43 +16,43 @@
 public interface ReplicatedState {
 
     /** What the owner is to do. */
-    sealed interface Out {
+    sealed interface Output {
         /** Send the message to the node. */
-        record Send(NodeId to, Message message) implements Out {}
+        record Send(NodeId to, Message message) implements Output {}
 
         /**
-         * Write and sync the records in order, then call {@link ReplicatedState#stored}.
+         * Write and sync the records in order, then call {@link ReplicatedState#recordsSynced}.
          *
          * @param snapshot true if the records take the place of all that was written before
          */
-        record Store(long token, List<Message> records, boolean snapshot) implements Out {}
+        record Store(long token, List<Message> records, boolean snapshot) implements Output {}
 
         /** The answer to a call that came in at this node. */
-        record Answer(long call, Outcome outcome, byte[] body) implements Out {}
+        record Answer(long call, Outcome outcome, byte[] body) implements Output {}
 
         /** The committed state moved. */
-        record Committed(State state) implements Out {}
+        record Committed(State state) implements Output {}
 
         /** The node works under this view from now on. */
-        record Viewed(View view) implements Out {}
+        record ViewChanged(View view) implements Output {}
     }
 
     // ---- inputs
 
     /** A message came. */
-    List<Out> receive(NodeId from, Message message, long nowMs);
+    List<Output> receive(NodeId from, Message message, long nowMs);
 
     /** A new connection to that node stands; what was sent on an older one may be lost. */
-    List<Out> opened(NodeId peer, long nowMs);
+    List<Output> connectionOpened(NodeId peer, long nowMs);
 
     /** Time went on. */
-    List<Out> tick(long nowMs, Connectivity connectivity);
+    List<Output> tick(long nowMs, Connectivity connectivity);
 
-    /** A call came in at this node; the answer comes as {@link Out.Answer} with its id. */
-    List<Out> call(Call call, long nowMs);
+    /** A call came in at this node; the answer comes as {@link Output.Answer} with its id. */
+    List<Output> call(Call call, long nowMs);
 
     /** The records of that token are synced. */
-    List<Out> stored(long token, long nowMs);
+    List<Output> recordsSynced(long token, long nowMs);
 
     // ---- what it holds
 
@@ -63,16 +63,16 @@
     State committed();
 
     /** True while this node hears of all that is committed. */
-    boolean current(long nowMs);
+    boolean upToDate(long nowMs);
 
     /** True while a first start waits for more voters before it takes an order; {@code status} shows it. */
-    boolean founding(long nowMs);
+    boolean awaitingVoters(long nowMs);
 
     /** True while this node has not relearned what was promised; it can neither vote nor hold state. */
     boolean relearning();
 
     /** All that must not be forgotten, for a snapshot on disk. */
-    List<Message> durable();
+    List<Message> durableRecords();
 
     /**
      * {@code ReplicatedState.create(self, seeds, true, disk.load(), 7, 5)}: the first start of a system that must bear the loss
@@ -81,12 +81,12 @@
      * @param self this node
      * @param seeds nodes that are known from the settings
      * @param bootstrap true for the first start of a system; does not count if records were found
-     * @param found the records found on disk, in the order in which they were written
+     * @param records the records found on disk, in the order in which they were written
      * @param randomSeed seeds the pauses between attempts and the numbers of confirmations; differs from start to start
-     * @param leastVoters as many voters as remain at least: 2f + 1 for the loss of f disks
+     * @param minVoters as many voters as remain at least: 2f + 1 for the loss of f disks
      */
     static ReplicatedState create(
-            NodeId self, List<NodeId> seeds, boolean bootstrap, List<Message> found, long randomSeed, int leastVoters) {
-        return new ChainReplicatedState(self, seeds, bootstrap, found, randomSeed, leastVoters);
+            NodeId self, List<NodeId> seeds, boolean bootstrap, List<Message> records, long randomSeed, int minVoters) {
+        return new ChainReplicatedState(self, seeds, bootstrap, records, randomSeed, minVoters);
     }
 }
--- a/src/main/java/ringspindle/replication/Rollout.java
+++ b/src/main/java/ringspindle/replication/Rollout.java
@@ -11,32 +11,32 @@
  * A roll-out of a checkpoint over the engines of a service, as it stands in the control state.
  *
  * @param service whose engines take the checkpoint
- * @param target the weights' revision that all are to have
- * @param from the one they had, -1 if unknown
- * @param atOnce how many may be out of service for it at a time
- * @param floor the share of a region's engines that stays in service, from 0 to below 1
- * @param patienceS how long a swap may take before the roll-out pauses, in seconds
+ * @param targetWeights the weights' revision that all are to have
+ * @param previousWeights the one they had, -1 if unknown
+ * @param maxUnavailable how many may be out of service for it at a time
+ * @param minInServiceShare the share of a region's engines that stays in service, from 0 to below 1
+ * @param swapTimeoutS how long a swap may take before the roll-out pauses, in seconds
  * @param cause why it paused, empty otherwise
  * @param epoch the view in which it was started
- * @param turn engines whose turn it is: they get no new requests
+ * @param swapping engines whose turn it is: they get no new requests
  * @param swapped engines that have swapped
  */
 public record Rollout(
         String service,
-        long target,
-        long from,
-        int atOnce,
-        double floor,
-        int patienceS,
-        Standing state,
+        long targetWeights,
+        long previousWeights,
+        int maxUnavailable,
+        double minInServiceShare,
+        int swapTimeoutS,
+        Status status,
         String cause,
         long epoch,
-        List<String> turn,
+        List<String> swapping,
         List<String> swapped) {
     private static final JsonProvider JSON = JsonProvider.provider();
 
     /** How far it is. */
-    public enum Standing {
+    public enum Status {
         /** Engines take their turns. */
         RUNNING,
         /** Nothing goes on until an operator resumes or ends it. */
@@ -48,14 +48,14 @@
     }
 
     /** The same roll-out, so far; lists are copied. */
-    Rollout with(Standing standing, String reason, List<String> inTurn, List<String> done) {
+    Rollout with(Status standing, String reason, List<String> inTurn, List<String> done) {
         return new Rollout(
                 service,
-                target,
-                from,
-                atOnce,
-                floor,
-                patienceS,
+                targetWeights,
+                previousWeights,
+                maxUnavailable,
+                minInServiceShare,
+                swapTimeoutS,
                 standing,
                 reason,
                 epoch,
@@ -67,15 +67,15 @@
     public String write() {
         return JSON.createObjectBuilder()
                 .add("service", service)
-                .add("target", target)
-                .add("from", from)
-                .add("atOnce", atOnce)
-                .add("floor", floor)
-                .add("patienceS", patienceS)
-                .add("state", state.name())
+                .add("target", targetWeights)
+                .add("from", previousWeights)
+                .add("atOnce", maxUnavailable)
+                .add("floor", minInServiceShare)
+                .add("patienceS", swapTimeoutS)
+                .add("state", status.name())
                 .add("cause", cause)
                 .add("epoch", epoch)
-                .add("turn", JSON.createArrayBuilder(turn))
+                .add("turn", JSON.createArrayBuilder(swapping))
                 .add("swapped", JSON.createArrayBuilder(swapped))
                 .build()
                 .toString();
@@ -92,7 +92,7 @@
                     fields.getInt("atOnce"),
                     fields.getJsonNumber("floor").doubleValue(),
                     fields.getInt("patienceS"),
-                    Standing.valueOf(fields.getString("state")),
+                    Status.valueOf(fields.getString("state")),
                     fields.getString("cause"),
                     fields.getJsonNumber("epoch").longValue(),
                     strings(fields, "turn"),
--- a/src/main/java/ringspindle/replication/RolloutOrders.java
+++ b/src/main/java/ringspindle/replication/RolloutCommands.java
@@ -12,10 +12,10 @@
 import ringspindle.config.Validated;
 import ringspindle.protocol.Message.Call;
 import ringspindle.protocol.Message.State;
-import ringspindle.replication.Rollout.Standing;
+import ringspindle.replication.Rollout.Status;
 
 /** One order on a roll-out, and what it makes of the control state: an operator's, or a step of the controller in charge. */
-final class RolloutOrders {
+final class RolloutCommands {
     private static final int DEFAULT_AT_ONCE = 1;
     private static final double DEFAULT_FLOOR = 0.5;
     private static final int DEFAULT_PATIENCE_S = 120;
@@ -27,18 +27,18 @@
     /** The service's roll-out as it stands, null if there is none. */
     private final Rollout current;
 
-    private RolloutOrders(State state, Call order, JsonObject fields, Rollout current) {
+    private RolloutCommands(State state, Call command, JsonObject fields, Rollout current) {
         this.state = state;
-        this.order = order;
+        this.order = command;
         this.fields = fields;
         this.current = current;
     }
 
     /** What the order, a JSON object about the service that the call names, comes to on that state. */
-    static Decision decide(State state, Call order) {
-        return JsonOrder.decide(state, order, MarkKind.ROLLOUT, (fields, mark) -> {
+    static Decision decide(State state, Call command) {
+        return JsonCommand.decide(state, command, MarkKind.ROLLOUT, (fields, mark) -> {
             Rollout current = mark == null ? null : Rollout.read(mark.value());
-            return new RolloutOrders(state, order, fields, current).decide();
+            return new RolloutCommands(state, command, fields, current).decide();
         });
     }
 
@@ -64,7 +64,9 @@
             return Decision.invalid("atOnce from 1, floor from 0 to below 1, patienceS from 1, target from 0");
         }
         if (open()) {
-            boolean same = current.target() == target && current.atOnce() == atOnce && current.floor() == floor;
+            boolean same = current.targetWeights() == target
+                    && current.maxUnavailable() == atOnce
+                    && current.minInServiceShare() == floor;
             return Decision.answer(same ? Outcome.TAKEN : Outcome.CLASH);
         }
         if (!serviceExists()) {
@@ -78,7 +80,7 @@
                 atOnce,
                 floor,
                 patienceS,
-                Standing.RUNNING,
+                Status.RUNNING,
                 "",
                 state.lineage(),
                 List.of(),
@@ -89,11 +91,11 @@
         if (current == null) {
             return Decision.answer(Outcome.NO_SUCH);
         }
-        if (current.state() == Standing.RUNNING) {
+        if (current.status() == Status.RUNNING) {
             return Decision.answer(Outcome.TAKEN);
         }
         return open()
-                ? write(current.with(Standing.RUNNING, "", current.turn(), current.swapped()))
+                ? write(current.with(Status.RUNNING, "", current.swapping(), current.swapped()))
                 : Decision.answer(Outcome.CLASH);
     }
 
@@ -102,32 +104,32 @@
             return Decision.answer(Outcome.NO_SUCH);
         }
         // written also if it is over: the newer mark fences a start that is still on its way
-        return write(open() ? current.with(Standing.ABORTED, "", List.of(), current.swapped()) : current);
+        return write(open() ? current.with(Status.ABORTED, "", List.of(), current.swapped()) : current);
     }
 
     private Decision back() {
         if (current == null) {
             return Decision.answer(Outcome.NO_SUCH);
         }
-        if (current.from() < 0) {
+        if (current.previousWeights() < 0) {
             return Decision.invalid("it is not known which checkpoint to turn back to");
         }
         return write(new Rollout(
                 current.service(),
-                current.from(),
-                current.target(),
-                current.atOnce(),
-                current.floor(),
-                current.patienceS(),
-                Standing.RUNNING,
+                current.previousWeights(),
+                current.targetWeights(),
+                current.maxUnavailable(),
+                current.minInServiceShare(),
+                current.swapTimeoutS(),
+                Status.RUNNING,
                 "",
                 state.lineage(),
-                current.turn(),
+                current.swapping(),
                 List.of()));
     }
 
     private boolean open() {
-        return current != null && (current.state() == Standing.RUNNING || current.state() == Standing.PAUSED);
+        return current != null && (current.status() == Status.RUNNING || current.status() == Status.PAUSED);
     }
 
     private boolean serviceExists() {
@@ -142,8 +144,8 @@
         if (current == null) {
             return Decision.answer(Outcome.NO_SUCH);
         }
-        boolean inCharge = fields.getJsonNumber(JsonOrder.EPOCH).longValue() == state.lineage();
-        if (!inCharge || current.state() != Standing.RUNNING) {
+        boolean inCharge = fields.getJsonNumber(JsonCommand.EPOCH).longValue() == state.lineage();
+        if (!inCharge || current.status() != Status.RUNNING) {
             return Decision.answer(Outcome.CLASH);
         }
         String engine = fields.getString("id", "");
@@ -152,29 +154,30 @@
             case "swapped" -> turnOver(engine, true);
             case "lost" -> turnOver(engine, false);
             case "pause" ->
-                write(current.with(Standing.PAUSED, fields.getString("cause", ""), current.turn(), current.swapped()));
+                write(current.with(
+                        Status.PAUSED, fields.getString("cause", ""), current.swapping(), current.swapped()));
             case "done" ->
-                current.turn().isEmpty()
-                        ? write(current.with(Standing.DONE, "", current.turn(), current.swapped()))
+                current.swapping().isEmpty()
+                        ? write(current.with(Status.DONE, "", current.swapping(), current.swapped()))
                         : Decision.answer(Outcome.CLASH);
             default -> Decision.invalid("no such order: " + name);
         };
     }
 
     private Decision turn(String engine) {
-        if (current.turn().contains(engine)) {
+        if (current.swapping().contains(engine)) {
             return Decision.answer(Outcome.TAKEN);
         }
-        if (current.turn().size() >= current.atOnce()) {
+        if (current.swapping().size() >= current.maxUnavailable()) {
             return Decision.answer(Outcome.CLASH);
         }
-        List<String> turn = new ArrayList<>(current.turn());
+        List<String> turn = new ArrayList<>(current.swapping());
         turn.add(engine);
-        return write(current.with(current.state(), "", turn, current.swapped()));
+        return write(current.with(current.status(), "", turn, current.swapped()));
     }
 
     private Decision turnOver(String engine, boolean hasSwapped) {
-        List<String> turn = new ArrayList<>(current.turn());
+        List<String> turn = new ArrayList<>(current.swapping());
         if (!turn.remove(engine)) {
             return Decision.answer(Outcome.TAKEN);
         }
@@ -182,7 +185,7 @@
         if (hasSwapped) {
             swapped.add(engine);
         }
-        return write(current.with(current.state(), "", turn, swapped));
+        return write(current.with(current.status(), "", turn, swapped));
     }
 
     private Decision write(Rollout rollout) {
--- a/src/main/java/ringspindle/replication/ShardOrders.java
+++ b/src/main/java/ringspindle/replication/ShardCommands.java
@@ -11,20 +11,20 @@
 import ringspindle.shard.ShardAssignment;
 
 /** Orders on shards of batch jobs: assignments by the head of the view, and operators' orders to empty a storage node. */
-public final class ShardOrders {
+public final class ShardCommands {
     private static final JsonProvider JSON = JsonProvider.provider();
     private static final String ASSIGNMENT = "assignment";
 
-    private ShardOrders() {}
+    private ShardCommands() {}
 
     /**
      * The body of an order to assign a shard.
      *
      * @param epoch of the view whose head gives it; another head's order is refused
      */
-    public static byte[] assign(ShardAssignment assignment, long epoch) {
+    public static byte[] assignCommand(ShardAssignment assignment, long epoch) {
         return JSON.createObjectBuilder()
-                .add(JsonOrder.EPOCH, epoch)
+                .add(JsonCommand.EPOCH, epoch)
                 .add(ASSIGNMENT, assignment.write())
                 .build()
                 .toString()
@@ -32,18 +32,18 @@
     }
 
     /** An assignment takes the place of the one before it and of no other. */
-    static Decision decideAssignment(State state, Call order) {
-        return JsonOrder.decide(state, order, MarkKind.SHARD, (fields, mark) -> {
+    static Decision decideAssignment(State state, Call command) {
+        return JsonCommand.decide(state, command, MarkKind.SHARD, (fields, mark) -> {
             ShardAssignment next = ShardAssignment.read(fields.getString(ASSIGNMENT));
             boolean inCharge = epoch(fields) == state.lineage();
             return inCharge && next.epoch() == epoch(mark) + 1
-                    ? Decision.commit(order, next.write().getBytes(UTF_8))
+                    ? Decision.commit(command, next.write().getBytes(UTF_8))
                     : Decision.answer(Outcome.CLASH);
         });
     }
 
     private static long epoch(JsonObject fields) {
-        return fields.getJsonNumber(JsonOrder.EPOCH).longValue();
+        return fields.getJsonNumber(JsonCommand.EPOCH).longValue();
     }
 
     private static long epoch(Mark mark) {
@@ -51,8 +51,8 @@
     }
 
     /** An order to empty a node holds for good; one that is given again changes nothing. */
-    static Decision decideRetirement(State state, Call order) {
-        Mark mark = ControlState.mark(state, MarkKind.RETIREMENT, order.arg());
-        return mark == null ? Decision.commit(order, order.body()) : Decision.answer(Outcome.TAKEN);
+    static Decision decideRetirement(State state, Call command) {
+        Mark mark = ControlState.mark(state, MarkKind.RETIREMENT, command.arg());
+        return mark == null ? Decision.commit(command, command.body()) : Decision.answer(Outcome.TAKEN);
     }
 }
--- a/src/main/java/ringspindle/replication/SyncProgress.java
+++ b/src/main/java/ringspindle/replication/SyncProgress.java
@@ -12,7 +12,7 @@
     private static final long NOTHING = -1;
 
     private long seq = NOTHING;
-    private State newest = ControlState.none();
+    private State newest = ControlState.empty();
 
     /** A copy begins of which nothing is on disk yet. */
     void restart() {
--- a/src/main/java/ringspindle/replication/VersionRollout.java
+++ b/src/main/java/ringspindle/replication/VersionRollout.java
@@ -19,7 +19,7 @@
  * @param targetRevision the version
  * @param durationS seconds in which the operator wants it decided
  */
-public record VersionRollout(String service, String targetRevision, int durationS, Standing standing) {
+public record VersionRollout(String service, String targetRevision, int durationS, Status status) {
     private static final JsonProvider JSON = JsonProvider.provider();
     private static final String SERVICE = "service";
     private static final String REVISION = "targetRevision";
@@ -27,7 +27,7 @@
     private static final String STATE = "state";
 
     /** How far it is; operators read these names, in lower case. */
-    public enum Standing {
+    public enum Status {
         /** It is being judged. */
         ACTIVE,
         /** The version serves. */
@@ -36,7 +36,7 @@
         REVERTED;
 
         /** The name for operators. */
-        public String onWire() {
+        public String externalName() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
@@ -47,7 +47,7 @@
                 .add(SERVICE, service)
                 .add(REVISION, targetRevision)
                 .add(DURATION, durationS)
-                .add(STATE, standing.name())
+                .add(STATE, status.name())
                 .build()
                 .toString();
     }
@@ -60,7 +60,7 @@
                     fields.getString(SERVICE),
                     fields.getString(REVISION),
                     fields.getInt(DURATION),
-                    Standing.valueOf(fields.getString(STATE)));
+                    Status.valueOf(fields.getString(STATE)));
         }
     }
 
@@ -69,9 +69,9 @@
      *
      * @param epoch of the view whose head gives the order
      */
-    public static byte[] end(Standing standing, long epoch) {
+    public static byte[] endCommand(Status standing, long epoch) {
         return JSON.createObjectBuilder()
-                .add(JsonOrder.EPOCH, epoch)
+                .add(JsonCommand.EPOCH, epoch)
                 .add(STATE, standing.name())
                 .build()
                 .toString()
@@ -79,44 +79,45 @@
     }
 
     /** An operator's order to start one, or the end that the head of the view gives it. */
-    static Decision decide(State state, Call order) {
-        return JsonOrder.decide(state, order, MarkKind.VERSION, (fields, mark) -> {
+    static Decision decide(State state, Call command) {
+        return JsonCommand.decide(state, command, MarkKind.VERSION, (fields, mark) -> {
             VersionRollout current = mark == null ? null : read(mark.value());
-            return fields.containsKey(JsonOrder.EPOCH)
-                    ? ended(state, order, fields, current)
-                    : started(state, order, fields, current);
+            return fields.containsKey(JsonCommand.EPOCH)
+                    ? ended(state, command, fields, current)
+                    : started(state, command, fields, current);
         });
     }
 
-    private static Decision started(State state, Call order, JsonObject fields, VersionRollout current) {
+    private static Decision started(State state, Call command, JsonObject fields, VersionRollout current) {
         int durationS = fields.getJsonNumber(DURATION).intValue();
         String revision = fields.getString(REVISION);
         if (durationS < 1 || revision.isEmpty()) {
             return Decision.invalid("durationS from 1, and a targetRevision");
         }
-        if (current != null && current.standing() == Standing.ACTIVE) {
+        if (current != null && current.status() == Status.ACTIVE) {
             boolean same = current.targetRevision().equals(revision);
             return Decision.answer(same ? Outcome.TAKEN : Outcome.CLASH);
         }
         boolean known = state.config().length > 0
                 && FleetConfig.read(FleetConfig.unpack(state.config())) instanceof Validated.Valid<FleetConfig> config
-                && config.value().service(order.arg()) != null;
+                && config.value().service(command.arg()) != null;
         return known
-                ? write(order, new VersionRollout(order.arg(), revision, durationS, Standing.ACTIVE))
+                ? write(command, new VersionRollout(command.arg(), revision, durationS, Status.ACTIVE))
                 : Decision.answer(Outcome.NO_SUCH);
     }
 
-    private static Decision ended(State state, Call order, JsonObject fields, VersionRollout current) {
-        boolean inCharge = fields.getJsonNumber(JsonOrder.EPOCH).longValue() == state.lineage();
-        if (current == null || !inCharge || current.standing() != Standing.ACTIVE) {
+    private static Decision ended(State state, Call command, JsonObject fields, VersionRollout current) {
+        boolean inCharge = fields.getJsonNumber(JsonCommand.EPOCH).longValue() == state.lineage();
+        if (current == null || !inCharge || current.status() != Status.ACTIVE) {
             return Decision.answer(Outcome.CLASH);
         }
-        Standing standing = Standing.valueOf(fields.getString(STATE));
+        Status standing = Status.valueOf(fields.getString(STATE));
         return write(
-                order, new VersionRollout(current.service(), current.targetRevision(), current.durationS(), standing));
+                command,
+                new VersionRollout(current.service(), current.targetRevision(), current.durationS(), standing));
     }
 
-    private static Decision write(Call order, VersionRollout rollout) {
-        return Decision.commit(order, rollout.write().getBytes(UTF_8));
+    private static Decision write(Call command, VersionRollout rollout) {
+        return Decision.commit(command, rollout.write().getBytes(UTF_8));
     }
 }
--- a/src/main/java/ringspindle/replication/Confirmations.java
+++ b/src/main/java/ringspindle/replication/ViewConfirmations.java
@@ -6,55 +6,56 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import ringspindle.consensus.Replica;
+import ringspindle.consensus.ReplicaContext;
 import ringspindle.protocol.Message.Confirm;
 import ringspindle.protocol.Message.Confirmed;
 import ringspindle.protocol.NodeId;
-import ringspindle.replication.HeldCalls.HeldCall;
+import ringspindle.replication.OutstandingCalls.OutstandingCall;
 
 /**
  * Answers that change nothing and so rest on this node's state alone: a reading, a refusal, or "already so". One goes out only
  * after a majority of voters confirmed, later than the call came, that the view is still the newest, and once all that it
  * rests on is committed.
  */
-final class Confirmations {
+final class ViewConfirmations {
     /** An answer is no longer asked about after so long. */
     private static final long ASKED_MS = 2500;
 
     /** An answer that is not given yet. */
     sealed interface PendingAnswer {
-        HeldCall call();
+        OutstandingCall call();
     }
 
     /** A reading: made of the committed state, once it is confirmed. */
-    record Reading(HeldCall call) implements PendingAnswer {}
+    record Read(OutstandingCall call) implements PendingAnswer {}
 
     /** An order's answer, decided on the state of that sequence number. */
-    record Decided(HeldCall call, Decision.Answer answer, long seq) implements PendingAnswer {}
+    record DecidedAnswer(OutstandingCall call, Decision.Answer answer, long seq) implements PendingAnswer {}
 
     /** Gives the answers to the callers. */
-    interface Answers {
-        void give(Reading reading);
+    interface AnswerHandler {
+        void deliver(Read reading);
 
-        void give(Decided decided);
+        void deliver(DecidedAnswer decided);
     }
 
     private record Asked(PendingAnswer answer, long sinceMs, Set<NodeId> confirmedBy) {}
 
-    private final Replica replica;
+    private final ReplicaContext replica;
     private final OutputQueue outputs;
     private final ChainMember member;
-    private final Answers answers;
+    private final AnswerHandler answers;
     private final Long2ObjectMap<Asked> asked = new Long2ObjectLinkedOpenHashMap<>();
     /** Confirmed, and waiting until all that they rest on is committed. */
-    private final List<Decided> uncommitted = new ArrayList<>();
+    private final List<DecidedAnswer> uncommitted = new ArrayList<>();
 
     private long nextId;
 
     /**
      * @param firstId from chance, so that numbers of an earlier life of this node are not taken for this one's
      */
-    Confirmations(Replica replica, OutputQueue outputs, ChainMember member, Answers answers, long firstId) {
+    ViewConfirmations(
+            ReplicaContext replica, OutputQueue outputs, ChainMember member, AnswerHandler answers, long firstId) {
         this.replica = replica;
         this.outputs = outputs;
         this.member = member;
@@ -79,9 +80,9 @@
             return;
         }
         asked.remove(confirmation.id());
-        if (question.answer() instanceof Reading reading) {
-            answers.give(reading);
-        } else if (question.answer() instanceof Decided decided) {
+        if (question.answer() instanceof Read reading) {
+            answers.deliver(reading);
+        } else if (question.answer() instanceof DecidedAnswer decided) {
             giveOnceCommitted(decided);
         }
     }
@@ -94,9 +95,9 @@
                 && member.established();
     }
 
-    private void giveOnceCommitted(Decided decided) {
+    private void giveOnceCommitted(DecidedAnswer decided) {
         if (member.committed().seq() >= decided.seq()) {
-            answers.give(decided);
+            answers.deliver(decided);
         } else {
             uncommitted.add(decided);
         }
@@ -107,7 +108,7 @@
         uncommitted.removeIf(decided -> {
             boolean due = decided.seq() <= seq;
             if (due) {
-                answers.give(decided);
+                answers.deliver(decided);
             }
             return due;
         });
--- a/src/main/java/ringspindle/rollout/RolloutPlanner.java
+++ b/src/main/java/ringspindle/rollout/RolloutPlanner.java
@@ -82,8 +82,8 @@
      * @param members the engines of the rollout's service
      */
     public Order next(Rollout rollout, List<Member> members, long nowMs) {
-        turnSinceMs.keySet().retainAll(rollout.turn());
-        if (rollout.state() != Rollout.Standing.RUNNING) {
+        turnSinceMs.keySet().retainAll(rollout.swapping());
+        if (rollout.status() != Rollout.Status.RUNNING) {
             turnSinceMs.clear();
             return null;
         }
@@ -91,18 +91,20 @@
         if (inTurn != null) {
             return inTurn;
         }
-        if (rollout.turn().isEmpty() && allSwapped(rollout, members)) {
+        if (rollout.swapping().isEmpty() && allSwapped(rollout, members)) {
             return Order.of(Action.DONE, "");
         }
         String engine = nextEngine(rollout, members);
-        return engine != null && rollout.turn().size() < rollout.atOnce() ? Order.of(Action.TURN, engine) : null;
+        return engine != null && rollout.swapping().size() < rollout.maxUnavailable()
+                ? Order.of(Action.TURN, engine)
+                : null;
     }
 
     /** The first order that an engine in turn gives cause for, null if there is none. */
     private Order ofEnginesInTurn(Rollout rollout, List<Member> members, long nowMs) {
         Map<String, Member> byId = new HashMap<>();
         members.forEach(member -> byId.put(member.id(), member));
-        for (String id : rollout.turn()) {
+        for (String id : rollout.swapping()) {
             long sinceMs = turnSinceMs.computeIfAbsent(id, k -> nowMs);
             Order order = ofEngineInTurn(rollout, id, byId.get(id), nowMs - sinceMs);
             if (order != null) {
@@ -116,13 +118,13 @@
         if (engine == null || engine.leaving()) {
             return Order.of(Action.LOST, id);
         }
-        if (engine.weights() == rollout.target() && !engine.silent()) {
+        if (engine.weights() == rollout.targetWeights() && !engine.silent()) {
             return Order.of(Action.SWAPPED, id);
         }
         if (hasOtherWeights(rollout, engine)) {
             return Order.pause(id, Cause.WRONG_CHECKPOINT);
         }
-        if (inTurnMs > rollout.patienceS() * MS_PER_S) {
+        if (inTurnMs > rollout.swapTimeoutS() * MS_PER_S) {
             return Order.pause(id, engine.silent() ? Cause.ENGINES_SILENT : Cause.SWAP_OVERDUE);
         }
         return null;
@@ -130,8 +132,8 @@
 
     /** True if the engine's weights are known to be neither the old nor the new ones. */
     private static boolean hasOtherWeights(Rollout rollout, Member engine) {
-        boolean known = engine.weights() >= 0 && rollout.from() >= 0;
-        return known && engine.weights() != rollout.from() && engine.weights() != rollout.target();
+        boolean known = engine.weights() >= 0 && rollout.previousWeights() >= 0;
+        return known && engine.weights() != rollout.previousWeights() && engine.weights() != rollout.targetWeights();
     }
 
     private static boolean allSwapped(Rollout rollout, List<Member> members) {
@@ -139,7 +141,7 @@
     }
 
     private static boolean toSwap(Rollout rollout, Member member) {
-        return !member.leaving() && member.weights() != rollout.target();
+        return !member.leaving() && member.weights() != rollout.targetWeights();
     }
 
     /** The engine to take out of service next: of the region with most to spare, null if none may go. */
@@ -149,7 +151,7 @@
         for (Member member : members) {
             boolean candidate = toSwap(rollout, member)
                     && !member.silent()
-                    && !rollout.turn().contains(member.id());
+                    && !rollout.swapping().contains(member.id());
             if (!candidate) {
                 continue;
             }
@@ -170,10 +172,10 @@
         for (Member member : members) {
             if (member.region().equals(region) && !member.leaving()) {
                 total++;
-                serving += member.silent() || rollout.turn().contains(member.id()) ? 0 : 1;
+                serving += member.silent() || rollout.swapping().contains(member.id()) ? 0 : 1;
             }
         }
-        int needed = (int) Math.ceil(rollout.floor() * total - ROUNDING);
+        int needed = (int) Math.ceil(rollout.minInServiceShare() * total - ROUNDING);
         return serving - 1 < needed ? NONE_TO_SPARE : (serving - 1 - needed) / (double) total;
     }
 
--- a/src/test/java/ringspindle/consensus/VoterStateTest.java
+++ b/src/test/java/ringspindle/consensus/VoterStateTest.java
@@ -31,22 +31,22 @@
     @Test
     void aHigherPromiseForTheSameEpochKeepsWhatWasAccepted() {
         VoterState accepted = new VoterState.Accepting(2, LOW, LOW, NEXT);
-        VoterState after = accepted.promising(new ProposalId(2, HIGH));
+        VoterState after = accepted.withPromise(new ProposalId(2, HIGH));
         assertEquals(new VoterState.Accepting(2, HIGH, LOW, NEXT), after);
     }
 
     @Test
     void aPromiseForALaterEpochForgetsWhatWasAcceptedForTheOneBefore() {
         VoterState accepted = new VoterState.Accepting(2, LOW, LOW, NEXT);
-        assertEquals(new VoterState.Promised(3, LOW), accepted.promising(new ProposalId(3, LOW)));
-        assertNull(accepted.promising(new ProposalId(3, LOW)).accepted());
+        assertEquals(new VoterState.Promised(3, LOW), accepted.withPromise(new ProposalId(3, LOW)));
+        assertNull(accepted.withPromise(new ProposalId(3, LOW)).accepted());
     }
 
     @Test
     void eachStateComesBackFromItsRecord() {
         List<VoterState> states = List.of(
-                new VoterState.Free(0),
-                new VoterState.Free(4),
+                new VoterState.Unpromised(0),
+                new VoterState.Unpromised(4),
                 new VoterState.Promised(2, HIGH),
                 new VoterState.Accepting(2, HIGH, LOW, NEXT));
         for (VoterState state : states) {
--- a/src/test/java/ringspindle/controlplane/StoredDataTest.java
+++ b/src/test/java/ringspindle/controlplane/StoredDataTest.java
@@ -151,9 +151,9 @@
         assertFalse(node.relearning());
         assertEquals(VIEW, node.view());
         assertNull(node.committed(), "not before a view confirms it");
-        assertEquals(2, node.durable().size());
-        assertEquals(LAST_VOTE, node.durable().get(0));
-        State state = assertInstanceOf(State.class, node.durable().get(1));
+        assertEquals(2, node.durableRecords().size());
+        assertEquals(LAST_VOTE, node.durableRecords().get(0));
+        State state = assertInstanceOf(State.class, node.durableRecords().get(1));
         assertState(
                 state,
                 new Position(2, 10),
@@ -172,8 +172,8 @@
                 config(3, 30));
         Rollout rollout = Rollout.read(state.marks().get(0).value());
         assertEquals("chat", rollout.service());
-        assertEquals(8, rollout.target());
-        assertEquals("RUNNING", rollout.state().name());
+        assertEquals(8, rollout.targetWeights());
+        assertEquals("RUNNING", rollout.status().name());
         assertEquals(ROLLOUT, rollout.write());
     }
 
--- a/src/test/java/ringspindle/replication/ChainReplicatedStateTest.java
+++ b/src/test/java/ringspindle/replication/ChainReplicatedStateTest.java
@@ -32,7 +32,7 @@
 import ringspindle.protocol.Message.Synced;
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
-import ringspindle.replication.ReplicatedState.Out;
+import ringspindle.replication.ReplicatedState.Output;
 
 /** Single steps of the chain, input by input. */
 class ChainReplicatedStateTest {
@@ -58,34 +58,34 @@
     }
 
     /** Syncs everything that is to be written, and what follows from it. */
-    private static List<Out> synced(ReplicatedState c, List<Out> outs) {
-        List<Out> all = new ArrayList<>(outs);
+    private static List<Output> synced(ReplicatedState c, List<Output> outs) {
+        List<Output> all = new ArrayList<>(outs);
         for (int i = 0; i < all.size(); i++) {
-            if (all.get(i) instanceof Out.Store s) {
-                all.addAll(c.stored(s.token(), 10));
+            if (all.get(i) instanceof Output.Store s) {
+                all.addAll(c.recordsSynced(s.token(), 10));
             }
         }
         return all;
     }
 
-    private static List<Outcome> answers(List<Out> outs) {
+    private static List<Outcome> answers(List<Output> outs) {
         return outs.stream()
-                .filter(o -> o instanceof Out.Answer)
-                .map(o -> ((Out.Answer) o).outcome())
+                .filter(o -> o instanceof Output.Answer)
+                .map(o -> ((Output.Answer) o).outcome())
                 .toList();
     }
 
-    private static List<Message> sent(List<Out> outs, Class<?> type) {
+    private static List<Message> sent(List<Output> outs, Class<?> type) {
         return outs.stream()
-                .filter(o -> o instanceof Out.Send)
-                .map(o -> ((Out.Send) o).message())
+                .filter(o -> o instanceof Output.Send)
+                .map(o -> ((Output.Send) o).message())
                 .filter(type::isInstance)
                 .toList();
     }
 
     /** What follows once one more voter says that the view is still the newest. */
-    private static List<Out> confirmed(ReplicatedState c, List<Out> outs) {
-        List<Out> all = new ArrayList<>();
+    private static List<Output> confirmed(ReplicatedState c, List<Output> outs) {
+        List<Output> all = new ArrayList<>();
         for (Message m : sent(outs, Confirm.class)) {
             Confirm asked = (Confirm) m;
             all.addAll(c.receive(B, new Confirmed(asked.epoch(), asked.id(), true), 10));
@@ -95,7 +95,7 @@
 
     /** The answers to a call that changes nothing: none before a majority has confirmed the view. */
     private static List<Outcome> answersOnceConfirmed(ReplicatedState c, Call call, long nowMs) {
-        List<Out> outs = c.call(call, nowMs);
+        List<Output> outs = c.call(call, nowMs);
         assertEquals(List.of(), answers(outs), "answered by a head that may have been deposed");
         return answers(confirmed(c, outs));
     }
@@ -103,17 +103,17 @@
     /** A head whose followers have synced the first image. */
     private static ReplicatedState head() {
         ReplicatedState a = ReplicatedState.create(A, ALL, true, List.of(), 1, 1);
-        List<Out> outs = synced(a, a.tick(0, TOUCH));
+        List<Output> outs = synced(a, a.tick(0, TOUCH));
         assertEquals(1, sent(outs, Install.class).size());
         a.receive(B, new Synced(1, 0), 20);
-        assertTrue(a.current(20));
+        assertTrue(a.upToDate(20));
         return a;
     }
 
     @Test
     void orderIsAnsweredOnlyWhenTheWholeChainSyncedIt() {
         ReplicatedState a = head();
-        List<Out> outs = a.call(put(1, 0, 3), 30);
+        List<Output> outs = a.call(put(1, 0, 3), 30);
         assertEquals(List.of(), sent(outs, Entry.class), "passed on before it is synced here");
         outs = synced(a, outs);
         assertEquals(1, sent(outs, Entry.class).size());
@@ -126,7 +126,7 @@
     void refusalWaitsForWhatItWasDecidedOn() {
         ReplicatedState a = head();
         synced(a, a.call(put(1, 0, 3), 30));
-        List<Out> refused = synced(a, a.call(put(2, 0, 5), 31));
+        List<Output> refused = synced(a, a.call(put(2, 0, 5), 31));
         assertEquals(List.of(), answers(refused), "final though the winner may yet be lost");
         assertEquals(List.of(), answers(confirmed(a, refused)), "final though the winner may yet be lost");
         assertEquals(List.of(Outcome.TAKEN, Outcome.OTHER_VERSION), answers(a.receive(B, new Synced(1, 1), 40)));
@@ -139,7 +139,7 @@
         synced(a, a.call(put(1, 0, 3), 30));
         a.receive(B, new Synced(1, 1), 40);
         assertEquals(List.of(Outcome.OTHER_VERSION), answersOnceConfirmed(a, put(2, 0, 9), 50));
-        List<Out> next = synced(a, a.receive(B, new Decided(new View(2, ALL, List.of(B, A))), 60));
+        List<Output> next = synced(a, a.receive(B, new Decided(new View(2, ALL, List.of(B, A))), 60));
         assertEquals(List.of(), sent(next, Call.class));
     }
 
@@ -164,7 +164,7 @@
         synced(a, a.call(put(1, 0, 3), 30));
         a.receive(B, new Synced(1, 1), 40);
         for (Call c : List.of(put(2, 0, 3), put(3, 0, 9), put(4, 3, 2))) {
-            List<Out> outs = a.call(c, 50);
+            List<Output> outs = a.call(c, 50);
             for (Message m : sent(outs, Confirm.class)) {
                 Confirm asked = (Confirm) m;
                 assertEquals(List.of(), answers(a.receive(B, new Confirmed(1, asked.id(), false), 60)));
@@ -184,7 +184,7 @@
         synced(a, a.call(CallKind.EVACUATE.call(2, 0, "z", new byte[0]), 30));
         synced(a, a.call(CallKind.RESTORE.call(3, 0, "z", new byte[0]), 40));
         a.receive(B, new Synced(1, 2), 50);
-        List<Out> late = a.receive(C, held, 60);
+        List<Output> late = a.receive(C, held, 60);
         assertEquals(List.of(), sent(synced(a, late), Entry.class));
         Reply reply = (Reply) sent(confirmed(a, late), Reply.class).get(0);
         assertEquals(Outcome.UNCLEAR.ordinal(), reply.outcome());
@@ -201,7 +201,7 @@
         Call held = CallKind.EVACUATE.call(1, 0, "z", new byte[0]);
         synced(a, a.call(CallKind.RESTORE.call(2, 0, "z", new byte[0]), 30));
         assertEquals(List.of(Outcome.TAKEN), answers(a.receive(B, new Synced(1, 1), 40)));
-        List<Out> late = a.receive(C, held, 50);
+        List<Output> late = a.receive(C, held, 50);
         assertEquals(List.of(), sent(synced(a, late), Entry.class));
         Reply reply = (Reply) sent(confirmed(a, late), Reply.class).get(0);
         assertEquals(Outcome.UNCLEAR.ordinal(), reply.outcome());
@@ -211,7 +211,7 @@
     @Test
     void orderSentAgainAfterHundredsOfChangesIsNeverRefused() {
         ReplicatedState a = head();
-        int changes = TakenOrders.MAX + 10;
+        int changes = CommandHistory.MAX_COMMANDS + 10;
         for (int i = 1; i <= changes; i++) {
             synced(a, a.call(put(i, i - 1, i), 100 + i));
             a.receive(B, new Synced(1, i), 100 + i);
@@ -235,9 +235,9 @@
                 c,
                 c.receive(
                         B, new Install(1, 0, Codec.encode(new State(1, 0, 0, List.of(), List.of(), new byte[0]))), 5));
-        List<Out> first = c.receive(
+        List<Output> first = c.receive(
                 B, new Install(1, 1, Codec.encode(new State(1, 1, 3, List.of(), List.of(), new byte[] {1}))), 10);
-        List<Out> second = c.receive(
+        List<Output> second = c.receive(
                 B, new Install(1, 2, Codec.encode(new State(1, 2, 5, List.of(), List.of(), new byte[] {2}))), 11);
         assertEquals(List.of(new Synced(1, 1)), sent(synced(c, first), Synced.class));
         assertEquals(3, c.committed().revision(), "a reading now must hold what was confirmed up the chain");
@@ -265,7 +265,7 @@
         };
         List<Message> accepts = new ArrayList<>();
         for (long nowMs = 100; nowMs < 4000; nowMs += 100) {
-            List<Out> outs = synced(c, c.tick(nowMs, withB));
+            List<Output> outs = synced(c, c.tick(nowMs, withB));
             for (Message m : sent(outs, Prepare.class)) {
                 Prepare p = (Prepare) m;
                 // B, too, holds less than the base of the view: both of them together may lack what A acknowledged
@@ -285,7 +285,7 @@
                 b,
                 b.receive(
                         A, new Install(1, 0, Codec.encode(new State(1, 0, 0, List.of(), List.of(), new byte[0]))), 5));
-        List<Out> outs = synced(b, b.receive(C, new Prepare(2, 2049, one), 10));
+        List<Output> outs = synced(b, b.receive(C, new Prepare(2, 2049, one), 10));
         Pledge p = (Pledge) sent(outs, Pledge.class).get(0);
         assertTrue(p.granted());
         byte[] op = Codec.encode(new Op(CallKind.EVACUATE.code(), 0, 0, 0, "z", new byte[0]));
@@ -310,7 +310,7 @@
     void pledgeIsToldOnlyOnceItIsSynced() {
         ReplicatedState b = ReplicatedState.create(B, ALL, true, List.of(), 1, 1);
         synced(b, b.tick(0, TOUCH));
-        List<Out> outs = b.receive(C, new Prepare(2, 2049, b.view()), 10);
+        List<Output> outs = b.receive(C, new Prepare(2, 2049, b.view()), 10);
         assertEquals(List.of(), sent(outs, Pledge.class));
         assertEquals(1, sent(synced(b, outs), Pledge.class).size());
     }
@@ -341,10 +341,10 @@
         ReplicatedState a = ReplicatedState.create(A, List.of(A), true, List.of(), 1, 1);
         synced(a, a.tick(0, TOUCH));
         assertEquals(List.of(Outcome.TAKEN), answers(synced(a, a.call(put(1, 0, 3), 30))));
-        ReplicatedState again = ReplicatedState.create(A, List.of(A), true, a.durable(), 2, 1);
+        ReplicatedState again = ReplicatedState.create(A, List.of(A), true, a.durableRecords(), 2, 1);
         synced(again, again.tick(0, TOUCH));
         assertEquals(3, again.committed().revision());
-        List<Out> outs = again.call(put(2, 0, 5), 40);
+        List<Output> outs = again.call(put(2, 0, 5), 40);
         assertEquals(List.of(Outcome.OTHER_VERSION), answers(outs), "its own word is the majority of one voter");
     }
 }
--- a/src/test/java/ringspindle/replication/ChainSimulationTest.java
+++ b/src/test/java/ringspindle/replication/ChainSimulationTest.java
@@ -39,7 +39,7 @@
             assertEquals(List.of(), h.problems(), () -> "seed and size " + sim.name() + sim.standing());
             assertTrue(h.readBack >= 0, "nothing could be read back, seed " + seed);
             assertEquals(
-                    Math.min(size, ViewConsensus.VOTERS_MAX),
+                    Math.min(size, ViewConsensus.MAX_VOTERS),
                     sim.voters(),
                     () -> "all vote in the end " + sim.name() + sim.standing());
             acked += h.acked.size();
@@ -132,16 +132,16 @@
         ChainSimulation sim = new ChainSimulation(3, 12, 3, 2);
         SimulationHistory h = sim.run(0, 25_000);
         assertEquals(List.of(), h.problems(), () -> sim.name() + sim.standing());
-        assertEquals(ViewConsensus.VOTERS_MAX, sim.voters());
+        assertEquals(ViewConsensus.MAX_VOTERS, sim.voters());
         assertTrue(h.acked.size() > 10, "acknowledged " + h.acked.size());
     }
 
     /** With all seats taken a node that only learns takes the one of a voter that is gone. */
     @Test
     void learnerTakesTheSeatOfALostVoter() {
-        ChainSimulation sim = new ChainSimulation(5, ViewConsensus.VOTERS_MAX + 1, 3, 2);
+        ChainSimulation sim = new ChainSimulation(5, ViewConsensus.MAX_VOTERS + 1, 3, 2);
         sim.script(20_000, () -> {
-            sim.checkVoters(ViewConsensus.VOTERS_MAX);
+            sim.checkVoters(ViewConsensus.MAX_VOTERS);
             sim.loseForGood(sim.votersOfNewest().get(1));
         });
         SimulationHistory h = sim.run(0, 26_000);
--- a/src/test/java/ringspindle/replication/ExperimentOrdersTest.java
+++ b/src/test/java/ringspindle/replication/ExperimentOrdersTest.java
@@ -24,7 +24,7 @@
              "sides": [{"name": "as-is", "share": 0.5}, {"name": "near", "share": 0.5}]}
             """;
 
-    private final OrderDecider decider = new OrderDecider();
+    private final CommandDecider decider = new CommandDecider();
     private State state = configured();
 
     private static State configured() {
@@ -35,7 +35,7 @@
                 + route.formatted("digest", "digest") + "],\"services\":[{\"name\":\"s\",\"healthPath\":\"/h\","
                 + "\"maxConnections\":9,\"warmupS\":0,\"warmupPerS\":0}]}";
         FleetConfig config = ((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
-        State first = ControlState.first();
+        State first = ControlState.initial();
         return new State(first.lineage(), 5, 3, first.past(), first.marks(), config.packed());
     }
 
--- a/src/test/java/ringspindle/replication/FleetOrdersTest.java
+++ b/src/test/java/ringspindle/replication/FleetOrdersTest.java
@@ -12,7 +12,7 @@
 import ringspindle.protocol.Message.Mark;
 import ringspindle.protocol.Message.State;
 import ringspindle.protocol.NodeId;
-import ringspindle.replication.VersionRollout.Standing;
+import ringspindle.replication.VersionRollout.Status;
 import ringspindle.shard.ShardAssignment;
 import ringspindle.shard.ShardMember;
 
@@ -20,13 +20,13 @@
 class FleetOrdersTest {
     private static final ShardMember MEMBER = new ShardMember(NodeId.of("10.0.0.1:7002"), -7);
 
-    private final OrderDecider decider = new OrderDecider();
+    private final CommandDecider decider = new CommandDecider();
     private State state = configured();
 
     private static State configured() {
         String json = "{\"revision\":3,\"routes\":[],\"services\":[{\"name\":\"s\"}]}";
         FleetConfig config = ((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
-        State first = ControlState.first();
+        State first = ControlState.initial();
         return new State(first.lineage(), 5, 3, first.past(), first.marks(), config.packed());
     }
 
@@ -41,7 +41,7 @@
 
     private Outcome assign(long shardEpoch, long viewEpoch) {
         ShardAssignment next = new ShardAssignment(2, shardEpoch, MEMBER, 1, List.of(MEMBER), List.of(MEMBER));
-        return order(CallKind.SHARD, "2", ShardOrders.assign(next, viewEpoch));
+        return order(CallKind.SHARD, "2", ShardCommands.assignCommand(next, viewEpoch));
     }
 
     private Mark mark(MarkKind kind, String key) {
@@ -66,11 +66,11 @@
         long epoch = state.lineage();
         MeteredWindow first = new MeteredWindow(70, Map.of("a", 3L));
         MeteredWindow differing = new MeteredWindow(70, Map.of("a", 4L));
-        assertEquals(Outcome.TAKEN, order(CallKind.METER, "", first.order(epoch)));
-        assertEquals(Outcome.CLASH, order(CallKind.METER, "", differing.order(epoch)));
-        assertEquals(Outcome.CLASH, order(CallKind.METER, "", new MeteredWindow(71, Map.of()).order(epoch + 1)));
+        assertEquals(Outcome.TAKEN, order(CallKind.METER, "", first.command(epoch)));
+        assertEquals(Outcome.CLASH, order(CallKind.METER, "", differing.command(epoch)));
+        assertEquals(Outcome.CLASH, order(CallKind.METER, "", new MeteredWindow(71, Map.of()).command(epoch + 1)));
         assertEquals(first, MeteredWindow.read(mark(MarkKind.METERING, "").value()));
-        assertEquals(Outcome.TAKEN, order(CallKind.METER, "", new MeteredWindow(71, Map.of()).order(epoch)));
+        assertEquals(Outcome.TAKEN, order(CallKind.METER, "", new MeteredWindow(71, Map.of()).command(epoch)));
     }
 
     @Test
@@ -83,10 +83,11 @@
         assertEquals(Outcome.TAKEN, order(CallKind.VERSION, "s", start));
         assertEquals(Outcome.TAKEN, order(CallKind.VERSION, "s", start), "sent again");
         assertEquals(Outcome.CLASH, order(CallKind.VERSION, "s", other));
-        assertEquals(Outcome.CLASH, order(CallKind.VERSION, "s", VersionRollout.end(Standing.REVERTED, epoch + 1)));
-        assertEquals(Outcome.TAKEN, order(CallKind.VERSION, "s", VersionRollout.end(Standing.REVERTED, epoch)));
         assertEquals(
-                new VersionRollout("s", "v2", 12, Standing.REVERTED),
+                Outcome.CLASH, order(CallKind.VERSION, "s", VersionRollout.endCommand(Status.REVERTED, epoch + 1)));
+        assertEquals(Outcome.TAKEN, order(CallKind.VERSION, "s", VersionRollout.endCommand(Status.REVERTED, epoch)));
+        assertEquals(
+                new VersionRollout("s", "v2", 12, Status.REVERTED),
                 VersionRollout.read(mark(MarkKind.VERSION, "s").value()));
         assertEquals(Outcome.TAKEN, order(CallKind.VERSION, "s", other), "the next one");
     }
--- a/src/test/java/ringspindle/replication/ModelFingerprint.java
+++ b/src/test/java/ringspindle/replication/ModelFingerprint.java
@@ -61,7 +61,7 @@
         boolean skipped = value instanceof Runnable
                 || value instanceof Random
                 || value instanceof Connectivity
-                || value instanceof OrderDecider;
+                || value instanceof CommandDecider;
         boolean ours = value.getClass().getName().startsWith("ringspindle.")
                 && !value.getClass().isHidden();
         if (skipped || !ours) {
--- a/src/test/java/ringspindle/replication/ModelNode.java
+++ b/src/test/java/ringspindle/replication/ModelNode.java
@@ -21,7 +21,7 @@
 
     long diskLostMs;
     /** Handed to the disk, not yet synced, in order. */
-    final ArrayDeque<ReplicatedState.Out.Store> writes = new ArrayDeque<>();
+    final ArrayDeque<ReplicatedState.Output.Store> writes = new ArrayDeque<>();
     /** Counts process starts. */
     int life;
     /** Rises with everything that changes the process or its disk. */
@@ -52,8 +52,8 @@
     }
 
     /** Makes the first write durable and returns it. */
-    ReplicatedState.Out.Store syncFirst() {
-        ReplicatedState.Out.Store store = writes.poll();
+    ReplicatedState.Output.Store syncFirst() {
+        ReplicatedState.Output.Store store = writes.poll();
         if (store.snapshot()) {
             disk = new ArrayList<>(store.records());
         } else {
@@ -67,7 +67,7 @@
         for (int i = 0; i < whole && !writes.isEmpty(); i++) {
             syncFirst();
         }
-        ReplicatedState.Out.Store torn = writes.poll();
+        ReplicatedState.Output.Store torn = writes.poll();
         if (torn != null && !torn.snapshot()) {
             disk.addAll(
                     torn.records().subList(0, Math.min(records, torn.records().size())));
--- a/src/test/java/ringspindle/replication/ModelOperators.java
+++ b/src/test/java/ringspindle/replication/ModelOperators.java
@@ -56,7 +56,7 @@
         walk.in(1800, reader::read);
     }
 
-    void answered(ReplicatedState.Out.Answer answer) {
+    void answered(ReplicatedState.Output.Answer answer) {
         Reply reply = replies.remove(answer.call());
         if (reply != null) {
             // not within the machine's own step; the answer leaves the node now
--- a/src/test/java/ringspindle/replication/ModelPlanted.java
+++ b/src/test/java/ringspindle/replication/ModelPlanted.java
@@ -142,33 +142,33 @@
             super(real);
         }
 
-        private List<Out> synced(List<Out> outs, long nowMs) {
-            List<Out> all = new ArrayList<>(outs);
+        private List<Output> synced(List<Output> outs, long nowMs) {
+            List<Output> all = new ArrayList<>(outs);
             for (int i = 0; i < all.size(); i++) {
-                if (all.get(i) instanceof Out.Store store) {
-                    all.addAll(inner.stored(store.token(), nowMs));
+                if (all.get(i) instanceof Output.Store store) {
+                    all.addAll(inner.recordsSynced(store.token(), nowMs));
                 }
             }
             return all;
         }
 
         @Override
-        public List<Out> receive(NodeId from, Message m, long nowMs) {
+        public List<Output> receive(NodeId from, Message m, long nowMs) {
             return synced(super.receive(from, m, nowMs), nowMs);
         }
 
         @Override
-        public List<Out> call(Call c, long nowMs) {
+        public List<Output> call(Call c, long nowMs) {
             return synced(super.call(c, nowMs), nowMs);
         }
 
         @Override
-        public List<Out> tick(long nowMs, Connectivity connectivity) {
+        public List<Output> tick(long nowMs, Connectivity connectivity) {
             return synced(super.tick(nowMs, connectivity), nowMs);
         }
 
         @Override
-        public List<Out> stored(long token, long nowMs) {
+        public List<Output> recordsSynced(long token, long nowMs) {
             return List.of();
         }
     }
@@ -179,10 +179,10 @@
         }
 
         @Override
-        public List<Out> call(Call c, long nowMs) {
-            List<Out> outs = new ArrayList<>(super.call(c, nowMs));
-            if (outs.stream().anyMatch(out -> out instanceof Out.Store)) {
-                outs.add(new Out.Answer(c.id(), Outcome.TAKEN, new byte[0]));
+        public List<Output> call(Call c, long nowMs) {
+            List<Output> outs = new ArrayList<>(super.call(c, nowMs));
+            if (outs.stream().anyMatch(out -> out instanceof Output.Store)) {
+                outs.add(new Output.Answer(c.id(), Outcome.TAKEN, new byte[0]));
             }
             return outs;
         }
@@ -197,9 +197,9 @@
         }
 
         @Override
-        public List<Out> receive(NodeId from, Message m, long nowMs) {
+        public List<Output> receive(NodeId from, Message m, long nowMs) {
             if (m instanceof Confirm confirm) {
-                return List.of(new Out.Send(from, new Confirmed(confirm.epoch(), confirm.id(), true)));
+                return List.of(new Output.Send(from, new Confirmed(confirm.epoch(), confirm.id(), true)));
             }
             if (m instanceof Decided decided && !decided.view().chain().contains(me)) {
                 return List.of();
@@ -229,32 +229,32 @@
                     : record;
         }
 
-        private static Out forget(Out out) {
-            if (out instanceof Out.Store store) {
+        private static Output forget(Output out) {
+            if (out instanceof Output.Store store) {
                 List<Message> records =
                         store.records().stream().map(LostPromise::forget).toList();
-                return new Out.Store(store.token(), records, store.snapshot());
+                return new Output.Store(store.token(), records, store.snapshot());
             }
             return out;
         }
 
-        private static List<Out> forget(List<Out> outs) {
+        private static List<Output> forget(List<Output> outs) {
             return outs.stream().map(LostPromise::forget).toList();
         }
 
         @Override
-        public List<Out> receive(NodeId from, Message m, long nowMs) {
+        public List<Output> receive(NodeId from, Message m, long nowMs) {
             return forget(super.receive(from, m, nowMs));
         }
 
         @Override
-        public List<Out> tick(long nowMs, Connectivity connectivity) {
+        public List<Output> tick(long nowMs, Connectivity connectivity) {
             return forget(super.tick(nowMs, connectivity));
         }
 
         @Override
-        public List<Out> stored(long token, long nowMs) {
-            return forget(super.stored(token, nowMs));
+        public List<Output> recordsSynced(long token, long nowMs) {
+            return forget(super.recordsSynced(token, nowMs));
         }
     }
 
@@ -267,7 +267,7 @@
         }
 
         @Override
-        public List<Out> tick(long nowMs, Connectivity connectivity) {
+        public List<Output> tick(long nowMs, Connectivity connectivity) {
             View view = view();
             if (view != null && view.voters().contains(me)) {
                 List<NodeId> linked = view.voters().stream()
@@ -287,10 +287,10 @@
         }
 
         @Override
-        public List<Out> call(Call c, long nowMs) {
+        public List<Output> call(Call c, long nowMs) {
             State state = committed();
             if (c.kind() == CallKind.READ.code() && state != null && state.config().length > 0) {
-                return List.of(new Out.Answer(c.id(), Outcome.TAKEN, state.config()));
+                return List.of(new Output.Answer(c.id(), Outcome.TAKEN, state.config()));
             }
             return super.call(c, nowMs);
         }
@@ -305,7 +305,7 @@
         }
 
         @Override
-        public List<Out> call(Call c, long nowMs) {
+        public List<Output> call(Call c, long nowMs) {
             State state = committed();
             if (c.kind() == CallKind.PUT.code() && state != null) {
                 // the same when it is sent again, so that only the first comparison is left out
@@ -322,7 +322,7 @@
         }
 
         @Override
-        public List<Out> receive(NodeId from, Message m, long nowMs) {
+        public List<Output> receive(NodeId from, Message m, long nowMs) {
             if (m instanceof Install install) {
                 State s = (State) Codec.decode(install.image());
                 State less = new State(s.lineage(), s.seq(), s.revision(), List.of(), s.marks(), s.config());
@@ -344,7 +344,7 @@
         }
 
         @Override
-        public List<Out> receive(NodeId from, Message m, long nowMs) {
+        public List<Output> receive(NodeId from, Message m, long nowMs) {
             if (m instanceof Call call && call.kind() == CallKind.EVACUATE.code()) {
                 late.add(new Late(from, call.since(Long.MAX_VALUE), nowMs + DELAY_MS));
             }
@@ -352,8 +352,8 @@
         }
 
         @Override
-        public List<Out> tick(long nowMs, Connectivity connectivity) {
-            List<Out> outs = new ArrayList<>();
+        public List<Output> tick(long nowMs, Connectivity connectivity) {
+            List<Output> outs = new ArrayList<>();
             while (!late.isEmpty() && late.peek().dueMs() <= nowMs) {
                 Late next = late.poll();
                 outs.addAll(super.receive(next.from(), next.call(), nowMs));
@@ -373,7 +373,7 @@
         }
 
         @Override
-        public List<Out> receive(NodeId from, Message m, long nowMs) {
+        public List<Output> receive(NodeId from, Message m, long nowMs) {
             if (tampers
                     && m instanceof Entry entry
                     && Codec.decode(entry.op()) instanceof Op op
@@ -393,7 +393,7 @@
         }
 
         @Override
-        public List<Out> receive(NodeId from, Message m, long nowMs) {
+        public List<Output> receive(NodeId from, Message m, long nowMs) {
             return m instanceof Prepare ? List.of() : super.receive(from, m, nowMs);
         }
     }
--- a/src/test/java/ringspindle/replication/ModelSearchOperators.java
+++ b/src/test/java/ringspindle/replication/ModelSearchOperators.java
@@ -42,7 +42,7 @@
         return replies.keySet();
     }
 
-    void answered(ReplicatedState.Out.Answer answer) {
+    void answered(ReplicatedState.Output.Answer answer) {
         Reply reply = replies.remove(answer.call());
         if (reply != null) {
             reply.take(answer.outcome(), answer.body());
--- a/src/test/java/ringspindle/replication/ModelSearchRun.java
+++ b/src/test/java/ringspindle/replication/ModelSearchRun.java
@@ -132,7 +132,7 @@
     }
 
     @Override
-    public void answered(ModelNode node, ReplicatedState.Out.Answer answer) {
+    public void answered(ModelNode node, ReplicatedState.Output.Answer answer) {
         operators.answered(answer);
     }
 
--- a/src/test/java/ringspindle/replication/ModelTamper.java
+++ b/src/test/java/ringspindle/replication/ModelTamper.java
@@ -21,32 +21,32 @@
         if (chain instanceof ModelTamper tamper) {
             return standing(tamper.inner);
         }
-        return chain instanceof ChainReplicatedState machine ? machine.standing() : "down";
+        return chain instanceof ChainReplicatedState machine ? machine.describe() : "down";
     }
 
     @Override
-    public List<Out> receive(NodeId from, Message m, long nowMs) {
+    public List<Output> receive(NodeId from, Message m, long nowMs) {
         return inner.receive(from, m, nowMs);
     }
 
     @Override
-    public List<Out> opened(NodeId peer, long nowMs) {
-        return inner.opened(peer, nowMs);
+    public List<Output> connectionOpened(NodeId peer, long nowMs) {
+        return inner.connectionOpened(peer, nowMs);
     }
 
     @Override
-    public List<Out> tick(long nowMs, Connectivity connectivity) {
+    public List<Output> tick(long nowMs, Connectivity connectivity) {
         return inner.tick(nowMs, connectivity);
     }
 
     @Override
-    public List<Out> call(Call c, long nowMs) {
+    public List<Output> call(Call c, long nowMs) {
         return inner.call(c, nowMs);
     }
 
     @Override
-    public List<Out> stored(long token, long nowMs) {
-        return inner.stored(token, nowMs);
+    public List<Output> recordsSynced(long token, long nowMs) {
+        return inner.recordsSynced(token, nowMs);
     }
 
     @Override
@@ -65,17 +65,17 @@
     }
 
     @Override
-    public boolean current(long nowMs) {
-        return inner.current(nowMs);
+    public boolean upToDate(long nowMs) {
+        return inner.upToDate(nowMs);
     }
 
     @Override
-    public boolean founding(long nowMs) {
-        return inner.founding(nowMs);
+    public boolean awaitingVoters(long nowMs) {
+        return inner.awaitingVoters(nowMs);
     }
 
     @Override
-    public List<Message> durable() {
-        return inner.durable();
+    public List<Message> durableRecords() {
+        return inner.durableRecords();
     }
 }
--- a/src/test/java/ringspindle/replication/ModelWalk.java
+++ b/src/test/java/ringspindle/replication/ModelWalk.java
@@ -136,7 +136,7 @@
     }
 
     @Override
-    public void answered(ModelNode node, ReplicatedState.Out.Answer answer) {
+    public void answered(ModelNode node, ReplicatedState.Output.Answer answer) {
         operators.answered(answer);
     }
 
--- a/src/test/java/ringspindle/replication/ModelWorld.java
+++ b/src/test/java/ringspindle/replication/ModelWorld.java
@@ -40,7 +40,7 @@
         void writing(ModelNode node);
 
         /** A call was answered at the node it came in at. */
-        void answered(ModelNode node, ReplicatedState.Out.Answer answer);
+        void answered(ModelNode node, ReplicatedState.Output.Answer answer);
     }
 
     private final ModelFactory factory;
@@ -202,7 +202,7 @@
 
     void sync(ModelNode node) {
         long token = node.syncFirst().token();
-        step(node, () -> node.chain.stored(token, nowMs));
+        step(node, () -> node.chain.recordsSynced(token, nowMs));
     }
 
     void call(ModelNode node, Call call) {
@@ -212,50 +212,50 @@
     /** Both sides learn of a new connection. */
     void connect(ModelNode a, ModelNode b) {
         if (a != b && a.running() && b.running() && !isCut(a, b) && !isCut(b, a)) {
-            step(a, () -> a.chain.opened(b.id, nowMs));
-            step(b, () -> b.chain.opened(a.id, nowMs));
+            step(a, () -> a.chain.connectionOpened(b.id, nowMs));
+            step(b, () -> b.chain.connectionOpened(a.id, nowMs));
         }
     }
 
     private interface Input {
-        List<ReplicatedState.Out> apply();
+        List<ReplicatedState.Output> apply();
     }
 
     private void step(ModelNode node, Input input) {
         steps++;
         node.version++;
-        List<ReplicatedState.Out> outs;
+        List<ReplicatedState.Output> outs;
         try {
             outs = input.apply();
         } catch (RuntimeException e) {
             monitor.report(ModelViolation.Kind.EXCEPTION, node + " " + e);
             return;
         }
-        for (ReplicatedState.Out out : outs) {
+        for (ReplicatedState.Output out : outs) {
             carryOut(node, out);
         }
         monitor.checkView(node);
     }
 
-    private void carryOut(ModelNode node, ReplicatedState.Out out) {
-        if (out instanceof ReplicatedState.Out.Send send) {
+    private void carryOut(ModelNode node, ReplicatedState.Output out) {
+        if (out instanceof ReplicatedState.Output.Send send) {
             ModelNode to = byId.get(send.to());
             if (to != null) {
                 driver.sent(new Envelope(envelopes++, node, to, to.life, Codec.encode(send.message())));
             }
-        } else if (out instanceof ReplicatedState.Out.Store store) {
+        } else if (out instanceof ReplicatedState.Output.Store store) {
             node.writes.add(store);
             driver.writing(node);
-        } else if (out instanceof ReplicatedState.Out.Answer answer) {
+        } else if (out instanceof ReplicatedState.Output.Answer answer) {
             driver.answered(node, answer);
-        } else if (out instanceof ReplicatedState.Out.Committed committed) {
+        } else if (out instanceof ReplicatedState.Output.Committed committed) {
             monitor.checkCommitted(node, committed.state());
         }
     }
 
     /** What a machine would know that started from this disk now. */
     Message.State stateOnDisk(ModelNode node, List<Message> disk) {
-        for (Message record : create(node, disk, false, 0).durable()) {
+        for (Message record : create(node, disk, false, 0).durableRecords()) {
             if (record instanceof Message.State state) {
                 return state;
             }
--- a/src/test/java/ringspindle/replication/RolloutSimulation.java
+++ b/src/test/java/ringspindle/replication/RolloutSimulation.java
@@ -38,7 +38,7 @@
     final List<String> orders = new ArrayList<>();
     final Map<String, RolloutEngine> engines = new LinkedHashMap<>();
     final List<LoadBalancer> pickers = new ArrayList<>();
-    private final OrderDecider decider = new OrderDecider();
+    private final CommandDecider decider = new CommandDecider();
     final Random random;
     private final RolloutTraffic traffic = new RolloutTraffic(this);
     private final Map<Long, List<Runnable>> later = new TreeMap<>();
@@ -119,7 +119,7 @@
         for (LoadBalancer p : pickers) {
             in(
                     20 + random.nextInt(400),
-                    () -> p.setRolloutTurn("s", new HashSet<>(rollout().turn()), nowMs));
+                    () -> p.setRolloutTurn("s", new HashSet<>(rollout().swapping()), nowMs));
         }
         checkFloor(r);
         return Outcome.TAKEN;
@@ -130,15 +130,15 @@
         for (RolloutEngine s : engines.values()) {
             int[] n = of.computeIfAbsent(s.region, k -> new int[2]);
             n[0]++;
-            n[1] += r.turn().contains(s.id) ? 0 : 1;
+            n[1] += r.swapping().contains(s.id) ? 0 : 1;
         }
         of.forEach((region, n) -> {
             if (n[1] < Math.ceil(floor * n[0] - 1e-9)) {
                 wrong.add("in " + region + " just " + n[1] + " of " + n[0] + " serve");
             }
         });
-        if (r.turn().size() > r.atOnce()) {
-            wrong.add("more in turn than allowed: " + r.turn());
+        if (r.swapping().size() > r.maxUnavailable()) {
+            wrong.add("more in turn than allowed: " + r.swapping());
         }
     }
 
@@ -280,14 +280,14 @@
             return;
         }
         traffic.serve(engine);
-        boolean turn = rollout() != null && rollout().turn().contains(engine.id);
-        if (!turn || !engine.running.isEmpty() || engine.weights != rollout().from() || stubborn) {
+        boolean turn = rollout() != null && rollout().swapping().contains(engine.id);
+        if (!turn || !engine.running.isEmpty() || engine.weights != rollout().previousWeights() || stubborn) {
             return;
         }
         if (engine.swapAtMs < 0) {
             engine.swapAtMs = nowMs + SWAP_MS;
         } else if (nowMs >= engine.swapAtMs) {
-            engine.weights = rollout().target();
+            engine.weights = rollout().targetWeights();
             engine.swapAtMs = -1;
             heartbeat(engine);
         }
--- a/src/test/java/ringspindle/replication/RolloutTest.java
+++ b/src/test/java/ringspindle/replication/RolloutTest.java
@@ -22,7 +22,7 @@
             sim.run(60_000);
             assertEquals(List.of(), sim.problems(), "seed " + seed);
             assertEquals(
-                    Rollout.Standing.DONE, sim.rollout().state(), "seed " + seed + " " + sim.rollout() + sim.orders);
+                    Rollout.Status.DONE, sim.rollout().status(), "seed " + seed + " " + sim.rollout() + sim.orders);
             sim.engines.values().forEach(e -> assertEquals(2, e.weights, e.id));
             long whole = sim.history.stream().filter(a -> a.whole).count();
             assertTrue(
@@ -39,14 +39,14 @@
         RolloutSimulation sim = new RolloutSimulation(3, 0.5, true);
         sim.run(20_000);
         assertEquals(List.of(), sim.problems());
-        assertEquals(Rollout.Standing.PAUSED, sim.rollout().state());
+        assertEquals(Rollout.Status.PAUSED, sim.rollout().status());
         assertEquals(RolloutPlanner.Cause.SWAP_OVERDUE.name(), sim.rollout().cause());
         assertEquals(Outcome.TAKEN, sim.order("{\"order\":\"resume\"}"));
-        assertEquals(Rollout.Standing.RUNNING, sim.rollout().state());
+        assertEquals(Rollout.Status.RUNNING, sim.rollout().status());
         assertEquals(Outcome.TAKEN, sim.order("{\"order\":\"back\"}"));
-        assertEquals(1, sim.rollout().target());
+        assertEquals(1, sim.rollout().targetWeights());
         assertEquals(Outcome.TAKEN, sim.order("{\"order\":\"abort\"}"));
-        assertEquals(List.of(), sim.rollout().turn());
+        assertEquals(List.of(), sim.rollout().swapping());
         assertEquals(Outcome.CLASH, sim.order("{\"order\":\"resume\"}"));
     }
 
@@ -74,7 +74,7 @@
                 sim.order(start.replace("\"target\":2", "\"target\":3")),
                 "a second one of the same service");
         assertEquals(Outcome.CLASH, sim.order("{\"order\":\"turn\",\"id\":\"i-1\",\"epoch\":0}"), "a stale holder");
-        Decision unknown = new OrderDecider()
+        Decision unknown = new CommandDecider()
                 .decide(
                         new State(1, 1, 0, List.of(), List.of(), new byte[0]),
                         CallKind.ROLLOUT.call(1, 0, "other", start.getBytes(UTF_8)));
@@ -83,8 +83,8 @@
 
     @Test
     void textInTheControlStateStaysAsItWas() {
-        Rollout rollout = new Rollout(
-                "s", 2, 1, 2, 0.5, 8, Rollout.Standing.PAUSED, "c", 3, List.of("i-1", "i-2"), List.of("i-3"));
+        Rollout rollout =
+                new Rollout("s", 2, 1, 2, 0.5, 8, Rollout.Status.PAUSED, "c", 3, List.of("i-1", "i-2"), List.of("i-3"));
         String text = "{\"service\":\"s\",\"target\":2,\"from\":1,\"atOnce\":2,\"floor\":0.5,\"patienceS\":8,"
                 + "\"state\":\"PAUSED\",\"cause\":\"c\",\"epoch\":3,\"turn\":[\"i-1\",\"i-2\"],\"swapped\":[\"i-3\"]}";
         assertEquals(text, rollout.write());
@@ -103,7 +103,7 @@
 
     @Test
     void wrongCheckpointPauses() {
-        Rollout r = new Rollout("s", 2, 1, 1, 0, 60, Rollout.Standing.RUNNING, "", 1, List.of("i-1"), List.of());
+        Rollout r = new Rollout("s", 2, 1, 1, 0, 60, Rollout.Status.RUNNING, "", 1, List.of("i-1"), List.of());
         RolloutPlanner.Order o =
                 new RolloutPlanner().next(r, List.of(new RolloutPlanner.Member("i-1", "a", 3, false, false)), 0);
         assertEquals("pause", o.order());
--- a/src/test/java/ringspindle/replication/SimulatedCluster.java
+++ b/src/test/java/ringspindle/replication/SimulatedCluster.java
@@ -185,8 +185,8 @@
     // ---- links
 
     private void connect(SimulatedNode one, SimulatedNode other) {
-        carryOut(one, one.machine.opened(other.id, nowMs));
-        carryOut(other, other.machine.opened(one.id, nowMs));
+        carryOut(one, one.machine.connectionOpened(other.id, nowMs));
+        carryOut(other, other.machine.connectionOpened(one.id, nowMs));
     }
 
     /** Nothing gets from one to the other for that time. */
@@ -266,24 +266,24 @@
 
     // ---- what machines ask for
 
-    private void carryOut(SimulatedNode node, List<ReplicatedState.Out> outputs) {
-        for (ReplicatedState.Out output : outputs) {
-            if (output instanceof ReplicatedState.Out.Send send) {
+    private void carryOut(SimulatedNode node, List<ReplicatedState.Output> outputs) {
+        for (ReplicatedState.Output output : outputs) {
+            if (output instanceof ReplicatedState.Output.Send send) {
                 send(node, send.to(), send.message());
-            } else if (output instanceof ReplicatedState.Out.Store store) {
+            } else if (output instanceof ReplicatedState.Output.Store store) {
                 write(node, store);
-            } else if (output instanceof ReplicatedState.Out.Answer answer) {
+            } else if (output instanceof ReplicatedState.Output.Answer answer) {
                 Answer then = answers.remove(answer.call());
                 if (then != null) {
                     then.answer(answer.outcome(), answer.body());
                 }
-            } else if (output instanceof ReplicatedState.Out.Committed committed) {
+            } else if (output instanceof ReplicatedState.Output.Committed committed) {
                 noteCommitted(node, committed.state());
             }
         }
     }
 
-    private void write(SimulatedNode node, ReplicatedState.Out.Store store) {
+    private void write(SimulatedNode node, ReplicatedState.Output.Store store) {
         int life = node.life;
         long readyMs = Math.max(Math.max(nowMs, node.diskFreeMs), node.stalledUntilMs);
         long syncedMs = readyMs + 1 + random.nextInt(DISK_DELAY_MS);
@@ -291,7 +291,7 @@
         in(syncedMs - nowMs, () -> synced(node, life, store));
     }
 
-    private void synced(SimulatedNode node, int life, ReplicatedState.Out.Store store) {
+    private void synced(SimulatedNode node, int life, ReplicatedState.Output.Store store) {
         if (node.life != life || !node.up()) {
             return;
         }
@@ -300,7 +300,7 @@
         } else {
             node.disk.addAll(store.records());
         }
-        carryOut(node, node.machine.stored(store.token(), nowMs));
+        carryOut(node, node.machine.recordsSynced(store.token(), nowMs));
     }
 
     private void noteCommitted(SimulatedNode node, State state) {
@@ -325,7 +325,7 @@
     String standing() {
         StringBuilder text = new StringBuilder();
         nodes.forEach(
-                node -> text.append('\n').append(node.id).append(node.up() ? " " + node.machine.standing() : " down"));
+                node -> text.append('\n').append(node.id).append(node.up() ? " " + node.machine.describe() : " down"));
         return text.toString();
     }
 
--- a/src/test/java/ringspindle/replication/SimulationHistory.java
+++ b/src/test/java/ringspindle/replication/SimulationHistory.java
@@ -127,8 +127,8 @@
         }
         String found = atEnd(MarkKind.ROLLOUT, "s");
         Rollout rollout = found == null ? null : Rollout.read(found);
-        Rollout.Standing expected = rolloutAborted ? Rollout.Standing.ABORTED : Rollout.Standing.RUNNING;
-        if (rollout == null || rollout.target() != rolloutTarget || rollout.state() != expected) {
+        Rollout.Status expected = rolloutAborted ? Rollout.Status.ABORTED : Rollout.Status.RUNNING;
+        if (rollout == null || rollout.targetWeights() != rolloutTarget || rollout.status() != expected) {
             problems.add("the roll-out to " + rolloutTarget + " aborted " + rolloutAborted + " ends as " + rollout);
         }
     }
