--- a/src/main/java/ringspindle/consensus/Acceptor.java
+++ b/src/main/java/ringspindle/consensus/Acceptor.java
@@ -24,7 +24,7 @@
     private final Supplier<Position> position;
     private VoterState state = new VoterState.Unpromised(0);
     /** When the newest epoch was promised, as far as this process knows. */
-    private long fencedSinceMs;
+    private long promisedSinceMs;
 
     /**
      * @param position how far this node's copy of the control state has come
@@ -38,21 +38,21 @@
     // ---- transitions
 
     /** Takes over what is known to have been promised and accepted: from disk, or from a majority after a lost disk. */
-    void restore(VoterState known) {
-        state = known;
-        fencedSinceMs = replica.nowMs();
+    void restore(VoterState restored) {
+        state = restored;
+        promisedSinceMs = replica.nowMs();
     }
 
     /** A newer view is in force: what was promised and accepted for it is settled. */
-    void settled(View view) {
+    void onViewInForce(View view) {
         if (state.epoch() <= view.epoch()) {
             state = new VoterState.Unpromised(state.epoch());
         }
     }
 
-    private void become(VoterState next) {
+    private void transitionTo(VoterState next) {
         if (state.epoch() < next.epoch()) {
-            fencedSinceMs = replica.nowMs();
+            promisedSinceMs = replica.nowMs();
         }
         state = next;
     }
@@ -69,7 +69,7 @@
     }
 
     boolean fencedFor(long ms) {
-        return fenced() && replica.nowMs() - fencedSinceMs >= ms;
+        return fenced() && replica.nowMs() - promisedSinceMs >= ms;
     }
 
     /** The ballot promised for that epoch. */
@@ -84,7 +84,7 @@
             return;
         }
         if (prepare.epoch() <= replica.epoch()) {
-            tellView(from);
+            sendDecidedView(from);
             return;
         }
         if (prepare.epoch() != replica.epoch() + 1 || !replica.votes()) {
@@ -94,7 +94,7 @@
         if (mayPromise(proposal)) {
             promise(from, proposal);
         } else {
-            refuse(from, proposal);
+            reject(from, proposal);
         }
     }
 
@@ -104,23 +104,23 @@
     }
 
     private void promise(NodeId proposer, ProposalId proposal) {
-        become(state.withPromise(proposal));
-        Position held = position.get();
+        transitionTo(state.withPromise(proposal));
+        Position replicaPosition = position.get();
         Pledge promise = new Pledge(
                 proposal.epoch(),
                 proposal.ballot().number(),
                 true,
                 state.promised().number(),
                 state.acceptedBallot().number(),
-                held.lineage(),
-                held.seq(),
+                replicaPosition.lineage(),
+                replicaPosition.seq(),
                 state.accepted(),
                 replica.view());
         effects.append(List.of(vote()), () -> effects.send(proposer, promise));
     }
 
-    private void refuse(NodeId proposer, ProposalId proposal) {
-        Pledge refusal = new Pledge(
+    private void reject(NodeId proposer, ProposalId proposal) {
+        Pledge rejection = new Pledge(
                 proposal.epoch(),
                 proposal.ballot().number(),
                 false,
@@ -130,7 +130,7 @@
                 0,
                 null,
                 replica.view());
-        effects.send(proposer, refusal);
+        effects.send(proposer, rejection);
     }
 
     void onAccept(NodeId from, Accept accept) {
@@ -138,7 +138,7 @@
             return;
         }
         if (accept.epoch() <= replica.epoch()) {
-            tellView(from);
+            sendDecidedView(from);
             return;
         }
         if (!replica.participates() || accept.epoch() != replica.epoch() + 1 || !replica.votes()) {
@@ -155,7 +155,7 @@
                             state.promised().number()));
             return;
         }
-        become(new VoterState.Accepting(accept.epoch(), ballot, ballot, accept.view()));
+        transitionTo(new VoterState.Accepting(accept.epoch(), ballot, ballot, accept.view()));
         Accepted answer = new Accepted(accept.epoch(), accept.ballot(), true, accept.ballot());
         effects.append(List.of(vote()), () -> effects.send(from, answer));
     }
@@ -177,7 +177,7 @@
     }
 
     /** Tells a proposer that the epoch it proposes for is decided. */
-    private void tellView(NodeId proposer) {
+    private void sendDecidedView(NodeId proposer) {
         effects.send(proposer, new Decided(replica.view()));
     }
 
--- a/src/main/java/ringspindle/consensus/ChainPath.java
+++ b/src/main/java/ringspindle/consensus/ChainPath.java
@@ -8,10 +8,10 @@
 /** Searches the longest chain over links that stand, within a bound on its steps. */
 final class ChainPath {
     /** Steps that the search for a chain over broken links may take. */
-    private static final int STEPS_MAX = 4000;
+    private static final int MAX_SEARCH_STEPS = 4000;
 
     private final BiPredicate<NodeId, NodeId> linked;
-    private int stepsLeft = STEPS_MAX;
+    private int remainingSteps = MAX_SEARCH_STEPS;
 
     private ChainPath(BiPredicate<NodeId, NodeId> linked) {
         this.linked = linked;
@@ -19,12 +19,12 @@
 
     /** The longest path from the head over links that stand, or the best that the bounded search finds. */
     static List<NodeId> longest(NodeId head, List<NodeId> members, BiPredicate<NodeId, NodeId> linked) {
-        return new ChainPath(linked).from(head, members);
+        return new ChainPath(linked).longestFrom(head, members);
     }
 
-    private List<NodeId> from(NodeId first, List<NodeId> rest) {
+    private List<NodeId> longestFrom(NodeId first, List<NodeId> rest) {
         List<NodeId> best = List.of(first);
-        if (--stepsLeft < 0) {
+        if (--remainingSteps < 0) {
             return best;
         }
         for (NodeId next : rest) {
@@ -33,7 +33,7 @@
             }
             List<NodeId> others = new ArrayList<>(rest);
             others.remove(next);
-            List<NodeId> tail = from(next, others);
+            List<NodeId> tail = longestFrom(next, others);
             if (tail.size() + 1 > best.size()) {
                 best = new ArrayList<>(List.of(first));
                 best.addAll(tail);
--- a/src/main/java/ringspindle/consensus/MemberState.java
+++ b/src/main/java/ringspindle/consensus/MemberState.java
@@ -12,12 +12,12 @@
     View view();
 
     /** The same state under a newer view. */
-    MemberState under(View newer);
+    MemberState withView(View newer);
 
     /** The node may have forgotten what it promised, and so takes no part; it may have heard of a view all the same. */
     record Relearning(View view) implements MemberState {
         @Override
-        public MemberState under(View newer) {
+        public MemberState withView(View newer) {
             return new Relearning(newer);
         }
     }
@@ -25,7 +25,7 @@
     /** The node votes and holds state wherever the view, which is known, asks it to. */
     record Participating(View view) implements MemberState {
         @Override
-        public MemberState under(View newer) {
+        public MemberState withView(View newer) {
             return new Participating(newer);
         }
     }
--- a/src/main/java/ringspindle/consensus/ProposalPhase.java
+++ b/src/main/java/ringspindle/consensus/ProposalPhase.java
@@ -51,7 +51,7 @@
             return value;
         }
 
-        CollectingAcceptances proposing(View value) {
+        CollectingAcceptances withValue(View value) {
             return new CollectingAcceptances(id, sinceMs, value, new TreeSet<>());
         }
     }
--- a/src/main/java/ringspindle/consensus/Proposer.java
+++ b/src/main/java/ringspindle/consensus/Proposer.java
@@ -22,28 +22,28 @@
  */
 final class Proposer {
     /** A proposal older than this is given up, also by a node that was paused meanwhile. */
-    private static final long PROPOSAL_MS = 700;
+    private static final long PROPOSAL_TIMEOUT_MS = 700;
     /** How long a majority waits for the promises of others that seem to be there. */
-    private static final long STRAGGLERS_MS = 250;
+    private static final long PROMISE_WAIT_MS = 250;
 
     private static final long BACKOFF_MS = 150;
-    private static final int BACKOFF_SPREAD_MS = 400;
+    private static final int BACKOFF_JITTER_MS = 400;
     /** For how long after a view came into force the next one is not proposed. */
-    private static final long AFTER_VIEW_MS = 300;
+    private static final long VIEW_COOLDOWN_MS = 300;
 
     private final ReplicaContext replica;
     private final Effects effects;
     private final Random random;
     private final Acceptor acceptor;
     private final ViewPlanner planner;
-    private final Consumer<View> decided;
+    private final Consumer<View> onDecided;
     private ProposalPhase phase = new Idle(0);
     /** The highest round that this node has proposed in or was outbid by. */
     private long round;
 
     /**
      * @param random spreads the pauses after a proposal that came to nothing
-     * @param decided hears of the view that was decided
+     * @param onDecided hears of the view that was decided
      */
     Proposer(
             ReplicaContext replica,
@@ -51,13 +51,13 @@
             Random random,
             Acceptor acceptor,
             ViewPlanner planner,
-            Consumer<View> decided) {
+            Consumer<View> onDecided) {
         this.replica = replica;
         this.effects = effects;
         this.random = random;
         this.acceptor = acceptor;
         this.planner = planner;
-        this.decided = decided;
+        this.onDecided = onDecided;
     }
 
     // ---- transitions
@@ -72,17 +72,17 @@
 
     /** A new view is in force; the next one is not proposed at once. */
     void startView() {
-        phase = new Idle(replica.nowMs() + AFTER_VIEW_MS);
+        phase = new Idle(replica.nowMs() + VIEW_COOLDOWN_MS);
     }
 
-    private void giveUp() {
-        phase = new Idle(replica.nowMs() + BACKOFF_MS + random.nextInt(BACKOFF_SPREAD_MS));
+    private void abandon() {
+        phase = new Idle(replica.nowMs() + BACKOFF_MS + random.nextInt(BACKOFF_JITTER_MS));
     }
 
     /** A voter has promised a higher ballot: the next proposal has to be above that. */
-    private void outbid(long promised) {
+    private void onHigherBallot(long promised) {
         round = Math.max(round, new Ballot(promised).round());
-        giveUp();
+        abandon();
     }
 
     void propose() {
@@ -100,13 +100,13 @@
             proposeValueIfPromised(collecting);
         }
         if (phase instanceof Open proposal && expired(proposal)) {
-            giveUp();
+            abandon();
         }
     }
 
     /** A promise from before a pause of this node may be of a voter that has lost its disk since. */
     private boolean expired(Open proposal) {
-        return replica.nowMs() - proposal.sinceMs() > PROPOSAL_MS;
+        return replica.nowMs() - proposal.sinceMs() > PROPOSAL_TIMEOUT_MS;
     }
 
     // ---- promises
@@ -117,9 +117,9 @@
             return;
         }
         if (expired(collecting)) {
-            giveUp();
+            abandon();
         } else if (!promise.granted()) {
-            outbid(promise.promised());
+            onHigherBallot(promise.promised());
         } else {
             collecting.promises().put(from, promise);
             proposeValueIfPromised(collecting);
@@ -130,27 +130,27 @@
     private void proposeValueIfPromised(CollectingPromises collecting) {
         if (collecting.promises().size() < replica.view().majority()
                 || expired(collecting)
-                || waitsForStragglers(collecting)) {
+                || awaitingMorePromises(collecting)) {
             return;
         }
         View accepted = collecting.highestAccepted();
         View value = accepted != null ? accepted : planner.plan(collecting.id().epoch(), collecting.promises());
         if (value == null) {
-            giveUp();
+            abandon();
             return;
         }
-        phase = collecting.proposing(value);
+        phase = collecting.withValue(value);
         ProposalId id = collecting.id();
         for (NodeId voter : replica.view().voters()) {
             effects.send(voter, new Accept(id.epoch(), id.ballot().number(), value));
         }
     }
 
-    private boolean waitsForStragglers(CollectingPromises collecting) {
+    private boolean awaitingMorePromises(CollectingPromises collecting) {
         long expected = replica.view().voters().stream()
                 .filter(voter -> voter.equals(replica.self()) || replica.linked(voter))
                 .count();
-        return collecting.promises().size() < expected && replica.nowMs() - collecting.sinceMs() < STRAGGLERS_MS;
+        return collecting.promises().size() < expected && replica.nowMs() - collecting.sinceMs() < PROMISE_WAIT_MS;
     }
 
     // ---- acceptances
@@ -161,24 +161,24 @@
             return;
         }
         if (expired(collecting)) {
-            giveUp();
+            abandon();
         } else if (!answer.granted()) {
-            outbid(answer.promised());
+            onHigherBallot(answer.promised());
         } else {
             collecting.accepts().add(from);
             if (collecting.accepts().size() >= replica.view().majority()) {
-                announce(collecting.value());
+                announceDecision(collecting.value());
             }
         }
     }
 
-    private void announce(View view) {
-        Set<NodeId> all = new TreeSet<>(replica.view().voters());
-        all.addAll(view.voters());
+    private void announceDecision(View view) {
+        Set<NodeId> recipients = new TreeSet<>(replica.view().voters());
+        recipients.addAll(view.voters());
         // nodes without a vote, too, pass calls on to the head
-        all.addAll(replica.connectivity().live());
-        all.remove(replica.self());
-        all.forEach(node -> effects.send(node, new Decided(view)));
-        decided.accept(view);
+        recipients.addAll(replica.connectivity().live());
+        recipients.remove(replica.self());
+        recipients.forEach(node -> effects.send(node, new Decided(view)));
+        onDecided.accept(view);
     }
 }
--- a/src/main/java/ringspindle/consensus/Relearning.java
+++ b/src/main/java/ringspindle/consensus/Relearning.java
@@ -17,14 +17,14 @@
  * is at least as high as what was forgotten.
  */
 final class Relearning {
-    private static final long ASK_EVERY_MS = 300;
-    private static final long ASK_AS_LEARNER_EVERY_MS = 2000;
+    private static final long RELEARN_INTERVAL_MS = 300;
+    private static final long LEARNER_POLL_INTERVAL_MS = 2000;
 
     private final ReplicaContext replica;
     private final Effects effects;
     private final Random random;
     private final Map<NodeId, Relearned> answers = new TreeMap<>();
-    private long nextAskMs;
+    private long nextRequestMs;
 
     /**
      * @param random chooses whom a learner asks
@@ -35,51 +35,51 @@
         this.random = random;
     }
 
-    void ask(NodeId peer) {
+    void sendRelearn(NodeId peer) {
         effects.send(peer, new Relearn(effects.nextId()));
     }
 
     /** While this node relearns: asks all that may know. */
-    void askAll() {
-        if (replica.nowMs() < nextAskMs) {
+    void requestFromAll() {
+        if (replica.nowMs() < nextRequestMs) {
             return;
         }
-        nextAskMs = replica.nowMs() + ASK_EVERY_MS;
+        nextRequestMs = replica.nowMs() + RELEARN_INTERVAL_MS;
         Set<NodeId> peers = new TreeSet<>(replica.seeds());
         peers.addAll(replica.connectivity().live());
         if (replica.view() != null) {
             peers.addAll(replica.view().voters());
         }
         peers.remove(replica.self());
-        peers.forEach(this::ask);
+        peers.forEach(this::sendRelearn);
     }
 
     /** A node that does not vote may have missed a view: it asks one that may know better. */
-    void askOne() {
+    void requestFromOne() {
         if (replica.votes()
-                || replica.nowMs() < nextAskMs
+                || replica.nowMs() < nextRequestMs
                 || replica.connectivity().live().isEmpty()) {
             return;
         }
-        nextAskMs = replica.nowMs() + ASK_AS_LEARNER_EVERY_MS;
+        nextRequestMs = replica.nowMs() + LEARNER_POLL_INTERVAL_MS;
         NodeId[] live = replica.connectivity().live().toArray(new NodeId[0]);
-        ask(live[random.nextInt(live.length)]);
+        sendRelearn(live[random.nextInt(live.length)]);
     }
 
     /** Takes an answer; what was promised, once a majority of the newest view's voters has answered, else null. */
     VoterState onRelearned(NodeId from, Relearned answer) {
         answers.put(from, answer);
         View newest = newestView();
-        replica.enter(newest);
-        List<Relearned> told = answers.entrySet().stream()
+        replica.adoptView(newest);
+        List<Relearned> voterAnswers = answers.entrySet().stream()
                 .filter(entry -> newest.voters().contains(entry.getKey()))
                 .map(Map.Entry::getValue)
                 .toList();
-        if (told.size() < newest.majority()) {
+        if (voterAnswers.size() < newest.majority()) {
             return null;
         }
         answers.clear();
-        return highest(told, newest.epoch());
+        return highestPromise(voterAnswers, newest.epoch());
     }
 
     private View newestView() {
@@ -93,10 +93,10 @@
     }
 
     /** The highest promise for an epoch from the decided one on, and what was accepted under the highest ballot for it. */
-    private static VoterState highest(List<Relearned> told, long decidedEpoch) {
+    private static VoterState highestPromise(List<Relearned> voterAnswers, long decidedEpoch) {
         long epoch = decidedEpoch;
         long ballot = 0;
-        for (Relearned answer : told) {
+        for (Relearned answer : voterAnswers) {
             if (answer.promisedEpoch() > epoch || answer.promisedEpoch() == epoch && answer.promised() > ballot) {
                 epoch = answer.promisedEpoch();
                 ballot = answer.promised();
@@ -104,7 +104,7 @@
         }
         long acceptedBallot = 0;
         View accepted = null;
-        for (Relearned answer : told) {
+        for (Relearned answer : voterAnswers) {
             if (answer.promisedEpoch() == epoch && epoch > decidedEpoch && answer.acceptedBallot() > acceptedBallot) {
                 acceptedBallot = answer.acceptedBallot();
                 accepted = answer.accepted();
--- a/src/main/java/ringspindle/consensus/ReplicaContext.java
+++ b/src/main/java/ringspindle/consensus/ReplicaContext.java
@@ -11,7 +11,7 @@
  */
 public final class ReplicaContext {
     /** A gap between two ticks that is taken for a pause of this node; after it links are given time to show. */
-    private static final long PAUSE_MS = 500;
+    private static final long PAUSE_THRESHOLD_MS = 500;
 
     private static final long NEVER = -1;
 
@@ -21,7 +21,7 @@
     private Connectivity connectivity;
     private long nowMs;
     private long lastTickMs = NEVER;
-    private long pausedMs = Long.MIN_VALUE / 2;
+    private long lastPauseMs = Long.MIN_VALUE / 2;
 
     ReplicaContext(NodeId self, List<NodeId> seeds) {
         this.self = self;
@@ -53,16 +53,16 @@
     boolean tick(long nowMs, Connectivity connectivity) {
         advanceTo(nowMs);
         this.connectivity = connectivity;
-        boolean paused = lastTickMs >= 0 && nowMs - lastTickMs > PAUSE_MS;
+        boolean paused = lastTickMs >= 0 && nowMs - lastTickMs > PAUSE_THRESHOLD_MS;
         lastTickMs = nowMs;
         if (paused) {
-            pausedMs = nowMs;
+            lastPauseMs = nowMs;
         }
         return paused;
     }
 
-    boolean justPaused() {
-        return nowMs - pausedMs < PAUSE_MS;
+    boolean recentlyPaused() {
+        return nowMs - lastPauseMs < PAUSE_THRESHOLD_MS;
     }
 
     // ---- links, as of the last tick
@@ -94,13 +94,13 @@
     }
 
     /** The node takes this newer view for the one in force. */
-    void enter(View newer) {
-        state = state.under(newer);
+    void adoptView(View newer) {
+        state = state.withView(newer);
     }
 
     /** The node remembers what it promised, or has relearned it. */
-    void participate(View inForce) {
-        state = new MemberState.Participating(inForce);
+    void participate(View currentView) {
+        state = new MemberState.Participating(currentView);
     }
 
     /** Epoch of the newest view, which must be known. */
--- a/src/main/java/ringspindle/consensus/ViewConsensus.java
+++ b/src/main/java/ringspindle/consensus/ViewConsensus.java
@@ -50,15 +50,15 @@
      * A node without memory: until {@link #restore}, {@link #bootstrap} or the answers of a majority give it one, it neither
      * votes nor holds state.
      *
-     * @param copy is first called in an input, not in this constructor
+     * @param localState is first called in an input, not in this constructor
      */
-    public ViewConsensus(Settings settings, Random random, Effects effects, LocalState copy) {
+    public ViewConsensus(Settings settings, Random random, Effects effects, LocalState localState) {
         this.effects = effects;
-        this.localState = copy;
+        this.localState = localState;
         replica = new ReplicaContext(settings.self(), settings.seeds());
         VoterSelection selection = new VoterSelection(settings.self(), Math.min(MAX_VOTERS, settings.minVoters()));
         monitor = new ViewMonitor(replica, selection, settings.bootstrap());
-        acceptor = new Acceptor(replica, effects, copy::position);
+        acceptor = new Acceptor(replica, effects, localState::position);
         proposer = new Proposer(replica, effects, random, acceptor, new ViewPlanner(replica, selection), this::learn);
         relearning = new Relearning(replica, effects, random);
     }
@@ -79,8 +79,8 @@
     }
 
     /** The first start of a system: these nodes are the first voters and the first chain. */
-    public void bootstrap(List<NodeId> founders) {
-        replica.participate(new View(1, List.copyOf(founders), List.copyOf(founders), new Position(1, 0)));
+    public void bootstrap(List<NodeId> initialVoters) {
+        replica.participate(new View(1, List.copyOf(initialVoters), List.copyOf(initialVoters), new Position(1, 0)));
     }
 
     // ---- what others see
@@ -102,12 +102,12 @@
 
     /** True if contact with a majority of the voters dates from so lately that this node hears of all that is committed. */
     public boolean hasRecentQuorum(long nowMs) {
-        return monitor.quorumProven(nowMs);
+        return monitor.hasRecentQuorum(nowMs);
     }
 
     /** True while a start with too few voters waits for nodes that may still join. */
     public boolean awaitingVoters(long nowMs) {
-        return monitor.founding(nowMs);
+        return monitor.awaitingVoters(nowMs);
     }
 
     /** True if the view in force, which must be known, has as many voters as any view may have. */
@@ -148,7 +148,7 @@
         if (replica.participates()) {
             effects.send(peer, new Decided(replica.view()));
         } else {
-            relearning.ask(peer);
+            relearning.sendRelearn(peer);
         }
     }
 
@@ -163,9 +163,9 @@
     /** The second step of a tick: asks peers for what this node may have forgotten or missed. */
     public void requestMissingState() {
         if (replica.participates()) {
-            relearning.askOne();
+            relearning.requestFromOne();
         } else {
-            relearning.askAll();
+            relearning.requestFromAll();
         }
     }
 
@@ -192,12 +192,12 @@
         if (view == null || replica.view() != null && view.epoch() <= replica.epoch()) {
             return;
         }
-        replica.enter(view);
+        replica.adoptView(view);
         if (!replica.participates()) {
             // a node without memory must not act in any view before it has relearned
             return;
         }
-        acceptor.settled(view);
+        acceptor.onViewInForce(view);
         proposer.startView();
         monitor.startView();
         localState.onViewStarted(view);
--- a/src/main/java/ringspindle/consensus/ViewMonitor.java
+++ b/src/main/java/ringspindle/consensus/ViewMonitor.java
@@ -7,44 +7,44 @@
 /** Judges whether the view in force still serves, and when this node is to propose another one. */
 final class ViewMonitor {
     private static final long UNSET = -1;
-    private static final long FENCED_MS = 500;
-    private static final long BROKEN_MS = 200;
-    private static final long STALLED_MS = 1200;
+    private static final long FENCED_GRACE_MS = 500;
+    private static final long BROKEN_CHAIN_GRACE_MS = 200;
+    private static final long COMMIT_STALL_TIMEOUT_MS = 1200;
     /** Voters propose in turn, so that they do not compete. */
-    private static final long RANK_MS = 350;
+    private static final long PROPOSER_RANK_DELAY_MS = 350;
     /** A voter that is back is taken into the chain after so long; longer, up to the bound, if that keeps failing. */
-    private static final long READD_MS = 300;
+    private static final long CHAIN_REJOIN_DELAY_MS = 300;
 
-    private static final long READD_MAX_MS = 1200;
+    private static final long MAX_CHAIN_REJOIN_DELAY_MS = 1200;
     /** How long a node that may join is waited for before the voters change. */
-    private static final long JOIN_MS = 300;
+    private static final long VOTER_CHANGE_DELAY_MS = 300;
 
-    private static final long JOIN_FOUNDING_MS = 600;
+    private static final long STARTUP_VOTER_CHANGE_DELAY_MS = 600;
     /** How long a start with too few voters waits for nodes that it has not heard of yet. */
-    private static final long FOUNDING_MS = 8000;
+    private static final long BOOTSTRAP_VOTER_WAIT_MS = 8000;
 
-    private static final long RESTART_FOUNDING_MS = 3000;
+    private static final long RESTART_VOTER_WAIT_MS = 3000;
     /** After so long nothing is waited for: a node that never joins must not hold up orders for good. */
-    private static final long FOUNDING_MAX_MS = 30_000;
+    private static final long MAX_VOTER_WAIT_MS = 30_000;
     /** For so long after the last proof of contact this node may take it that it hears of all that is committed. */
-    private static final long QUORUM_MS = 1200;
+    private static final long QUORUM_CONTACT_VALIDITY_MS = 1200;
 
     /** Whether the view in force serves, or since when it has not; what is wrong with it may change meanwhile. */
-    private sealed interface Verdict {
-        Verdict SERVES = new Serving();
+    private sealed interface ViewHealth {
+        ViewHealth HEALTHY = new Healthy();
 
-        record Serving() implements Verdict {}
+        record Healthy() implements ViewHealth {}
 
-        record Defective(long sinceMs) implements Verdict {}
+        record Defective(long sinceMs) implements ViewHealth {}
     }
 
     private final ReplicaContext replica;
     private final VoterSelection selection;
     private final boolean bootstrap;
     private long startedMs = UNSET;
-    private Verdict verdict = Verdict.SERVES;
-    private long quorumMs = Long.MIN_VALUE / 2;
-    private long readdMs = READD_MS;
+    private ViewHealth health = ViewHealth.HEALTHY;
+    private long lastQuorumContactMs = Long.MIN_VALUE / 2;
+    private long chainRejoinDelayMs = CHAIN_REJOIN_DELAY_MS;
 
     ViewMonitor(ReplicaContext replica, VoterSelection selection, boolean bootstrap) {
         this.replica = replica;
@@ -53,14 +53,16 @@
     }
 
     void startView() {
-        verdict = Verdict.SERVES;
-        boolean whole = replica.view().chain().size() == replica.view().voters().size();
-        readdMs = whole ? READD_MS : Math.min(readdMs * 2, READD_MAX_MS);
+        health = ViewHealth.HEALTHY;
+        boolean allVotersInChain =
+                replica.view().chain().size() == replica.view().voters().size();
+        chainRejoinDelayMs =
+                allVotersInChain ? CHAIN_REJOIN_DELAY_MS : Math.min(chainRejoinDelayMs * 2, MAX_CHAIN_REJOIN_DELAY_MS);
     }
 
     void onPause() {
-        verdict = Verdict.SERVES;
-        selection.forgetSilence();
+        health = ViewHealth.HEALTHY;
+        selection.resetSilence();
     }
 
     /** Time went on; notes with whom this node is in touch. */
@@ -70,7 +72,7 @@
         }
         if (replica.participates()) {
             if (quorumLinked()) {
-                quorumMs = replica.nowMs();
+                lastQuorumContactMs = replica.nowMs();
             }
             selection.observe(replica.view(), replica.connectivity(), replica.nowMs());
         }
@@ -85,46 +87,46 @@
         return node.equals(replica.self()) || replica.linked(node);
     }
 
-    boolean quorumProven(long nowMs) {
-        return nowMs - quorumMs < QUORUM_MS;
+    boolean hasRecentQuorum(long nowMs) {
+        return nowMs - lastQuorumContactMs < QUORUM_CONTACT_VALIDITY_MS;
     }
 
     /** Too few voters to bear the losses asked for: orders wait for nodes that may still join. */
-    boolean founding(long nowMs) {
-        if (replica.view() != null && replica.view().voters().size() >= selection.leastVoters()) {
+    boolean awaitingVoters(long nowMs) {
+        if (replica.view() != null && replica.view().voters().size() >= selection.minVoters()) {
             return false;
         }
         if (replica.view() == null || startedMs < 0) {
             return true;
         }
         long waitedMs = nowMs - startedMs;
-        return waitedMs < (bootstrap ? FOUNDING_MS : RESTART_FOUNDING_MS)
-                || waitedMs < FOUNDING_MAX_MS && joinerInTouch();
+        return waitedMs < (bootstrap ? BOOTSTRAP_VOTER_WAIT_MS : RESTART_VOTER_WAIT_MS)
+                || waitedMs < MAX_VOTER_WAIT_MS && candidateInTouch();
     }
 
-    private boolean joinerInTouch() {
+    private boolean candidateInTouch() {
         return replica.connectivity() != null
                 && replica.connectivity().live().stream()
                         .anyMatch(n -> !replica.view().voters().contains(n) && !replica.leaving(n));
     }
 
     /** True if this node is to propose another view now. */
-    boolean proposalDue(LocalState copy, Acceptor acceptor) {
-        boolean able = replica.votes() && quorumLinked() && !replica.justPaused();
-        ViewDefect defect = able ? defect(copy, acceptor) : null;
+    boolean proposalDue(LocalState localState, Acceptor acceptor) {
+        boolean mayPropose = replica.votes() && quorumLinked() && !replica.recentlyPaused();
+        ViewDefect defect = mayPropose ? findDefect(localState, acceptor) : null;
         if (defect == null) {
-            verdict = Verdict.SERVES;
+            health = ViewHealth.HEALTHY;
             return false;
         }
-        if (!(verdict instanceof Verdict.Defective)) {
-            verdict = new Verdict.Defective(replica.nowMs());
+        if (!(health instanceof ViewHealth.Defective)) {
+            health = new ViewHealth.Defective(replica.nowMs());
         }
-        long borneMs = replica.nowMs() - ((Verdict.Defective) verdict).sinceMs();
-        return borneMs >= patienceMs(defect) + rank() * RANK_MS;
+        long defectAgeMs = replica.nowMs() - ((ViewHealth.Defective) health).sinceMs();
+        return defectAgeMs >= gracePeriodMs(defect) + proposerRank() * PROPOSER_RANK_DELAY_MS;
     }
 
     /** How many voters in touch propose before this one: those before it in the chain, then the others. */
-    private long rank() {
+    private long proposerRank() {
         List<NodeId> order = replica.votersInChainOrder();
         return order.subList(0, order.indexOf(replica.self())).stream()
                 .filter(replica::linked)
@@ -132,7 +134,7 @@
     }
 
     /** What is wrong with the view in force, null if nothing is. */
-    private ViewDefect defect(LocalState copy, Acceptor acceptor) {
+    private ViewDefect findDefect(LocalState localState, Acceptor acceptor) {
         View view = replica.view();
         if (acceptor.fenced()) {
             return ViewDefect.FENCED;
@@ -143,10 +145,10 @@
         if (memberLeaves(view)) {
             return ViewDefect.MEMBER_LEAVES;
         }
-        if (replica.isHead() && copy.belongsToCurrentView() && copy.stalledFor(STALLED_MS)) {
+        if (replica.isHead() && localState.belongsToCurrentView() && localState.stalledFor(COMMIT_STALL_TIMEOUT_MS)) {
             return ViewDefect.STALLED;
         }
-        if (replica.isHead() && !copy.belongsToCurrentView()
+        if (replica.isHead() && !localState.belongsToCurrentView()
                 || replica.connectivity().relearning(view.head())) {
             return ViewDefect.HEAD_WITHOUT_STATE;
         }
@@ -157,13 +159,14 @@
     }
 
     /** How long to bear what is wrong with the view. */
-    private long patienceMs(ViewDefect defect) {
+    private long gracePeriodMs(ViewDefect defect) {
         return switch (defect) {
-            case FENCED -> FENCED_MS;
-            case CHAIN_BROKEN, HEAD_WITHOUT_STATE -> BROKEN_MS;
+            case FENCED -> FENCED_GRACE_MS;
+            case CHAIN_BROKEN, HEAD_WITHOUT_STATE -> BROKEN_CHAIN_GRACE_MS;
             case MEMBER_LEAVES, STALLED -> 0;
-            case VOTER_TO_ADD -> readdMs;
-            case VOTERS_TO_CHANGE -> founding(replica.nowMs()) ? JOIN_FOUNDING_MS : JOIN_MS;
+            case VOTER_TO_ADD -> chainRejoinDelayMs;
+            case VOTERS_TO_CHANGE ->
+                awaitingVoters(replica.nowMs()) ? STARTUP_VOTER_CHANGE_DELAY_MS : VOTER_CHANGE_DELAY_MS;
         };
     }
 
--- a/src/main/java/ringspindle/consensus/ViewPlanner.java
+++ b/src/main/java/ringspindle/consensus/ViewPlanner.java
@@ -26,18 +26,18 @@
     /** The next view, null if these promises do not allow one. */
     View plan(long epoch, Map<NodeId, Pledge> promises) {
         Pledge newest = newest(promises.values());
-        if (!safe(newest, promises)) {
+        if (!holdsAllAcknowledged(newest, promises)) {
             return null;
         }
-        NodeId head = head(newest, promises);
+        NodeId head = chooseHead(newest, promises);
         View view = replica.view();
         List<NodeId> voters =
                 selection.nextVoters(view, promises.keySet(), head, replica.connectivity(), replica.nowMs());
-        List<NodeId> chain = chain(head, voters, promises.keySet());
+        List<NodeId> chain = planChain(head, voters, promises.keySet());
         if (chain == null && !voters.equals(view.voters())) {
             // with other voters there is no chain over a majority of them: leave them as they are for now
             voters = view.voters();
-            chain = chain(head, voters, promises.keySet());
+            chain = planChain(head, voters, promises.keySet());
         }
         return chain == null ? null : new View(epoch, List.copyOf(voters), List.copyOf(chain), safeBase(promises));
     }
@@ -53,7 +53,7 @@
      * among the promisers: it tells what the last view acknowledged. And the copy has to hold the last view's base: a member
      * that was stale when that view was decided, and got nothing since, does not tell what was acknowledged before it.
      */
-    private boolean safe(Pledge newest, Map<NodeId, Pledge> promises) {
+    private boolean holdsAllAcknowledged(Pledge newest, Map<NodeId, Pledge> promises) {
         return newest != null
                 && newest.lineage() >= 0
                 && newest.position().compareTo(replica.view().base()) >= 0
@@ -80,7 +80,7 @@
     }
 
     /** The first promiser with the newest copy, in the order of the chain; one that leaves only if no other holds as much. */
-    private NodeId head(Pledge newest, Map<NodeId, Pledge> promises) {
+    private NodeId chooseHead(Pledge newest, Map<NodeId, Pledge> promises) {
         List<NodeId> candidates = replica.votersInChainOrder();
         candidates.removeIf(node ->
                 !promises.containsKey(node) || !promises.get(node).position().equals(newest.position()));
@@ -93,7 +93,7 @@
     // ---- the chain
 
     /** A chain from the head through a majority of the voters, null if the links allow none. */
-    private List<NodeId> chain(NodeId head, List<NodeId> voters, Collection<NodeId> promisers) {
+    private List<NodeId> planChain(NodeId head, List<NodeId> voters, Collection<NodeId> promisers) {
         int majority = voters.size() / 2 + 1;
         List<NodeId> members = new ArrayList<>(voters);
         members.removeIf(node -> replica.view().voters().contains(node) && !promisers.contains(node));
--- a/src/main/java/ringspindle/consensus/VoterSelection.java
+++ b/src/main/java/ringspindle/consensus/VoterSelection.java
@@ -17,26 +17,26 @@
  */
 final class VoterSelection {
     private final NodeId self;
-    private final int leastVoters;
+    private final int minVoters;
     private final Map<NodeId, Long> silentSinceMs = new TreeMap<>();
 
     /**
-     * @param leastVoters as many voters as remain at least: 2f + 1 for the loss of f disks
+     * @param minVoters as many voters as remain at least: 2f + 1 for the loss of f disks
      */
-    VoterSelection(NodeId self, int leastVoters) {
+    VoterSelection(NodeId self, int minVoters) {
         this.self = self;
-        this.leastVoters = leastVoters;
+        this.minVoters = minVoters;
     }
 
-    int leastVoters() {
-        return leastVoters;
+    int minVoters() {
+        return minVoters;
     }
 
     /** Notes which voters nobody in touch hears of. */
     void observe(View view, Connectivity connectivity, long nowMs) {
         silentSinceMs.keySet().retainAll(view.voters());
         for (NodeId voter : view.voters()) {
-            if (heardOf(voter, view, connectivity)) {
+            if (reachable(voter, view, connectivity)) {
                 silentSinceMs.remove(voter);
             } else {
                 silentSinceMs.putIfAbsent(voter, nowMs);
@@ -45,11 +45,11 @@
     }
 
     /** After a pause of this node it cannot tell how long the others were silent. */
-    void forgetSilence() {
+    void resetSilence() {
         silentSinceMs.clear();
     }
 
-    private boolean heardOf(NodeId voter, View view, Connectivity connectivity) {
+    private boolean reachable(NodeId voter, View view, Connectivity connectivity) {
         if (voter.equals(self) || connectivity.linked(self, voter)) {
             return true;
         }
@@ -74,11 +74,11 @@
      */
     List<NodeId> nextVoters(
             View view, Collection<NodeId> promised, NodeId keep, Connectivity connectivity, long nowMs) {
-        List<NodeId> joiners = joiners(view, connectivity);
+        List<NodeId> joiners = findJoiners(view, connectivity);
         List<NodeId> voters = new ArrayList<>(view.voters());
-        NodeId gone = departed(view, promised, keep, connectivity, nowMs);
-        if (gone != null && voters.size() - 1 + joiners.size() >= leastVoters) {
-            voters.remove(gone);
+        NodeId removed = voterToRemove(view, promised, keep, connectivity, nowMs);
+        if (removed != null && voters.size() - 1 + joiners.size() >= minVoters) {
+            voters.remove(removed);
         }
         for (NodeId joiner : joiners) {
             if (voters.size() < ViewConsensus.MAX_VOTERS) {
@@ -89,7 +89,7 @@
     }
 
     /** The voter whose seat is given up next: one that leaves, else the one silent for longest; null if there is none. */
-    private NodeId departed(
+    private NodeId voterToRemove(
             View view, Collection<NodeId> promised, NodeId keep, Connectivity connectivity, long nowMs) {
         for (NodeId voter : view.voters()) {
             if (!voter.equals(keep) && connectivity.leaving(voter)) {
@@ -105,7 +105,7 @@
     }
 
     /** Nodes that may vote: in touch, not leaving, with memory of what was promised, and heard by most voters. */
-    private List<NodeId> joiners(View view, Connectivity connectivity) {
+    private List<NodeId> findJoiners(View view, Connectivity connectivity) {
         List<NodeId> joiners = new ArrayList<>();
         for (NodeId node : connectivity.live()) {
             if (!view.voters().contains(node)
--- a/src/main/java/ringspindle/consensus/VoterState.java
+++ b/src/main/java/ringspindle/consensus/VoterState.java
@@ -62,7 +62,7 @@
     }
 
     /** The record for the disk, with the view in force, null if that is unknown. */
-    default Vote toVote(View inForce) {
-        return new Vote(epoch(), promised().number(), acceptedBallot().number(), accepted(), inForce);
+    default Vote toVote(View currentView) {
+        return new Vote(epoch(), promised().number(), acceptedBallot().number(), accepted(), currentView);
     }
 }
--- a/src/main/java/ringspindle/replication/CallPipeline.java
+++ b/src/main/java/ringspindle/replication/CallPipeline.java
@@ -18,49 +18,49 @@
  */
 final class CallPipeline implements ChainMember.Listener, ViewConfirmations.AnswerHandler {
     /** How long an order is held before its caller is told that nothing is clear. */
-    private static final long HELD_MS = 950;
+    private static final long CALL_TIMEOUT_MS = 950;
 
-    private static final long HELD_CONFIG_MS = 2500;
-    private static final byte[] NONE = {};
+    private static final long CONFIGURATION_CALL_TIMEOUT_MS = 2500;
+    private static final byte[] EMPTY_BODY = {};
 
     private final ReplicaContext replica;
     private final OutputQueue outputs;
     private final ChainMember member;
-    private final BooleanSupplier takesOrders;
+    private final BooleanSupplier acceptsCommands;
     private final CommandDecider decider = new CommandDecider();
-    private final OutstandingCalls held = new OutstandingCalls();
+    private final OutstandingCalls outstanding = new OutstandingCalls();
     private final ViewConfirmations confirmations;
 
     /**
-     * @param firstConfirmation from chance, as {@link ViewConfirmations} needs it
-     * @param takesOrders false while too few voters could keep what would be acknowledged
+     * @param firstConfirmationId from chance, as {@link ViewConfirmations} needs it
+     * @param acceptsCommands false while too few voters could keep what would be acknowledged
      */
     CallPipeline(
             ReplicaContext replica,
             OutputQueue outputs,
             ChainMember member,
-            long firstConfirmation,
-            BooleanSupplier takesOrders) {
+            long firstConfirmationId,
+            BooleanSupplier acceptsCommands) {
         this.replica = replica;
         this.outputs = outputs;
         this.member = member;
-        this.takesOrders = takesOrders;
-        confirmations = new ViewConfirmations(replica, outputs, member, this, firstConfirmation);
+        this.acceptsCommands = acceptsCommands;
+        confirmations = new ViewConfirmations(replica, outputs, member, this, firstConfirmationId);
     }
 
     // ---- calls come in
 
     /** A caller's own call. */
-    void take(Call call) {
-        hold(replica.self(), call.since(knownVersion(call)));
+    void submit(Call call) {
+        enqueue(replica.self(), call.since(knownVersion(call)));
     }
 
     /** How new what a caller's order may replace is, as far as this node knows; orders on revisions name theirs. */
     private long knownVersion(Call call) {
         Mark mark =
                 switch (CallKind.of(call.kind())) {
-                    case EVACUATE, RESTORE -> ControlState.mark(member.last(), MarkKind.EVACUATED, call.arg());
-                    case ROLLOUT -> ControlState.mark(member.last(), MarkKind.ROLLOUT, call.arg());
+                    case EVACUATE, RESTORE -> ControlState.findMark(member.latest(), MarkKind.EVACUATED, call.arg());
+                    case ROLLOUT -> ControlState.findMark(member.latest(), MarkKind.ROLLOUT, call.arg());
                     default -> null;
                 };
         return mark == null ? call.base() : Math.max(call.base(), mark.version());
@@ -69,7 +69,7 @@
     /** A call that another node took; whoever passes it on asks the next view's head anew, so it must not wait here for that. */
     void onCall(NodeId from, Call call) {
         if (replica.view() != null && target(call).equals(replica.self())) {
-            hold(from, call);
+            enqueue(from, call);
         }
     }
 
@@ -79,92 +79,93 @@
                 : replica.view().head();
     }
 
-    private void hold(NodeId origin, Call call) {
-        held.add(origin, call, replica.nowMs());
-        goOn();
+    private void enqueue(NodeId origin, Call call) {
+        outstanding.add(origin, call, replica.nowMs());
+        process();
     }
 
     /** A new view: others ask anew; what was decided and not answered is decided anew. */
     void startView() {
         confirmations.startView();
         // an answer is final: what was refused here must not be passed on and acted on there
-        held.forgetAnswered();
-        held.keepOnly(replica.self());
-        goOn();
+        outstanding.removeAnswered();
+        outstanding.retainOrigin(replica.self());
+        process();
     }
 
     /** A connection stands anew: what was passed on over an older one may be lost. */
-    void onOpened(NodeId peer) {
+    void onConnectionOpened(NodeId peer) {
         if (replica.view() == null) {
             return;
         }
-        for (OutstandingCall call : held.of(replica.self())) {
+        for (OutstandingCall call : outstanding.from(replica.self())) {
             if (target(call.call()).equals(peer)) {
-                call.waitAgain();
+                call.markWaiting();
             }
         }
-        goOn();
+        process();
     }
 
     /** Passes on or decides what has not been in this view. */
-    void goOn() {
-        if (held.isEmpty() || !replica.participates()) {
+    void process() {
+        if (outstanding.isEmpty() || !replica.participates()) {
             return;
         }
-        held.forEach(call -> {
+        outstanding.forEach(call -> {
             // whoever asked before a pause of this node has long asked elsewhere, and may have gone on from there
-            if (!call.handedOverIn(replica.epoch()) && !overdue(call)) {
-                handOver(call);
+            if (!call.dispatchedIn(replica.epoch()) && !timedOut(call)) {
+                dispatch(call);
             }
         });
-        held.forgetAnswered();
+        outstanding.removeAnswered();
     }
 
-    private void handOver(OutstandingCall call) {
+    private void dispatch(OutstandingCall call) {
         NodeId target = target(call.call());
         if (target.equals(replica.self())) {
             decideIfReady(call);
         } else if (call.id().origin().equals(replica.self()) && (!replica.linksKnown() || replica.linked(target))) {
-            call.handOver(replica.epoch());
+            call.markDispatched(replica.epoch());
             outputs.send(target, call.call());
         }
     }
 
     private void decideIfReady(OutstandingCall call) {
-        boolean reading = call.kind() == CallKind.READ;
-        if (!member.established() || !reading && !takesOrders.getAsBoolean()) {
+        boolean isRead = call.kind() == CallKind.READ;
+        if (!member.hasCommittedInView() || !isRead && !acceptsCommands.getAsBoolean()) {
             return;
         }
-        call.handOver(replica.epoch());
-        if (reading) {
-            confirmations.ask(new ViewConfirmations.Read(call));
+        call.markDispatched(replica.epoch());
+        if (isRead) {
+            confirmations.request(new ViewConfirmations.Read(call));
         } else {
             decide(call);
         }
     }
 
     private void decide(OutstandingCall call) {
-        Decision decision = decider.decide(member.last(), call.call());
+        Decision decision = decider.decide(member.latest(), call.call());
         if (decision instanceof Decision.Commit commit) {
             member.append(commit.op(), call.id());
         } else if (decision instanceof Decision.Answer answer) {
-            confirmations.ask(new ViewConfirmations.DecidedAnswer(
-                    call, answer, member.last().seq()));
+            confirmations.request(new ViewConfirmations.DecidedAnswer(
+                    call, answer, member.latest().seq()));
         }
     }
 
-    private boolean overdue(OutstandingCall call) {
-        return call.ageMs(replica.nowMs()) >= (call.kind().changesConfiguration() ? HELD_CONFIG_MS : HELD_MS);
+    private boolean timedOut(OutstandingCall call) {
+        return call.ageMs(replica.nowMs())
+                >= (call.kind().changesConfiguration() ? CONFIGURATION_CALL_TIMEOUT_MS : CALL_TIMEOUT_MS);
     }
 
     /** Gives up what was held for too long: its caller is told that nothing is clear. */
     void tick() {
-        held.removeIf(call -> {
-            boolean overdue = overdue(call);
-            if (overdue && call.id().origin().equals(replica.self())) {
-                outputs.emit(new ReplicatedState.Output.Answer(call.id().number(), Outcome.UNCLEAR, NONE));
+        outstanding.removeIf(call -> {
+            boolean expired = timedOut(call);
+            if (expired && call.id().origin().equals(replica.self())) {
+                outputs.emit(new ReplicatedState.Output.Answer(call.id().number(), Outcome.UNCLEAR, EMPTY_BODY));
             }
-            return overdue;
+            return expired;
         });
         confirmations.tick();
     }
@@ -176,13 +177,13 @@
     }
 
     @Override
-    public void deliver(ViewConfirmations.Read reading) {
-        byte[] found = member.committed().config();
-        if (reading.call().call().arg().equals(CallKind.RULES_ARGUMENT)) {
-            Mark rules = ControlState.mark(member.committed(), MarkKind.RULES, ControlState.RULES_KEY);
-            found = rules == null ? NONE : rules.value().getBytes(UTF_8);
+    public void deliver(ViewConfirmations.Read read) {
+        byte[] content = member.committed().config();
+        if (read.call().call().arg().equals(CallKind.RULES_ARGUMENT)) {
+            Mark rules = ControlState.findMark(member.committed(), MarkKind.RULES, ControlState.RULES_KEY);
+            content = rules == null ? EMPTY_BODY : rules.value().getBytes(UTF_8);
         }
-        answer(reading.call(), found.length == 0 ? Outcome.NO_SUCH : Outcome.TAKEN, found);
+        answer(read.call(), content.length == 0 ? Outcome.NO_SUCH : Outcome.TAKEN, content);
     }
 
     @Override
@@ -191,20 +192,20 @@
     }
 
     private void answer(OutstandingCall call, Outcome outcome, byte[] body) {
-        held.answered(call.id());
+        outstanding.markAnswered(call.id());
         reply(call.id(), outcome, body);
     }
 
     @Override
     public void acknowledged(CallId call) {
-        held.answeredIfHeld(call);
-        reply(call, Outcome.TAKEN, NONE);
+        outstanding.markAnsweredIfOutstanding(call);
+        reply(call, Outcome.TAKEN, EMPTY_BODY);
     }
 
     @Override
     public void committed(long seq) {
         confirmations.committed(seq);
-        goOn();
+        process();
     }
 
     private void reply(CallId call, Outcome outcome, byte[] body) {
@@ -218,7 +219,7 @@
     /** The answer of the head or tail to a call that was taken here. */
     void onReply(Reply reply) {
         boolean known = reply.outcome() >= 0 && reply.outcome() < Outcome.values().length;
-        if (known && held.remove(new CallId(replica.self(), reply.id()))) {
+        if (known && outstanding.remove(new CallId(replica.self(), reply.id()))) {
             outputs.emit(
                     new ReplicatedState.Output.Answer(reply.id(), Outcome.values()[reply.outcome()], reply.body()));
         }
@@ -226,6 +227,6 @@
 
     @Override
     public String toString() {
-        return "held " + held.size();
+        return "held " + outstanding.size();
     }
 }
--- a/src/main/java/ringspindle/replication/ChainMember.java
+++ b/src/main/java/ringspindle/replication/ChainMember.java
@@ -22,7 +22,7 @@
  * committed; while this node is fenced it takes no entry and commits nothing by itself.
  */
 final class ChainMember {
-    private static final long NOTHING = -1;
+    private static final long NO_SEQ = -1;
 
     /** Hears of what is committed. */
     interface Listener {
@@ -50,8 +50,8 @@
     private final Listener listener;
     private final ArrayDeque<Uncommitted> uncommitted = new ArrayDeque<>();
     private final SuccessorLink successor = new SuccessorLink();
-    private final SyncProgress disk = new SyncProgress();
-    private State last = ControlState.empty();
+    private final SyncProgress syncProgress = new SyncProgress();
+    private State latest = ControlState.empty();
     private State committed;
     private long uncommittedSinceMs;
 
@@ -65,8 +65,8 @@
     // ---- what it holds
 
     /** The newest state here, committed or not. */
-    State last() {
-        return last;
+    State latest() {
+        return latest;
     }
 
     /** The committed state, null while unknown. */
@@ -75,22 +75,22 @@
     }
 
     Position position() {
-        return new Position(last.lineage(), last.seq());
+        return new Position(latest.lineage(), latest.seq());
     }
 
     /** True while this node takes part in the chain of the view in force, with a copy that belongs to it. */
     boolean active() {
-        return replica.participates() && !consensus.fenced() && ofThisView() && replica.inChain();
+        return replica.participates() && !consensus.fenced() && belongsToCurrentView() && replica.inChain();
     }
 
     /** True while, besides, it is known here what is committed in this view. */
-    boolean established() {
+    boolean hasCommittedInView() {
         return active() && committedInThisView();
     }
 
     /** True if the copy held here belongs to the view in force. */
-    boolean ofThisView() {
-        return last.lineage() == replica.epoch();
+    boolean belongsToCurrentView() {
+        return latest.lineage() == replica.epoch();
     }
 
     private boolean committedInThisView() {
@@ -98,58 +98,58 @@
     }
 
     private long committedSeq() {
-        return committed == null ? NOTHING : committed.seq();
+        return committed == null ? NO_SEQ : committed.seq();
     }
 
     /** True while entries have waited for longer than that, in milliseconds, to be committed. */
     boolean stalledFor(long ms) {
-        return last.seq() > committedSeq() && replica.nowMs() - uncommittedSinceMs > ms;
+        return latest.seq() > committedSeq() && replica.nowMs() - uncommittedSinceMs > ms;
     }
 
     // ---- a start, a lost disk, a new view
 
     /** Takes over a state found on disk. */
-    void load(State state) {
-        last = state;
+    void restore(State state) {
+        latest = state;
         uncommitted.clear();
-        disk.found(state);
+        syncProgress.restore(state);
     }
 
     /** Applies an entry found on disk behind that state; others are left alone. */
-    void load(Entry entry) {
-        if (entry.epoch() == last.lineage() && entry.seq() == last.seq() + 1) {
-            load(ControlState.apply(last, (Op) Codec.decode(entry.op())));
+    void restore(Entry entry) {
+        if (entry.epoch() == latest.lineage() && entry.seq() == latest.seq() + 1) {
+            restore(ControlState.apply(latest, (Op) Codec.decode(entry.op())));
         }
     }
 
     /** Writes what was found or founded before anything else is said; the head of a view goes on from it. */
-    void writeFirst() {
+    void persistInitialState() {
         uncommittedSinceMs = replica.nowMs();
-        State first = last;
+        State first = latest;
         long epoch = replica.epoch();
         writeSnapshot(first, () -> {
             if (active() && replica.epoch() == epoch && replica.isHead()) {
-                onStored(first);
+                onSyncedLocally(first);
             }
         });
     }
 
     /** Starts anew with nothing, and with a vote that was relearned. */
-    void reset() {
-        load(ControlState.empty());
-        writeSnapshot(last, () -> {});
+    void resetAfterRelearning() {
+        restore(ControlState.empty());
+        writeSnapshot(latest, () -> {});
     }
 
     /** A new view is in force. Its head turns the copy it holds into the first of the view; others wait for a snapshot. */
     void startView() {
-        disk.restart();
+        syncProgress.restart();
         successor.startView();
         uncommittedSinceMs = replica.nowMs();
-        boolean hasCopyOfOlderView = last.lineage() >= 0 && last.lineage() < replica.epoch();
+        boolean hasCopyOfOlderView = latest.lineage() >= 0 && latest.lineage() < replica.epoch();
         if (replica.inChain() && replica.isHead() && hasCopyOfOlderView) {
-            last = ControlState.inView(last, replica.epoch());
-            State first = last;
-            writeSnapshot(first, () -> onStored(first));
+            latest = ControlState.inView(latest, replica.epoch());
+            State first = latest;
+            writeSnapshot(first, () -> onSyncedLocally(first));
         } else {
             outputs.append(List.of(consensus.vote()), () -> {});
         }
@@ -167,41 +167,41 @@
     }
 
     private void append(byte[] op, CallId call) {
-        if (committed != null && committed.seq() >= last.seq()) {
+        if (committed != null && committed.seq() >= latest.seq()) {
             uncommittedSinceMs = replica.nowMs();
         }
-        last = ControlState.apply(last, (Op) Codec.decode(op));
-        State state = last;
+        latest = ControlState.apply(latest, (Op) Codec.decode(op));
+        State state = latest;
         uncommitted.add(new Uncommitted(state, op, call));
-        outputs.append(List.of(new Entry(replica.epoch(), state.seq(), op)), () -> onStored(state));
+        outputs.append(List.of(new Entry(replica.epoch(), state.seq(), op)), () -> onSyncedLocally(state));
     }
 
     /** A state of some view is on this disk. */
-    private void onStored(State state) {
+    private void onSyncedLocally(State state) {
         if (replica.view() == null || state.lineage() != replica.epoch()) {
             return;
         }
-        disk.synced(state);
-        passOn();
+        syncProgress.synced(state);
+        forward();
     }
 
     /** Commits at the tail, else passes on what is synced. */
-    private void passOn() {
+    private void forward() {
         if (consensus.fenced()) {
             return;
         }
         if (replica.successor() == null) {
-            commit(disk.seq());
+            commit(syncProgress.seq());
         } else {
-            pushDown();
+            sendToSuccessor();
         }
     }
 
     /** The connection to a peer stands anew: what went over an older one may be lost. */
-    void onOpened(NodeId peer) {
+    void onConnectionOpened(NodeId peer) {
         if (replica.view() != null && peer.equals(replica.successor())) {
             successor.onReconnected();
-            pushDown();
+            sendToSuccessor();
         }
     }
 
@@ -211,13 +211,13 @@
         if (next == null || !replica.linked(next)) {
             return;
         }
-        successor.tick(last.seq(), replica.nowMs());
+        successor.tick(latest.seq(), replica.nowMs());
         if (successor.snapshotDue()) {
-            pushDown();
+            sendToSuccessor();
         }
     }
 
-    private void pushDown() {
+    private void sendToSuccessor() {
         NodeId next = replica.successor();
         if (next == null || !active()) {
             return;
@@ -226,7 +226,7 @@
             return;
         }
         for (Uncommitted entry : uncommitted) {
-            if (entry.seq() > successor.sentSeq() && entry.seq() <= disk.seq()) {
+            if (entry.seq() > successor.sentSeq() && entry.seq() <= syncProgress.seq()) {
                 outputs.send(next, new Entry(replica.epoch(), entry.seq(), entry.op()));
                 successor.sent(entry.seq(), replica.nowMs());
             }
@@ -235,7 +235,7 @@
 
     /** A snapshot as of what is synced here; false while nothing of this view is. */
     private boolean sendSnapshot(NodeId next) {
-        State synced = disk.newest();
+        State synced = syncProgress.newest();
         if (synced.lineage() != replica.epoch()) {
             return false;
         }
@@ -245,31 +245,31 @@
     }
 
     void onInstall(NodeId from, Install install) {
-        boolean takes = replica.participates() && !consensus.fenced();
-        if (!takes || install.epoch() != replica.epoch() || !from.equals(replica.predecessor())) {
+        boolean acceptsSnapshots = replica.participates() && !consensus.fenced();
+        if (!acceptsSnapshots || install.epoch() != replica.epoch() || !from.equals(replica.predecessor())) {
             return;
         }
-        successor.startOver();
-        if (ofThisView() && last.seq() >= install.seq()) {
-            passOn();
-            confirmCommitted();
+        successor.requireSnapshot();
+        if (belongsToCurrentView() && latest.seq() >= install.seq()) {
+            forward();
+            resendSynced();
             return;
         }
-        last = (State) Codec.decode(install.image());
+        latest = (State) Codec.decode(install.image());
         uncommitted.clear();
-        disk.restart();
-        State installed = last;
-        writeSnapshot(installed, () -> onStored(installed));
+        syncProgress.restart();
+        State installed = latest;
+        writeSnapshot(installed, () -> onSyncedLocally(installed));
     }
 
     void onEntry(NodeId from, Entry entry) {
         if (!active() || entry.epoch() != replica.epoch() || !from.equals(replica.predecessor())) {
             return;
         }
-        if (entry.seq() <= last.seq()) {
-            passOn();
-            confirmCommitted();
-        } else if (entry.seq() == last.seq() + 1) {
+        if (entry.seq() <= latest.seq()) {
+            forward();
+            resendSynced();
+        } else if (entry.seq() == latest.seq() + 1) {
             append(entry.op(), null);
         }
     }
@@ -277,7 +277,7 @@
     // ---- up the chain
 
     /** Says again what is committed, to a predecessor that seems not to have heard it. */
-    private void confirmCommitted() {
+    private void resendSynced() {
         if (committedInThisView() && replica.predecessor() != null) {
             outputs.send(replica.predecessor(), new Synced(replica.epoch(), committed.seq()));
         }
@@ -287,11 +287,11 @@
         if (replica.view() == null
                 || confirmation.epoch() != replica.epoch()
                 || !from.equals(replica.successor())
-                || !ofThisView()) {
+                || !belongsToCurrentView()) {
             return;
         }
         successor.confirmed(confirmation.seq());
-        commit(Math.min(confirmation.seq(), last.seq()));
+        commit(Math.min(confirmation.seq(), latest.seq()));
     }
 
     private void commit(long seq) {
@@ -303,12 +303,12 @@
                 listener.acknowledged(entry.call());
             }
         }
-        if (uncommitted.isEmpty() && last.seq() <= seq) {
-            newest = last;
-        } else if (disk.holds(replica.epoch(), seq)
-                && (newest == null || newest.seq() < disk.newest().seq())) {
+        if (uncommitted.isEmpty() && latest.seq() <= seq) {
+            newest = latest;
+        } else if (syncProgress.hasStateAtOrBefore(replica.epoch(), seq)
+                && (newest == null || newest.seq() < syncProgress.newest().seq())) {
             // a snapshot that is on disk, while a newer one that replaced it is not yet
-            newest = disk.newest();
+            newest = syncProgress.newest();
         }
         if (newest != null && newerThanCommitted(newest)) {
             uncommittedSinceMs = replica.nowMs();
@@ -327,8 +327,9 @@
 
     @Override
     public String toString() {
-        return "lineage " + last.lineage() + " seq " + last.seq() + " committed "
-                + (committed == null ? null : committed.lineage() + "/" + committed.seq()) + " synced " + disk.seq()
+        return "lineage " + latest.lineage() + " seq " + latest.seq() + " committed "
+                + (committed == null ? null : committed.lineage() + "/" + committed.seq()) + " synced "
+                + syncProgress.seq()
                 + " down " + successor;
     }
 }
--- a/src/main/java/ringspindle/replication/ChainReplicatedState.java
+++ b/src/main/java/ringspindle/replication/ChainReplicatedState.java
@@ -25,48 +25,48 @@
  */
 final class ChainReplicatedState implements ReplicatedState {
     /** A node that has promised another view may answer for the old one no longer than this. */
-    private static final long FENCED_MS = 1500;
+    private static final long MAX_FENCED_MS = 1500;
 
     private final ViewConsensus consensus;
     private final ReplicaContext replica;
     private final OutputQueue outputs;
     private final ChainMember member;
-    private final CallPipeline orders;
-    private boolean announced;
+    private final CallPipeline calls;
+    private boolean initialStatePersisted;
 
     ChainReplicatedState(
-            NodeId self, List<NodeId> seeds, boolean bootstrap, List<Message> found, long randomSeed, int leastVoters) {
+            NodeId self, List<NodeId> seeds, boolean bootstrap, List<Message> records, long randomSeed, int minVoters) {
         Random random = new Random(randomSeed);
         outputs = new OutputQueue(self);
         consensus = new ViewConsensus(
-                new ViewConsensus.Settings(self, seeds, bootstrap, leastVoters),
+                new ViewConsensus.Settings(self, seeds, bootstrap, minVoters),
                 random,
                 outputs,
                 new LocalStateAdapter());
         replica = consensus.replica();
         member = new ChainMember(consensus, outputs, new CommitListener());
-        orders = new CallPipeline(
+        calls = new CallPipeline(
                 replica, outputs, member, random.nextLong(), () -> !consensus.awaitingVoters(replica.nowMs()));
-        found.forEach(this::load);
+        records.forEach(this::restore);
         if (!replica.participates() && bootstrap && seeds.contains(self)) {
-            found(seeds);
+            bootstrap(seeds);
         }
     }
 
-    private void load(Message record) {
+    private void restore(Message record) {
         if (record instanceof Vote vote) {
             consensus.restore(vote);
         } else if (record instanceof State state) {
-            member.load(state);
+            member.restore(state);
         } else if (record instanceof Entry entry) {
-            member.load(entry);
+            member.restore(entry);
         }
     }
 
     /** The first start of a system: its seeds are the first voters. */
-    private void found(List<NodeId> seeds) {
+    private void bootstrap(List<NodeId> seeds) {
         consensus.bootstrap(seeds);
-        member.load(ControlState.initial());
+        member.restore(ControlState.initial());
     }
 
     // ---- what others see
@@ -90,7 +90,10 @@
             // beyond the bound a node learns: it passes calls on, and hears what is committed as facts
             return consensus.hasMaxVoters() && replica.participates();
         }
-        return committed() != null && member.ofThisView() && replica.inChain() && !consensus.fencedFor(FENCED_MS);
+        return committed() != null
+                && member.belongsToCurrentView()
+                && replica.inChain()
+                && !consensus.fencedFor(MAX_FENCED_MS);
     }
 
     @Override
@@ -105,14 +108,14 @@
 
     @Override
     public List<Message> durableRecords() {
-        return List.of(consensus.vote(), member.last());
+        return List.of(consensus.vote(), member.latest());
     }
 
     /** Where it stands, for tests and logs. */
     String describe() {
         View view = replica.view();
         return "view " + (view == null ? null : view.epoch() + " " + view.chain()) + " " + consensus + " " + member
-                + " " + orders;
+                + " " + calls;
     }
 
     // ---- inputs
@@ -120,65 +123,65 @@
     @Override
     public List<Output> receive(NodeId from, Message message, long nowMs) {
         replica.advanceTo(nowMs);
-        announce();
+        persistInitialState();
         dispatch(from, message);
-        return finish();
+        return drainOutputs();
     }
 
     @Override
     public List<Output> recordsSynced(long token, long nowMs) {
         replica.advanceTo(nowMs);
         outputs.synced(token);
-        return finish();
+        return drainOutputs();
     }
 
     @Override
     public List<Output> connectionOpened(NodeId peer, long nowMs) {
         replica.advanceTo(nowMs);
-        announce();
+        persistInitialState();
         consensus.onConnectionOpened(peer);
-        member.onOpened(peer);
-        orders.onOpened(peer);
-        return finish();
+        member.onConnectionOpened(peer);
+        calls.onConnectionOpened(peer);
+        return drainOutputs();
     }
 
     @Override
     public List<Output> call(Call call, long nowMs) {
         replica.advanceTo(nowMs);
-        announce();
-        orders.take(call);
-        return finish();
+        persistInitialState();
+        calls.submit(call);
+        return drainOutputs();
     }
 
     @Override
     public List<Output> tick(long nowMs, Connectivity connectivity) {
         consensus.observe(nowMs, connectivity);
-        announce();
-        orders.tick();
+        persistInitialState();
+        calls.tick();
         consensus.requestMissingState();
         if (replica.participates()) {
-            orders.goOn();
+            calls.process();
             member.tick();
             consensus.proposeIfDue();
         }
-        return finish();
+        return drainOutputs();
     }
 
-    private List<Output> finish() {
+    private List<Output> drainOutputs() {
         for (Message message = outputs.pollSelf(); message != null; message = outputs.pollSelf()) {
             dispatch(replica.self(), message);
         }
-        return outputs.takeOutputs();
+        return outputs.drain();
     }
 
     /** The first view and state go to disk before anything else is said or written. */
-    private void announce() {
-        if (announced || !replica.participates()) {
+    private void persistInitialState() {
+        if (initialStatePersisted || !replica.participates()) {
             return;
         }
-        announced = true;
+        initialStatePersisted = true;
         outputs.emit(new Output.ViewChanged(replica.view()));
-        member.writeFirst();
+        member.persistInitialState();
     }
 
     private void dispatch(NodeId from, Message message) {
@@ -192,11 +195,11 @@
         } else if (message instanceof Synced synced) {
             member.onSynced(from, synced);
         } else if (message instanceof Confirmed confirmed) {
-            orders.onConfirmed(from, confirmed);
+            calls.onConfirmed(from, confirmed);
         } else if (message instanceof Call call) {
-            orders.onCall(from, call);
+            calls.onCall(from, call);
         } else if (message instanceof Reply reply) {
-            orders.onReply(reply);
+            calls.onReply(reply);
         }
     }
 
@@ -204,12 +207,12 @@
     private final class CommitListener implements ChainMember.Listener {
         @Override
         public void acknowledged(CallId call) {
-            orders.acknowledged(call);
+            calls.acknowledged(call);
         }
 
         @Override
         public void committed(long seq) {
-            orders.committed(seq);
+            calls.committed(seq);
         }
     }
 
@@ -222,7 +225,7 @@
 
         @Override
         public boolean belongsToCurrentView() {
-            return member.ofThisView();
+            return member.belongsToCurrentView();
         }
 
         @Override
@@ -234,13 +237,13 @@
         public void onViewStarted(View view) {
             outputs.emit(new Output.ViewChanged(view));
             member.startView();
-            orders.startView();
+            calls.startView();
         }
 
         @Override
         public void onRelearned(View view) {
             outputs.emit(new Output.ViewChanged(view));
-            member.reset();
+            member.resetAfterRelearning();
         }
     }
 }
--- a/src/main/java/ringspindle/replication/CommandDecider.java
+++ b/src/main/java/ringspindle/replication/CommandDecider.java
@@ -15,9 +15,9 @@
             case PUT -> configurations.put(state, command);
             case PATCH -> configurations.patch(state, command);
             case RULES -> configurations.rules(state, command);
-            case EVACUATE -> evacuation(state, command, true);
-            case RESTORE -> evacuation(state, command, false);
-            case DRAIN, GONE -> leaving(state, command);
+            case EVACUATE -> decideEvacuation(state, command, true);
+            case RESTORE -> decideEvacuation(state, command, false);
+            case DRAIN, GONE -> decideLeaving(state, command);
             case ROLLOUT -> RolloutCommands.decide(state, command);
             case EXPERIMENT -> ExperimentCommands.decide(state, command);
             case SHARD -> ShardCommands.decideAssignment(state, command);
@@ -29,23 +29,23 @@
     }
 
     /** Written also if it is so already: the newer mark fences an opposite order that is still on its way. */
-    private static Decision evacuation(State state, Call command, boolean evacuates) {
-        Mark mark = ControlState.mark(state, MarkKind.EVACUATED, command.arg());
+    private static Decision decideEvacuation(State state, Call command, boolean evacuate) {
+        Mark mark = ControlState.findMark(state, MarkKind.EVACUATED, command.arg());
         boolean evacuated = mark != null && mark.value().equals(ControlState.ON);
-        return evacuated != evacuates && overtaken(command, mark)
+        return evacuated != evacuate && isStale(command, mark)
                 ? Decision.answer(Outcome.UNCLEAR)
                 : Decision.commit(command, command.body());
     }
 
-    private static Decision leaving(State state, Call command) {
-        Mark mark = ControlState.mark(state, MarkKind.LEAVING, command.arg());
-        boolean alreadySo = mark != null
+    private static Decision decideLeaving(State state, Call command) {
+        Mark mark = ControlState.findMark(state, MarkKind.LEAVING, command.arg());
+        boolean unchanged = mark != null
                 && (mark.value().equals(ControlState.GONE) || CallKind.of(command.kind()) == CallKind.DRAIN);
-        return alreadySo ? Decision.answer(Outcome.TAKEN) : Decision.commit(command, command.body());
+        return unchanged ? Decision.answer(Outcome.TAKEN) : Decision.commit(command, command.body());
     }
 
     /** True if what the order would replace is newer than what was known when it was taken: it was held up on its way. */
-    static boolean overtaken(Call command, Mark replaced) {
+    static boolean isStale(Call command, Mark replaced) {
         return replaced != null && replaced.version() > command.base();
     }
 }
--- a/src/main/java/ringspindle/replication/CommandHistory.java
+++ b/src/main/java/ringspindle/replication/CommandHistory.java
@@ -58,7 +58,7 @@
     }
 
     /** What is remembered after one more order. */
-    static List<TakenOrder> with(List<TakenOrder> past, long revision, long digest) {
+    static List<TakenOrder> append(List<TakenOrder> past, long revision, long digest) {
         List<TakenOrder> commands = new ArrayList<>(past);
         commands.add(new TakenOrder(revision, digest));
         if (commands.size() > MAX_COMMANDS) {
--- a/src/main/java/ringspindle/replication/ConfigurationCommands.java
+++ b/src/main/java/ringspindle/replication/ConfigurationCommands.java
@@ -18,7 +18,7 @@
 /** Orders on the configuration and on serving rules: documents with a revision, each made for the revision it replaces. */
 final class ConfigurationCommands {
     /** The configuration parsed last, kept as long as its revision is in force. */
-    private FleetConfig parsed;
+    private FleetConfig cachedConfiguration;
 
     Decision put(State state, Call command) {
         long digest = CommandHistory.digest(command);
@@ -38,18 +38,18 @@
             return Decision.invalid(invalid.errors());
         }
         if (state.config().length == 0 || command.base() != state.revision()) {
-            return otherVersion(state, command);
+            return rejectStaleBase(state, command);
         }
-        return replace(state, command, digest, current(state).patched(value(patch)));
+        return replace(state, command, digest, currentConfiguration(state).patched(validValue(patch)));
     }
 
     private Decision replace(State state, Call command, long digest, Validated<FleetConfig> checked) {
         if (checked instanceof Validated.Invalid<FleetConfig> invalid) {
             return Decision.invalid(invalid.errors());
         }
-        FleetConfig next = value(checked);
+        FleetConfig next = validValue(checked);
         if (command.base() != state.revision()) {
-            return otherVersion(state, command);
+            return rejectStaleBase(state, command);
         }
         if (next.revision() <= state.revision()) {
             return Decision.invalid(List.of(new ConfigError.OldRevision(next.revision(), state.revision())));
@@ -58,7 +58,7 @@
     }
 
     /** A stale base is refused only while it is certain that the order was not taken long ago and then forgotten. */
-    private static Decision otherVersion(State state, Call command) {
+    private static Decision rejectStaleBase(State state, Call command) {
         return Decision.answer(
                 CommandHistory.mayHaveForgotten(state, command.base()) ? Outcome.UNCLEAR : Outcome.OTHER_VERSION);
     }
@@ -69,20 +69,20 @@
         if (checked instanceof Validated.Invalid<ServingRules> invalid) {
             return Decision.invalid(invalid.errors());
         }
-        ServingRules next = value(checked);
-        ServingRules inForce = rulesInForce(state);
+        ServingRules next = validValue(checked);
+        ServingRules current = currentRules(state);
         long digest = CommandHistory.digest(command);
-        if (inForce != null && inForce.digest() == next.digest() || CommandHistory.contains(state, digest)) {
+        if (current != null && current.digest() == next.digest() || CommandHistory.contains(state, digest)) {
             return Decision.answer(Outcome.TAKEN);
         }
-        long revision = inForce == null ? 0 : inForce.revision();
+        long revision = current == null ? 0 : current.revision();
         if (command.base() != revision) {
             return Decision.answer(Outcome.OTHER_VERSION);
         }
         if (next.revision() <= revision) {
             return Decision.invalid(List.of(new ConfigError.OldRevision(next.revision(), revision)));
         }
-        FleetConfig configuration = state.config().length == 0 ? null : current(state);
+        FleetConfig configuration = state.config().length == 0 ? null : currentConfiguration(state);
         List<ConfigError> errors = ServingRulesValidator.validate(next, configuration, Set.of());
         return errors.isEmpty()
                 ? Decision.commit(command, next.revision(), digest, next.bytes())
@@ -90,20 +90,20 @@
     }
 
     /** Null if there are none. */
-    private static ServingRules rulesInForce(State state) {
-        Mark mark = ControlState.mark(state, MarkKind.RULES, ControlState.RULES_KEY);
-        return mark == null ? null : value(ServingRules.read(mark.value().getBytes(UTF_8)));
+    private static ServingRules currentRules(State state) {
+        Mark mark = ControlState.findMark(state, MarkKind.RULES, ControlState.RULES_KEY);
+        return mark == null ? null : validValue(ServingRules.read(mark.value().getBytes(UTF_8)));
     }
 
-    private FleetConfig current(State state) {
-        if (parsed == null || parsed.revision() != state.revision()) {
-            parsed = value(FleetConfig.read(FleetConfig.unpack(state.config())));
+    private FleetConfig currentConfiguration(State state) {
+        if (cachedConfiguration == null || cachedConfiguration.revision() != state.revision()) {
+            cachedConfiguration = validValue(FleetConfig.read(FleetConfig.unpack(state.config())));
         }
-        return parsed;
+        return cachedConfiguration;
     }
 
     /** What is known to be valid: checked just before, or when it was taken into the state. */
-    private static <T> T value(Validated<T> checked) {
+    private static <T> T validValue(Validated<T> checked) {
         return ((Validated.Valid<T>) checked).value();
     }
 }
--- a/src/main/java/ringspindle/replication/ControlState.java
+++ b/src/main/java/ringspindle/replication/ControlState.java
@@ -24,7 +24,7 @@
     static final String RULES_KEY = "";
 
     /** So many engines that leave are remembered. */
-    private static final int LEAVING_MAX = 400;
+    private static final int MAX_LEAVING_ENGINES = 400;
 
     private static final byte[] NO_CONFIGURATION = {};
 
@@ -48,7 +48,7 @@
     }
 
     /** The mark of that kind and key, null if there is none. */
-    static Mark mark(State state, MarkKind kind, String key) {
+    static Mark findMark(State state, MarkKind kind, String key) {
         for (Mark mark : state.marks()) {
             if (kind.matches(mark) && mark.key().equals(key)) {
                 return mark;
@@ -60,44 +60,44 @@
     /** The state after an operation. One of a kind that this program does not know counts, and changes nothing else. */
     static State apply(State state, Op op) {
         return switch (CallKind.of(op.kind())) {
-            case PUT, PATCH -> configured(state, op);
-            case EVACUATE -> marked(state, MarkKind.EVACUATED, op.arg(), ON);
-            case RESTORE -> marked(state, MarkKind.EVACUATED, op.arg(), OFF);
-            case DRAIN -> marked(state, MarkKind.LEAVING, op.arg(), DRAINING);
-            case GONE -> marked(state, MarkKind.LEAVING, op.arg(), GONE);
-            case ROLLOUT -> marked(state, MarkKind.ROLLOUT, op.arg(), new String(op.body(), UTF_8));
-            case RULES -> ruled(state, op);
-            case EXPERIMENT -> marked(state, MarkKind.EXPERIMENT, op.arg(), new String(op.body(), UTF_8));
-            case SHARD -> marked(state, MarkKind.SHARD, op.arg(), new String(op.body(), UTF_8));
-            case RETIRE -> marked(state, MarkKind.RETIREMENT, op.arg(), ON);
-            case METER -> marked(state, MarkKind.METERING, MeteredWindow.KEY, new String(op.body(), UTF_8));
-            case VERSION -> marked(state, MarkKind.VERSION, op.arg(), new String(op.body(), UTF_8));
-            case READ, UNKNOWN -> next(state, state.past(), state.marks());
+            case PUT, PATCH -> applyConfiguration(state, op);
+            case EVACUATE -> applyMark(state, MarkKind.EVACUATED, op.arg(), ON);
+            case RESTORE -> applyMark(state, MarkKind.EVACUATED, op.arg(), OFF);
+            case DRAIN -> applyMark(state, MarkKind.LEAVING, op.arg(), DRAINING);
+            case GONE -> applyMark(state, MarkKind.LEAVING, op.arg(), GONE);
+            case ROLLOUT -> applyMark(state, MarkKind.ROLLOUT, op.arg(), new String(op.body(), UTF_8));
+            case RULES -> applyRules(state, op);
+            case EXPERIMENT -> applyMark(state, MarkKind.EXPERIMENT, op.arg(), new String(op.body(), UTF_8));
+            case SHARD -> applyMark(state, MarkKind.SHARD, op.arg(), new String(op.body(), UTF_8));
+            case RETIRE -> applyMark(state, MarkKind.RETIREMENT, op.arg(), ON);
+            case METER -> applyMark(state, MarkKind.METERING, MeteredWindow.KEY, new String(op.body(), UTF_8));
+            case VERSION -> applyMark(state, MarkKind.VERSION, op.arg(), new String(op.body(), UTF_8));
+            case READ, UNKNOWN -> withMarks(state, state.past(), state.marks());
         };
     }
 
-    private static State next(State state, List<TakenOrder> past, List<Mark> marks) {
+    private static State withMarks(State state, List<TakenOrder> past, List<Mark> marks) {
         return new State(state.lineage(), state.seq() + 1, state.revision(), past, marks, state.config());
     }
 
-    private static State configured(State state, Op op) {
-        List<TakenOrder> past = CommandHistory.with(state.past(), op.revision(), op.digest());
+    private static State applyConfiguration(State state, Op op) {
+        List<TakenOrder> past = CommandHistory.append(state.past(), op.revision(), op.digest());
         return new State(state.lineage(), state.seq() + 1, op.revision(), past, state.marks(), op.body());
     }
 
-    private static State ruled(State state, Op op) {
-        State marked = marked(state, MarkKind.RULES, RULES_KEY, new String(op.body(), UTF_8));
-        List<TakenOrder> past = CommandHistory.with(state.past(), CommandHistory.NO_REVISION, op.digest());
+    private static State applyRules(State state, Op op) {
+        State marked = applyMark(state, MarkKind.RULES, RULES_KEY, new String(op.body(), UTF_8));
+        List<TakenOrder> past = CommandHistory.append(state.past(), CommandHistory.NO_REVISION, op.digest());
         return new State(marked.lineage(), marked.seq(), marked.revision(), past, marked.marks(), marked.config());
     }
 
-    private static State marked(State state, MarkKind kind, String key, String value) {
+    private static State applyMark(State state, MarkKind kind, String key, String value) {
         Mark mark = new Mark(kind.code(), key, state.seq() + 1, value);
-        return next(state, state.past(), with(state.marks(), mark));
+        return withMarks(state, state.past(), replaceMark(state.marks(), mark));
     }
 
     /** The marks with one set; where too many engines leave, the oldest of these marks are dropped. */
-    private static List<Mark> with(List<Mark> marks, Mark set) {
+    private static List<Mark> replaceMark(List<Mark> marks, Mark set) {
         List<Mark> kept = new ArrayList<>(marks.size() + 1);
         int leaving = 0;
         for (Mark mark : marks) {
@@ -107,7 +107,7 @@
             }
         }
         kept.add(set);
-        for (int i = 0; leaving > LEAVING_MAX && i < kept.size(); ) {
+        for (int i = 0; leaving > MAX_LEAVING_ENGINES && i < kept.size(); ) {
             if (MarkKind.LEAVING.matches(kept.get(i))) {
                 kept.remove(i);
                 leaving--;
--- a/src/main/java/ringspindle/replication/ExperimentCommands.java
+++ b/src/main/java/ringspindle/replication/ExperimentCommands.java
@@ -22,17 +22,17 @@
 
 /** One order on an experiment, and what it makes of the control state: an operator's, or one of the judge in charge. */
 final class ExperimentCommands {
-    private static final double LEAST_RAMP = 0.001;
+    private static final double MIN_RAMP = 0.001;
 
     private final State state;
-    private final Call order;
+    private final Call command;
     private final JsonObject fields;
     /** The experiment of that name as it stands, null if there is none. */
     private final Experiment current;
 
     private ExperimentCommands(State state, Call command, JsonObject fields, Experiment current) {
         this.state = state;
-        this.order = command;
+        this.command = command;
         this.fields = fields;
         this.current = current;
     }
@@ -55,12 +55,12 @@
         }
         return switch (name) {
             case "ramp" -> ramp();
-            case "pause" -> turn(Standing.RUNNING, Standing.PAUSED);
-            case "resume" -> turn(Standing.PAUSED, Standing.RUNNING);
-            case "halt" -> over(Standing.HALTED, fields.getString("keep", ""));
-            case "end" -> over(Standing.ENDED, "");
+            case "pause" -> transition(Standing.RUNNING, Standing.PAUSED);
+            case "resume" -> transition(Standing.PAUSED, Standing.RUNNING);
+            case "halt" -> finish(Standing.HALTED, fields.getString("keep", ""));
+            case "end" -> finish(Standing.ENDED, "");
             case "promote" -> promote();
-            default -> judged(name);
+            default -> decideJudgeCommand(name);
         };
     }
 
@@ -74,8 +74,8 @@
         }
         ExperimentDocument.Started started = ((Validated.Valid<ExperimentDocument.Started>) read).value();
         Plan plan = started.plan();
-        if (!plan.name().equals(order.arg())) {
-            return Decision.invalid(List.of(new ConfigError.OutOfRange("name", plan.name(), order.arg())));
+        if (!plan.name().equals(command.arg())) {
+            return Decision.invalid(List.of(new ConfigError.OutOfRange("name", plan.name(), command.arg())));
         }
         if (current != null && current.isOpen()) {
             boolean same =
@@ -91,14 +91,14 @@
         if (!errors.isEmpty()) {
             return Decision.invalid(errors);
         }
-        Optional<String> conflict = conflict(plan);
+        Optional<String> conflict = findConflict(plan);
         return conflict.isPresent()
                 ? Decision.invalid(conflict.get())
-                : write(Experiment.start(plan, started.ramp(), state.seq() + 1));
+                : commit(Experiment.start(plan, started.ramp(), state.seq() + 1));
     }
 
     /** A route takes part in one open experiment at most, and follows one promoted policy; a salt is used once. */
-    private Optional<String> conflict(Plan plan) {
+    private Optional<String> findConflict(Plan plan) {
         for (Mark mark : state.marks()) {
             if (!MarkKind.EXPERIMENT.matches(mark)) {
                 continue;
@@ -119,8 +119,8 @@
 
     private Decision ramp() {
         double to = fields.get("to") instanceof JsonNumber number ? number.doubleValue() : 0;
-        if (to < LEAST_RAMP || to > 1) {
-            return Decision.invalid(List.of(new ConfigError.OutOfRange("to", "" + to, LEAST_RAMP + " to 1")));
+        if (to < MIN_RAMP || to > 1) {
+            return Decision.invalid(List.of(new ConfigError.OutOfRange("to", "" + to, MIN_RAMP + " to 1")));
         }
         if (!current.isOpen()) {
             return Decision.answer(Outcome.CLASH);
@@ -129,22 +129,22 @@
             return Decision.invalid(List.of(
                     new ConfigError.OutOfRange("to", "" + to, "at least " + current.ramp() + ", as no side shrinks")));
         }
-        return write(current.rampedTo(to));
+        return commit(current.rampedTo(to));
     }
 
-    private Decision turn(Standing from, Standing to) {
+    private Decision transition(Standing from, Standing to) {
         if (current.state() == to) {
             return Decision.answer(Outcome.TAKEN);
         }
-        return current.state() == from ? write(current.with(to, "", "")) : Decision.answer(Outcome.CLASH);
+        return current.state() == from ? commit(current.with(to, "", "")) : Decision.answer(Outcome.CLASH);
     }
 
     /** Written also if it is over: the newer mark fences a start that is still on its way. */
-    private Decision over(Standing standing, String survivor) {
+    private Decision finish(Standing finalState, String survivor) {
         if (!survivor.isEmpty() && current.side(survivor).isEmpty()) {
             return unknownSide(survivor);
         }
-        return write(current.isOpen() ? current.with(standing, survivor, "operator") : current);
+        return commit(current.isOpen() ? current.with(finalState, survivor, "operator") : current);
     }
 
     private Decision promote() {
@@ -152,7 +152,7 @@
         if (current.side(side).isEmpty()) {
             return unknownSide(side);
         }
-        return write(current.with(Standing.PROMOTED, side, "operator"));
+        return commit(current.with(Standing.PROMOTED, side, "operator"));
     }
 
     private static Decision unknownSide(String name) {
@@ -161,33 +161,33 @@
 
     // ---- orders of the judge in charge; whoever holds an older epoch is refused
 
-    private Decision judged(String name) {
-        boolean inCharge = fields.getJsonNumber(JsonCommand.EPOCH).longValue() == state.lineage()
+    private Decision decideJudgeCommand(String name) {
+        boolean fromCurrentJudge = fields.getJsonNumber(JsonCommand.EPOCH).longValue() == state.lineage()
                 && fields.getJsonNumber("id").longValue() == current.id();
-        if (!inCharge || current.state() != Standing.RUNNING) {
+        if (!fromCurrentJudge || current.state() != Standing.RUNNING) {
             return Decision.answer(Outcome.CLASH);
         }
         return switch (name) {
-            case "look" -> look();
+            case "look" -> recordLook();
             case "worse" ->
-                write(current.with(Standing.HALTED, fields.getString("survivor"), fields.getString("cause")));
-            case "harm" -> write(current.with(Standing.HALTED, "", fields.getString("cause")));
-            case "over" -> write(current.with(Standing.ENDED, "", fields.getString("cause")));
-            case "stop" -> write(current.with(Standing.PAUSED, "", fields.getString("cause")));
+                commit(current.with(Standing.HALTED, fields.getString("survivor"), fields.getString("cause")));
+            case "harm" -> commit(current.with(Standing.HALTED, "", fields.getString("cause")));
+            case "over" -> commit(current.with(Standing.ENDED, "", fields.getString("cause")));
+            case "stop" -> commit(current.with(Standing.PAUSED, "", fields.getString("cause")));
             default -> Decision.invalid("no such order: " + name);
         };
     }
 
     /** Each look has a number of its own, so that its part of the error rate is spent once, whoever looks. */
-    private Decision look() {
+    private Decision recordLook() {
         int number = fields.getInt("look");
         return number == current.progress().looks() + 1
-                ? write(current.lookedAt(
+                ? commit(current.lookedAt(
                         new Progress(number, fields.getJsonNumber("requests").longValue(), fields.getInt("elapsedS"))))
                 : Decision.answer(Outcome.CLASH);
     }
 
-    private Decision write(Experiment experiment) {
-        return Decision.commit(order, experiment.write().getBytes(UTF_8));
+    private Decision commit(Experiment experiment) {
+        return Decision.commit(command, experiment.write().getBytes(UTF_8));
     }
 }
--- a/src/main/java/ringspindle/replication/JsonCommand.java
+++ b/src/main/java/ringspindle/replication/JsonCommand.java
@@ -31,13 +31,13 @@
         if (!(FleetConfig.json(command.body()) instanceof Validated.Valid<JsonObject> valid)) {
             return Decision.invalid("not a whole JSON object");
         }
-        Mark mark = ControlState.mark(state, kind, command.arg());
+        Mark mark = ControlState.findMark(state, kind, command.arg());
         JsonObject fields = valid.value();
         try {
             Decision decision = rule.decide(fields, mark);
             // an operator's order that was held up must not undo a newer one; whoever is in charge names its epoch
-            boolean operators = !fields.containsKey(EPOCH);
-            return operators && decision instanceof Decision.Commit && CommandDecider.overtaken(command, mark)
+            boolean fromOperator = !fields.containsKey(EPOCH);
+            return fromOperator && decision instanceof Decision.Commit && CommandDecider.isStale(command, mark)
                     ? Decision.answer(Outcome.UNCLEAR)
                     : decision;
         } catch (ClassCastException | NullPointerException | ArithmeticException e) {
--- a/src/main/java/ringspindle/replication/MeteredWindow.java
+++ b/src/main/java/ringspindle/replication/MeteredWindow.java
@@ -71,9 +71,9 @@
     static Decision decide(State state, Call command) {
         return JsonCommand.decide(state, command, MarkKind.METERING, (fields, mark) -> {
             MeteredWindow next = read(fields);
-            boolean inCharge = fields.getJsonNumber(JsonCommand.EPOCH).longValue() == state.lineage();
+            boolean fromCurrentHead = fields.getJsonNumber(JsonCommand.EPOCH).longValue() == state.lineage();
             boolean follows = mark == null || next.window() > read(mark.value()).window();
-            return inCharge && follows
+            return fromCurrentHead && follows
                     ? Decision.commit(command, next.write().getBytes(UTF_8))
                     : Decision.answer(Outcome.CLASH);
         });
--- a/src/main/java/ringspindle/replication/OutputQueue.java
+++ b/src/main/java/ringspindle/replication/OutputQueue.java
@@ -69,7 +69,7 @@
     }
 
     /** What has come together since the last call. */
-    List<ReplicatedState.Output> takeOutputs() {
+    List<ReplicatedState.Output> drain() {
         List<ReplicatedState.Output> taken = outputs;
         outputs = new ArrayList<>();
         return taken;
--- a/src/main/java/ringspindle/replication/OutstandingCalls.java
+++ b/src/main/java/ringspindle/replication/OutstandingCalls.java
@@ -19,20 +19,20 @@
         record Waiting() implements Progress {}
 
         /** Passed on to the head or tail of that epoch's view, or decided here as such; in another view it waits again. */
-        record HandedOver(long epoch) implements Progress {}
+        record Dispatched(long epoch) implements Progress {}
     }
 
     /** A call that is not answered yet. */
     static final class OutstandingCall {
         private final CallId id;
         private final Call call;
-        private final long sinceMs;
+        private final long receivedMs;
         private Progress progress = Progress.WAITING;
 
-        private OutstandingCall(CallId id, Call call, long sinceMs) {
+        private OutstandingCall(CallId id, Call call, long receivedMs) {
             this.id = id;
             this.call = call;
-            this.sinceMs = sinceMs;
+            this.receivedMs = receivedMs;
         }
 
         CallId id() {
@@ -48,19 +48,19 @@
         }
 
         long ageMs(long nowMs) {
-            return nowMs - sinceMs;
+            return nowMs - receivedMs;
         }
 
-        boolean handedOverIn(long epoch) {
-            return progress instanceof Progress.HandedOver done && done.epoch() == epoch;
+        boolean dispatchedIn(long epoch) {
+            return progress instanceof Progress.Dispatched done && done.epoch() == epoch;
         }
 
-        void handOver(long epoch) {
-            progress = new Progress.HandedOver(epoch);
+        void markDispatched(long epoch) {
+            progress = new Progress.Dispatched(epoch);
         }
 
         /** What was passed on may be lost. */
-        void waitAgain() {
+        void markWaiting() {
             progress = Progress.WAITING;
         }
     }
@@ -84,7 +84,7 @@
     }
 
     /** Calls that the node took itself from callers. */
-    Iterable<OutstandingCall> of(NodeId origin) {
+    Iterable<OutstandingCall> from(NodeId origin) {
         return byOrigin.getOrDefault(origin, Map.of()).values();
     }
 
@@ -96,7 +96,7 @@
         byOrigin.values().forEach(calls -> calls.values().removeIf(condition));
     }
 
-    void keepOnly(NodeId origin) {
+    void retainOrigin(NodeId origin) {
         byOrigin.keySet().removeIf(other -> !other.equals(origin));
     }
 
@@ -106,24 +106,24 @@
         return calls != null && calls.remove(id.number()) != null;
     }
 
-    private boolean holds(CallId id) {
+    private boolean contains(CallId id) {
         Map<Long, OutstandingCall> calls = byOrigin.get(id.origin());
         return calls != null && calls.containsKey(id.number());
     }
 
-    /** The call is answered; it is forgotten by the next {@link #forgetAnswered}. */
-    void answered(CallId id) {
+    /** The call is answered; it is forgotten by the next {@link #removeAnswered}. */
+    void markAnswered(CallId id) {
         answered.add(id);
     }
 
     /** The same, if the call is still held here. */
-    void answeredIfHeld(CallId id) {
-        if (holds(id)) {
-            answered(id);
+    void markAnsweredIfOutstanding(CallId id) {
+        if (contains(id)) {
+            markAnswered(id);
         }
     }
 
-    void forgetAnswered() {
+    void removeAnswered() {
         answered.forEach(this::remove);
         answered.clear();
     }
--- a/src/main/java/ringspindle/replication/Rollout.java
+++ b/src/main/java/ringspindle/replication/Rollout.java
@@ -48,7 +48,7 @@
     }
 
     /** The same roll-out, so far; lists are copied. */
-    Rollout with(Status standing, String reason, List<String> inTurn, List<String> done) {
+    Rollout with(Status newStatus, String newCause, List<String> newSwapping, List<String> newSwapped) {
         return new Rollout(
                 service,
                 targetWeights,
@@ -56,11 +56,11 @@
                 maxUnavailable,
                 minInServiceShare,
                 swapTimeoutS,
-                standing,
-                reason,
+                newStatus,
+                newCause,
                 epoch,
-                List.copyOf(inTurn),
-                List.copyOf(done));
+                List.copyOf(newSwapping),
+                List.copyOf(newSwapped));
     }
 
     /** As JSON; {@code Rollout.read(rollout.write()).equals(rollout)}. */
--- a/src/main/java/ringspindle/replication/RolloutCommands.java
+++ b/src/main/java/ringspindle/replication/RolloutCommands.java
@@ -16,20 +16,20 @@
 
 /** One order on a roll-out, and what it makes of the control state: an operator's, or a step of the controller in charge. */
 final class RolloutCommands {
-    private static final int DEFAULT_AT_ONCE = 1;
-    private static final double DEFAULT_FLOOR = 0.5;
-    private static final int DEFAULT_PATIENCE_S = 120;
+    private static final int DEFAULT_MAX_UNAVAILABLE = 1;
+    private static final double DEFAULT_MIN_IN_SERVICE_SHARE = 0.5;
+    private static final int DEFAULT_SWAP_TIMEOUT_S = 120;
     private static final long UNKNOWN_WEIGHTS = -1;
 
     private final State state;
-    private final Call order;
+    private final Call command;
     private final JsonObject fields;
     /** The service's roll-out as it stands, null if there is none. */
     private final Rollout current;
 
     private RolloutCommands(State state, Call command, JsonObject fields, Rollout current) {
         this.state = state;
-        this.order = command;
+        this.command = command;
         this.fields = fields;
         this.current = current;
     }
@@ -48,38 +48,43 @@
             case "start" -> start();
             case "resume" -> resume();
             case "abort" -> abort();
-            case "back" -> back();
-            default -> step(name);
+            case "back" -> rollBack();
+            default -> decideControllerStep(name);
         };
     }
 
     // ---- operators' orders
 
     private Decision start() {
-        long target = fields.getJsonNumber("target").longValueExact();
-        int atOnce = fields.getInt("atOnce", DEFAULT_AT_ONCE);
-        double floor = fields.get("floor") instanceof JsonNumber number ? number.doubleValue() : DEFAULT_FLOOR;
-        int patienceS = fields.getInt("patienceS", DEFAULT_PATIENCE_S);
-        if (atOnce < 1 || floor < 0 || floor >= 1 || patienceS < 1 || target < 0) {
+        long targetWeights = fields.getJsonNumber("target").longValueExact();
+        int maxUnavailable = fields.getInt("atOnce", DEFAULT_MAX_UNAVAILABLE);
+        double minInServiceShare =
+                fields.get("floor") instanceof JsonNumber number ? number.doubleValue() : DEFAULT_MIN_IN_SERVICE_SHARE;
+        int swapTimeoutS = fields.getInt("patienceS", DEFAULT_SWAP_TIMEOUT_S);
+        if (maxUnavailable < 1
+                || minInServiceShare < 0
+                || minInServiceShare >= 1
+                || swapTimeoutS < 1
+                || targetWeights < 0) {
             return Decision.invalid("atOnce from 1, floor from 0 to below 1, patienceS from 1, target from 0");
         }
-        if (open()) {
-            boolean same = current.targetWeights() == target
-                    && current.maxUnavailable() == atOnce
-                    && current.minInServiceShare() == floor;
+        if (isOpen()) {
+            boolean same = current.targetWeights() == targetWeights
+                    && current.maxUnavailable() == maxUnavailable
+                    && current.minInServiceShare() == minInServiceShare;
             return Decision.answer(same ? Outcome.TAKEN : Outcome.CLASH);
         }
         if (!serviceExists()) {
-            return Decision.invalid(new ConfigError.UnknownService("of the roll-out", order.arg()).text());
+            return Decision.invalid(new ConfigError.UnknownService("of the roll-out", command.arg()).text());
         }
-        long from = fields.get("from") instanceof JsonNumber number ? number.longValue() : UNKNOWN_WEIGHTS;
-        return write(new Rollout(
-                order.arg(),
-                target,
-                from,
-                atOnce,
-                floor,
-                patienceS,
+        long previousWeights = fields.get("from") instanceof JsonNumber number ? number.longValue() : UNKNOWN_WEIGHTS;
+        return commit(new Rollout(
+                command.arg(),
+                targetWeights,
+                previousWeights,
+                maxUnavailable,
+                minInServiceShare,
+                swapTimeoutS,
                 Status.RUNNING,
                 "",
                 state.lineage(),
@@ -94,8 +99,8 @@
         if (current.status() == Status.RUNNING) {
             return Decision.answer(Outcome.TAKEN);
         }
-        return open()
-                ? write(current.with(Status.RUNNING, "", current.swapping(), current.swapped()))
+        return isOpen()
+                ? commit(current.with(Status.RUNNING, "", current.swapping(), current.swapped()))
                 : Decision.answer(Outcome.CLASH);
     }
 
@@ -104,17 +109,17 @@
             return Decision.answer(Outcome.NO_SUCH);
         }
         // written also if it is over: the newer mark fences a start that is still on its way
-        return write(open() ? current.with(Status.ABORTED, "", List.of(), current.swapped()) : current);
+        return commit(isOpen() ? current.with(Status.ABORTED, "", List.of(), current.swapped()) : current);
     }
 
-    private Decision back() {
+    private Decision rollBack() {
         if (current == null) {
             return Decision.answer(Outcome.NO_SUCH);
         }
         if (current.previousWeights() < 0) {
             return Decision.invalid("it is not known which checkpoint to turn back to");
         }
-        return write(new Rollout(
+        return commit(new Rollout(
                 current.service(),
                 current.previousWeights(),
                 current.targetWeights(),
@@ -128,67 +133,67 @@
                 List.of()));
     }
 
-    private boolean open() {
+    private boolean isOpen() {
         return current != null && (current.status() == Status.RUNNING || current.status() == Status.PAUSED);
     }
 
     private boolean serviceExists() {
         return state.config().length > 0
                 && FleetConfig.read(FleetConfig.unpack(state.config())) instanceof Validated.Valid<FleetConfig> config
-                && config.value().service(order.arg()) != null;
+                && config.value().service(command.arg()) != null;
     }
 
     // ---- steps of the controller in charge; whoever holds an older epoch is refused
 
-    private Decision step(String name) {
+    private Decision decideControllerStep(String name) {
         if (current == null) {
             return Decision.answer(Outcome.NO_SUCH);
         }
-        boolean inCharge = fields.getJsonNumber(JsonCommand.EPOCH).longValue() == state.lineage();
-        if (!inCharge || current.status() != Status.RUNNING) {
+        boolean fromCurrentController = fields.getJsonNumber(JsonCommand.EPOCH).longValue() == state.lineage();
+        if (!fromCurrentController || current.status() != Status.RUNNING) {
             return Decision.answer(Outcome.CLASH);
         }
         String engine = fields.getString("id", "");
         return switch (name) {
-            case "turn" -> turn(engine);
-            case "swapped" -> turnOver(engine, true);
-            case "lost" -> turnOver(engine, false);
+            case "turn" -> startSwap(engine);
+            case "swapped" -> finishSwap(engine, true);
+            case "lost" -> finishSwap(engine, false);
             case "pause" ->
-                write(current.with(
+                commit(current.with(
                         Status.PAUSED, fields.getString("cause", ""), current.swapping(), current.swapped()));
             case "done" ->
                 current.swapping().isEmpty()
-                        ? write(current.with(Status.DONE, "", current.swapping(), current.swapped()))
+                        ? commit(current.with(Status.DONE, "", current.swapping(), current.swapped()))
                         : Decision.answer(Outcome.CLASH);
             default -> Decision.invalid("no such order: " + name);
         };
     }
 
-    private Decision turn(String engine) {
+    private Decision startSwap(String engine) {
         if (current.swapping().contains(engine)) {
             return Decision.answer(Outcome.TAKEN);
         }
         if (current.swapping().size() >= current.maxUnavailable()) {
             return Decision.answer(Outcome.CLASH);
         }
-        List<String> turn = new ArrayList<>(current.swapping());
-        turn.add(engine);
-        return write(current.with(current.status(), "", turn, current.swapped()));
+        List<String> swapping = new ArrayList<>(current.swapping());
+        swapping.add(engine);
+        return commit(current.with(current.status(), "", swapping, current.swapped()));
     }
 
-    private Decision turnOver(String engine, boolean hasSwapped) {
-        List<String> turn = new ArrayList<>(current.swapping());
-        if (!turn.remove(engine)) {
+    private Decision finishSwap(String engine, boolean success) {
+        List<String> swapping = new ArrayList<>(current.swapping());
+        if (!swapping.remove(engine)) {
             return Decision.answer(Outcome.TAKEN);
         }
         List<String> swapped = new ArrayList<>(current.swapped());
-        if (hasSwapped) {
+        if (success) {
             swapped.add(engine);
         }
-        return write(current.with(current.status(), "", turn, swapped));
+        return commit(current.with(current.status(), "", swapping, swapped));
     }
 
-    private Decision write(Rollout rollout) {
-        return Decision.commit(order, rollout.write().getBytes(UTF_8));
+    private Decision commit(Rollout rollout) {
+        return Decision.commit(command, rollout.write().getBytes(UTF_8));
     }
 }
--- a/src/main/java/ringspindle/replication/ShardCommands.java
+++ b/src/main/java/ringspindle/replication/ShardCommands.java
@@ -35,8 +35,8 @@
     static Decision decideAssignment(State state, Call command) {
         return JsonCommand.decide(state, command, MarkKind.SHARD, (fields, mark) -> {
             ShardAssignment next = ShardAssignment.read(fields.getString(ASSIGNMENT));
-            boolean inCharge = epoch(fields) == state.lineage();
-            return inCharge && next.epoch() == epoch(mark) + 1
+            boolean fromCurrentHead = epoch(fields) == state.lineage();
+            return fromCurrentHead && next.epoch() == epoch(mark) + 1
                     ? Decision.commit(command, next.write().getBytes(UTF_8))
                     : Decision.answer(Outcome.CLASH);
         });
@@ -52,7 +52,7 @@
 
     /** An order to empty a node holds for good; one that is given again changes nothing. */
     static Decision decideRetirement(State state, Call command) {
-        Mark mark = ControlState.mark(state, MarkKind.RETIREMENT, command.arg());
+        Mark mark = ControlState.findMark(state, MarkKind.RETIREMENT, command.arg());
         return mark == null ? Decision.commit(command, command.body()) : Decision.answer(Outcome.TAKEN);
     }
 }
--- a/src/main/java/ringspindle/replication/SuccessorLink.java
+++ b/src/main/java/ringspindle/replication/SuccessorLink.java
@@ -7,10 +7,10 @@
  */
 final class SuccessorLink {
     /** What is not confirmed by the successor is sent again after so long, then after twice as long. */
-    private static final long RESEND_MS = 400;
+    private static final long RESEND_DELAY_MS = 400;
 
-    private static final long RESEND_MAX_MS = 6400;
-    private static final long NOTHING = -1;
+    private static final long MAX_RESEND_DELAY_MS = 6400;
+    private static final long NO_SEQ = -1;
 
     /** What the successor is sent next. */
     private sealed interface Transfer {
@@ -22,23 +22,23 @@
     }
 
     private Transfer transfer = new Transfer.SnapshotDue();
-    private long confirmedSeq = NOTHING;
-    private long resendMs = RESEND_MS;
+    private long confirmedSeq = NO_SEQ;
+    private long resendDelayMs = RESEND_DELAY_MS;
 
     /** A new view: nothing of it has been sent to its successor. */
     void startView() {
         onReconnected();
-        confirmedSeq = NOTHING;
+        confirmedSeq = NO_SEQ;
     }
 
     /** The connection stands anew: what went over an older one may be lost. */
     void onReconnected() {
-        startOver();
-        resendMs = RESEND_MS;
+        requireSnapshot();
+        resendDelayMs = RESEND_DELAY_MS;
     }
 
     /** A snapshot is due, of a copy that was replaced or since the successor seems to lack one. */
-    void startOver() {
+    void requireSnapshot() {
         transfer = new Transfer.SnapshotDue();
     }
 
@@ -48,7 +48,7 @@
 
     /** The sequence number that was sent last, -1 if a snapshot is due. */
     long sentSeq() {
-        return transfer instanceof Transfer.Streaming streaming ? streaming.sentSeq() : NOTHING;
+        return transfer instanceof Transfer.Streaming streaming ? streaming.sentSeq() : NO_SEQ;
     }
 
     /** A snapshot or an entry goes out. */
@@ -58,17 +58,17 @@
 
     void confirmed(long seq) {
         confirmedSeq = Math.max(confirmedSeq, seq);
-        resendMs = RESEND_MS;
+        resendDelayMs = RESEND_DELAY_MS;
     }
 
     /** Starts over if the successor has not confirmed all up to that number for too long. */
     void tick(long newestSeq, long nowMs) {
         if (transfer instanceof Transfer.Streaming streaming
                 && confirmedSeq < newestSeq
-                && nowMs - streaming.sentMs() > resendMs) {
+                && nowMs - streaming.sentMs() > resendDelayMs) {
             // a large snapshot over a slow link takes its time: sending it ever more often would never end
-            resendMs = Math.min(resendMs * 2, RESEND_MAX_MS);
-            startOver();
+            resendDelayMs = Math.min(resendDelayMs * 2, MAX_RESEND_DELAY_MS);
+            requireSnapshot();
         }
     }
 
--- a/src/main/java/ringspindle/replication/SyncProgress.java
+++ b/src/main/java/ringspindle/replication/SyncProgress.java
@@ -9,18 +9,18 @@
  * last {@link #restart}, as syncs of the copy before that one prove nothing of it.
  */
 final class SyncProgress {
-    private static final long NOTHING = -1;
+    private static final long NO_SEQ = -1;
 
-    private long seq = NOTHING;
+    private long seq = NO_SEQ;
     private State newest = ControlState.empty();
 
     /** A copy begins of which nothing is on disk yet. */
     void restart() {
-        seq = NOTHING;
+        seq = NO_SEQ;
     }
 
     /** The copy was found on disk as it is. */
-    void found(State state) {
+    void restore(State state) {
         seq = state.seq();
         newest = state;
     }
@@ -28,7 +28,7 @@
     /** A state of the copy is on disk. */
     void synced(State state) {
         if (state.seq() >= seq) {
-            found(state);
+            restore(state);
         }
     }
 
@@ -43,7 +43,7 @@
     }
 
     /** True if the newest state on disk belongs to that view and is no newer than that sequence number. */
-    boolean holds(long epoch, long upToSeq) {
+    boolean hasStateAtOrBefore(long epoch, long upToSeq) {
         return newest.lineage() == epoch && newest.seq() <= upToSeq;
     }
 }
--- a/src/main/java/ringspindle/replication/VersionRollout.java
+++ b/src/main/java/ringspindle/replication/VersionRollout.java
@@ -69,10 +69,10 @@
      *
      * @param epoch of the view whose head gives the order
      */
-    public static byte[] endCommand(Status standing, long epoch) {
+    public static byte[] endCommand(Status finalStatus, long epoch) {
         return JSON.createObjectBuilder()
                 .add(JsonCommand.EPOCH, epoch)
-                .add(STATE, standing.name())
+                .add(STATE, finalStatus.name())
                 .build()
                 .toString()
                 .getBytes(UTF_8);
@@ -83,12 +83,12 @@
         return JsonCommand.decide(state, command, MarkKind.VERSION, (fields, mark) -> {
             VersionRollout current = mark == null ? null : read(mark.value());
             return fields.containsKey(JsonCommand.EPOCH)
-                    ? ended(state, command, fields, current)
-                    : started(state, command, fields, current);
+                    ? decideEnd(state, command, fields, current)
+                    : decideStart(state, command, fields, current);
         });
     }
 
-    private static Decision started(State state, Call command, JsonObject fields, VersionRollout current) {
+    private static Decision decideStart(State state, Call command, JsonObject fields, VersionRollout current) {
         int durationS = fields.getJsonNumber(DURATION).intValue();
         String revision = fields.getString(REVISION);
         if (durationS < 1 || revision.isEmpty()) {
@@ -106,15 +106,15 @@
                 : Decision.answer(Outcome.NO_SUCH);
     }
 
-    private static Decision ended(State state, Call command, JsonObject fields, VersionRollout current) {
-        boolean inCharge = fields.getJsonNumber(JsonCommand.EPOCH).longValue() == state.lineage();
-        if (current == null || !inCharge || current.status() != Status.ACTIVE) {
+    private static Decision decideEnd(State state, Call command, JsonObject fields, VersionRollout current) {
+        boolean fromCurrentHead = fields.getJsonNumber(JsonCommand.EPOCH).longValue() == state.lineage();
+        if (current == null || !fromCurrentHead || current.status() != Status.ACTIVE) {
             return Decision.answer(Outcome.CLASH);
         }
-        Status standing = Status.valueOf(fields.getString(STATE));
+        Status finalStatus = Status.valueOf(fields.getString(STATE));
         return write(
                 command,
-                new VersionRollout(current.service(), current.targetRevision(), current.durationS(), standing));
+                new VersionRollout(current.service(), current.targetRevision(), current.durationS(), finalStatus));
     }
 
     private static Decision write(Call command, VersionRollout rollout) {
--- a/src/main/java/ringspindle/replication/ViewConfirmations.java
+++ b/src/main/java/ringspindle/replication/ViewConfirmations.java
@@ -19,7 +19,7 @@
  */
 final class ViewConfirmations {
     /** An answer is no longer asked about after so long. */
-    private static final long ASKED_MS = 2500;
+    private static final long CONFIRMATION_TIMEOUT_MS = 2500;
 
     /** An answer that is not given yet. */
     sealed interface PendingAnswer {
@@ -34,18 +34,18 @@
 
     /** Gives the answers to the callers. */
     interface AnswerHandler {
-        void deliver(Read reading);
+        void deliver(Read read);
 
         void deliver(DecidedAnswer decided);
     }
 
-    private record Asked(PendingAnswer answer, long sinceMs, Set<NodeId> confirmedBy) {}
+    private record PendingConfirmation(PendingAnswer answer, long sinceMs, Set<NodeId> confirmedBy) {}
 
     private final ReplicaContext replica;
     private final OutputQueue outputs;
     private final ChainMember member;
-    private final AnswerHandler answers;
-    private final Long2ObjectMap<Asked> asked = new Long2ObjectLinkedOpenHashMap<>();
+    private final AnswerHandler answerHandler;
+    private final Long2ObjectMap<PendingConfirmation> pending = new Long2ObjectLinkedOpenHashMap<>();
     /** Confirmed, and waiting until all that they rest on is committed. */
     private final List<DecidedAnswer> uncommitted = new ArrayList<>();
 
@@ -55,49 +55,53 @@
      * @param firstId from chance, so that numbers of an earlier life of this node are not taken for this one's
      */
     ViewConfirmations(
-            ReplicaContext replica, OutputQueue outputs, ChainMember member, AnswerHandler answers, long firstId) {
+            ReplicaContext replica,
+            OutputQueue outputs,
+            ChainMember member,
+            AnswerHandler answerHandler,
+            long firstId) {
         this.replica = replica;
         this.outputs = outputs;
         this.member = member;
-        this.answers = answers;
+        this.answerHandler = answerHandler;
         nextId = firstId;
     }
 
     /** Asks the voters whether this view is still the newest, before an answer that rests on the state held here. */
-    void ask(PendingAnswer answer) {
+    void request(PendingAnswer answer) {
         long id = nextId++;
-        asked.put(id, new Asked(answer, replica.nowMs(), new TreeSet<>()));
+        pending.put(id, new PendingConfirmation(answer, replica.nowMs(), new TreeSet<>()));
         replica.view().voters().forEach(voter -> outputs.send(voter, new Confirm(replica.epoch(), id)));
     }
 
     void onConfirmed(NodeId from, Confirmed confirmation) {
-        Asked question = asked.get(confirmation.id());
-        if (question == null || !counts(from, confirmation)) {
+        PendingConfirmation request = pending.get(confirmation.id());
+        if (request == null || !isValid(from, confirmation)) {
             return;
         }
-        question.confirmedBy().add(from);
-        if (question.confirmedBy().size() < replica.view().majority()) {
+        request.confirmedBy().add(from);
+        if (request.confirmedBy().size() < replica.view().majority()) {
             return;
         }
-        asked.remove(confirmation.id());
-        if (question.answer() instanceof Read reading) {
-            answers.deliver(reading);
-        } else if (question.answer() instanceof DecidedAnswer decided) {
-            giveOnceCommitted(decided);
+        pending.remove(confirmation.id());
+        if (request.answer() instanceof Read read) {
+            answerHandler.deliver(read);
+        } else if (request.answer() instanceof DecidedAnswer decided) {
+            deliverOnceCommitted(decided);
         }
     }
 
-    private boolean counts(NodeId from, Confirmed confirmation) {
+    private boolean isValid(NodeId from, Confirmed confirmation) {
         return confirmation.ok()
                 && replica.view() != null
                 && confirmation.epoch() == replica.epoch()
                 && replica.view().voters().contains(from)
-                && member.established();
+                && member.hasCommittedInView();
     }
 
-    private void giveOnceCommitted(DecidedAnswer decided) {
+    private void deliverOnceCommitted(DecidedAnswer decided) {
         if (member.committed().seq() >= decided.seq()) {
-            answers.deliver(decided);
+            answerHandler.deliver(decided);
         } else {
             uncommitted.add(decided);
         }
@@ -108,7 +112,7 @@
         uncommitted.removeIf(decided -> {
             boolean due = decided.seq() <= seq;
             if (due) {
-                answers.deliver(decided);
+                answerHandler.deliver(decided);
             }
             return due;
         });
@@ -116,11 +120,11 @@
 
     /** A new view: what was decided and not answered is decided anew. */
     void startView() {
-        asked.clear();
+        pending.clear();
         uncommitted.clear();
     }
 
     void tick() {
-        asked.values().removeIf(question -> replica.nowMs() - question.sinceMs() > ASKED_MS);
+        pending.values().removeIf(question -> replica.nowMs() - question.sinceMs() > CONFIRMATION_TIMEOUT_MS);
     }
 }
--- a/src/test/java/ringspindle/replication/ExperimentOrdersTest.java
+++ b/src/test/java/ringspindle/replication/ExperimentOrdersTest.java
@@ -61,7 +61,7 @@
     }
 
     private Experiment near() {
-        Mark mark = ControlState.mark(state, MarkKind.EXPERIMENT, "near");
+        Mark mark = ControlState.findMark(state, MarkKind.EXPERIMENT, "near");
         return Experiment.read(mark.value());
     }
 
--- a/src/test/java/ringspindle/replication/FleetOrdersTest.java
+++ b/src/test/java/ringspindle/replication/FleetOrdersTest.java
@@ -45,7 +45,7 @@
     }
 
     private Mark mark(MarkKind kind, String key) {
-        return ControlState.mark(state, kind, key);
+        return ControlState.findMark(state, kind, key);
     }
 
     @Test
--- a/src/test/java/ringspindle/replication/ModelMonitor.java
+++ b/src/test/java/ringspindle/replication/ModelMonitor.java
@@ -100,13 +100,13 @@
     }
 
     private static boolean isOn(State state, String zone) {
-        Mark mark = ControlState.mark(state, MarkKind.EVACUATED, zone);
+        Mark mark = ControlState.findMark(state, MarkKind.EVACUATED, zone);
         return mark != null && mark.value().equals(ON);
     }
 
     /** True if a later order on the same zone is on top of that version. */
     private static boolean isNewer(State state, String zone, long version) {
-        Mark mark = ControlState.mark(state, MarkKind.EVACUATED, zone);
+        Mark mark = ControlState.findMark(state, MarkKind.EVACUATED, zone);
         return mark != null && mark.version() > version;
     }
 
--- a/src/test/java/ringspindle/replication/RolloutSimulation.java
+++ b/src/test/java/ringspindle/replication/RolloutSimulation.java
@@ -101,7 +101,7 @@
     }
 
     Rollout rollout() {
-        Mark m = ControlState.mark(state, MarkKind.ROLLOUT, "s");
+        Mark m = ControlState.findMark(state, MarkKind.ROLLOUT, "s");
         return m == null ? null : Rollout.read(m.value());
     }
 
