--- a/src/main/java/ringspindle/replication/ChainReplicatedState.java
+++ b/src/main/java/ringspindle/replication/ChainReplicatedState.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Random;
 import ringspindle.consensus.Connectivity;
-import ringspindle.consensus.LocalCopy;
-import ringspindle.consensus.Replica;
+import ringspindle.consensus.LocalState;
+import ringspindle.consensus.ReplicaContext;
 import ringspindle.consensus.ViewConsensus;
 import ringspindle.protocol.Message;
 import ringspindle.protocol.Message.Call;
@@ -25,45 +25,48 @@
  */
 final class ChainReplicatedState implements ReplicatedState {
     /** A node that has promised another view may answer for the old one no longer than this. */
-    private static final long FENCED_MS = 1500;
+    private static final long MAX_FENCED_MS = 1500;
 
     private final ViewConsensus consensus;
-    private final Replica replica;
+    private final ReplicaContext replica;
     private final OutputQueue outputs;
     private final ChainMember member;
-    private final OrderPipeline orders;
-    private boolean announced;
+    private final CallPipeline calls;
+    private boolean initialStatePersisted;
 
     ChainReplicatedState(
-            NodeId self, List<NodeId> seeds, boolean bootstrap, List<Message> found, long randomSeed, int leastVoters) {
+            NodeId self, List<NodeId> seeds, boolean bootstrap, List<Message> records, long randomSeed, int minVoters) {
         Random random = new Random(randomSeed);
         outputs = new OutputQueue(self);
         consensus = new ViewConsensus(
-                new ViewConsensus.Settings(self, seeds, bootstrap, leastVoters), random, outputs, new Copy());
+                new ViewConsensus.Settings(self, seeds, bootstrap, minVoters),
+                random,
+                outputs,
+                new LocalStateAdapter());
         replica = consensus.replica();
         member = new ChainMember(consensus, outputs, new CommitListener());
-        orders = new OrderPipeline(
-                replica, outputs, member, random.nextLong(), () -> !consensus.founding(replica.nowMs()));
-        found.forEach(this::load);
+        calls = new CallPipeline(
+                replica, outputs, member, random.nextLong(), () -> !consensus.awaitingVoters(replica.nowMs()));
+        records.forEach(this::restore);
         if (!replica.participates() && bootstrap && seeds.contains(self)) {
-            found(seeds);
+            bootstrap(seeds);
         }
     }
 
-    private void load(Message record) {
+    private void restore(Message record) {
         if (record instanceof Vote vote) {
             consensus.restore(vote);
         } else if (record instanceof State state) {
-            member.load(state);
+            member.restore(state);
         } else if (record instanceof Entry entry) {
-            member.load(entry);
+            member.restore(entry);
         }
     }
 
     /** The first start of a system: its seeds are the first voters. */
-    private void found(List<NodeId> seeds) {
+    private void bootstrap(List<NodeId> seeds) {
         consensus.bootstrap(seeds);
-        member.load(ControlState.first());
+        member.restore(ControlState.initial());
     }
 
     // ---- what others see
@@ -79,15 +82,18 @@
     }
 
     @Override
-    public boolean current(long nowMs) {
-        if (replica.view() == null || !consensus.quorumProven(nowMs)) {
+    public boolean upToDate(long nowMs) {
+        if (replica.view() == null || !consensus.hasRecentQuorum(nowMs)) {
             return false;
         }
         if (!replica.votes()) {
             // beyond the bound a node learns: it passes calls on, and hears what is committed as facts
-            return consensus.allSeatsTaken() && replica.participates();
+            return consensus.hasMaxVoters() && replica.participates();
         }
-        return committed() != null && member.ofThisView() && replica.inChain() && !consensus.fencedFor(FENCED_MS);
+        return committed() != null
+                && member.belongsToCurrentView()
+                && replica.inChain()
+                && !consensus.fencedFor(MAX_FENCED_MS);
     }
 
     @Override
@@ -96,86 +102,86 @@
     }
 
     @Override
-    public boolean founding(long nowMs) {
-        return consensus.founding(nowMs);
+    public boolean awaitingVoters(long nowMs) {
+        return consensus.awaitingVoters(nowMs);
     }
 
     @Override
-    public List<Message> durable() {
-        return List.of(consensus.vote(), member.last());
+    public List<Message> durableRecords() {
+        return List.of(consensus.vote(), member.latest());
     }
 
     /** Where it stands, for tests and logs. */
-    String standing() {
+    String describe() {
         View view = replica.view();
         return "view " + (view == null ? null : view.epoch() + " " + view.chain()) + " " + consensus + " " + member
-                + " " + orders;
+                + " " + calls;
     }
 
     // ---- inputs
 
     @Override
-    public List<Out> receive(NodeId from, Message message, long nowMs) {
+    public List<Output> receive(NodeId from, Message message, long nowMs) {
         replica.advanceTo(nowMs);
-        announce();
+        persistInitialState();
         dispatch(from, message);
-        return finish();
+        return drainOutputs();
     }
 
     @Override
-    public List<Out> stored(long token, long nowMs) {
+    public List<Output> recordsSynced(long token, long nowMs) {
         replica.advanceTo(nowMs);
         outputs.synced(token);
-        return finish();
+        return drainOutputs();
     }
 
     @Override
-    public List<Out> opened(NodeId peer, long nowMs) {
+    public List<Output> connectionOpened(NodeId peer, long nowMs) {
         replica.advanceTo(nowMs);
-        announce();
-        consensus.opened(peer);
-        member.onOpened(peer);
-        orders.onOpened(peer);
-        return finish();
+        persistInitialState();
+        consensus.onConnectionOpened(peer);
+        member.onConnectionOpened(peer);
+        calls.onConnectionOpened(peer);
+        return drainOutputs();
     }
 
     @Override
-    public List<Out> call(Call call, long nowMs) {
+    public List<Output> call(Call call, long nowMs) {
         replica.advanceTo(nowMs);
-        announce();
-        orders.take(call);
-        return finish();
+        persistInitialState();
+        calls.submit(call);
+        return drainOutputs();
     }
 
     @Override
-    public List<Out> tick(long nowMs, Connectivity connectivity) {
+    public List<Output> tick(long nowMs, Connectivity connectivity) {
         consensus.observe(nowMs, connectivity);
-        announce();
-        orders.tick();
-        consensus.askPeers();
+        persistInitialState();
+        calls.tick();
+        consensus.requestMissingState();
         if (replica.participates()) {
-            orders.goOn();
+            calls.process();
             member.tick();
             consensus.proposeIfDue();
         }
-        return finish();
+        return drainOutputs();
     }
 
-    private List<Out> finish() {
+    private List<Output> drainOutputs() {
         for (Message message = outputs.pollSelf(); message != null; message = outputs.pollSelf()) {
             dispatch(replica.self(), message);
         }
-        return outputs.takeOutputs();
+        return outputs.drain();
     }
 
     /** The first view and state go to disk before anything else is said or written. */
-    private void announce() {
-        if (announced || !replica.participates()) {
+    private void persistInitialState() {
+        if (initialStatePersisted || !replica.participates()) {
             return;
         }
-        announced = true;
-        outputs.emit(new Out.Viewed(replica.view()));
-        member.writeFirst();
+        initialStatePersisted = true;
+        outputs.emit(new Output.ViewChanged(replica.view()));
+        member.persistInitialState();
     }
 
     private void dispatch(NodeId from, Message message) {
@@ -189,11 +195,11 @@
         } else if (message instanceof Synced synced) {
             member.onSynced(from, synced);
         } else if (message instanceof Confirmed confirmed) {
-            orders.onConfirmed(from, confirmed);
+            calls.onConfirmed(from, confirmed);
         } else if (message instanceof Call call) {
-            orders.onCall(from, call);
+            calls.onCall(from, call);
         } else if (message instanceof Reply reply) {
-            orders.onReply(reply);
+            calls.onReply(reply);
         }
     }
 
@@ -201,25 +207,25 @@
     private final class CommitListener implements ChainMember.Listener {
         @Override
         public void acknowledged(CallId call) {
-            orders.acknowledged(call);
+            calls.acknowledged(call);
         }
 
         @Override
         public void committed(long seq) {
-            orders.committed(seq);
+            calls.committed(seq);
         }
     }
 
     /** What the agreement on views sees and tells of the copy held here. */
-    private final class Copy implements LocalCopy {
+    private final class LocalStateAdapter implements LocalState {
         @Override
         public Position position() {
             return member.position();
         }
 
         @Override
-        public boolean ofThisView() {
-            return member.ofThisView();
+        public boolean belongsToCurrentView() {
+            return member.belongsToCurrentView();
         }
 
         @Override
@@ -229,15 +235,15 @@
 
         @Override
         public void onViewStarted(View view) {
-            outputs.emit(new Out.Viewed(view));
+            outputs.emit(new Output.ViewChanged(view));
             member.startView();
-            orders.startView();
+            calls.startView();
         }
 
         @Override
         public void onRelearned(View view) {
-            outputs.emit(new Out.Viewed(view));
-            member.reset();
+            outputs.emit(new Output.ViewChanged(view));
+            member.resetAfterRelearning();
         }
     }
 }
