--- a/src/main/java/ringspindle/controlplane/ControlNode.java
+++ b/src/main/java/ringspindle/controlplane/ControlNode.java
@@ -162,7 +162,7 @@
     }
 
     /** Settings changed while running. */
-    public void settings(NodeConfig changed) {
+    public void applySettings(NodeConfig changed) {
         config = changed;
         fleet.settings(changed);
     }
@@ -176,18 +176,18 @@
     /** True once the others go on without this node and hold all that is committed here. */
     public boolean handedOver() {
         ReplicationDriver.Status status = replication.status();
-        return ShutdownHandover.done(context.me(), status.view(), status.sequence(), queries.holders());
+        return ShutdownHandover.done(context.me(), status.view(), status.sequence(), queries.peerStates());
     }
 
     /** What this node waits for before it serves. */
-    public ServingState.Awaited awaited() {
+    public ServingState.Prerequisite missingPrerequisite() {
         long nowMs = context.nowMs();
-        return serving.awaited(replication.phase(nowMs), nowMs);
+        return serving.missingPrerequisite(replication.phase(nowMs), nowMs);
     }
 
     /** True while a first start still waits for voters. */
-    public boolean founding() {
-        return replication.founding(context.nowMs());
+    public boolean bootstrapping() {
+        return replication.bootstrapping(context.nowMs());
     }
 
     /** Steady time of this node, in ms. */
@@ -201,7 +201,7 @@
     }
 
     /** This node's identity among nodes. */
-    public NodeId me() {
+    public NodeId nodeId() {
         return context.me();
     }
 
--- a/src/main/java/ringspindle/controlplane/ControlNodeTasks.java
+++ b/src/main/java/ringspindle/controlplane/ControlNodeTasks.java
@@ -160,7 +160,8 @@
                 .toList();
         List<NodeId> voters = view == null ? List.of() : view.voters();
         long nowMs = context.nowMs();
-        ControlPeerDialer.Roster roster = new ControlPeerDialer.Roster(seeds, voters, heard, quorum.inTouch(nowMs));
+        ControlPeerDialer.Roster roster =
+                new ControlPeerDialer.Roster(seeds, voters, heard, quorum.majorityReachable(nowMs));
         dialer.due(roster, context.mesh()::connected, nowMs).forEach(context.mesh()::dial);
     }
 
--- a/src/main/java/ringspindle/controlplane/EngineRegistry.java
+++ b/src/main/java/ringspindle/controlplane/EngineRegistry.java
@@ -41,7 +41,7 @@
     }
 
     /** Notes how many requests an engine still runs or queues, for operators who follow a roll-out. */
-    public void reported(String id, int active, int queued) {
+    public void recordReport(String id, int active, int queued) {
         View view = replication.view();
         if (view == null) {
             return;
--- a/src/main/java/ringspindle/controlplane/FleetQueries.java
+++ b/src/main/java/ringspindle/controlplane/FleetQueries.java
@@ -50,7 +50,7 @@
         synchronized (fleet.lock) {
             long nowMs = context.nowMs();
             fleet.sessions().advance(nowMs);
-            boolean inTouch = quorum.inTouch(nowMs);
+            boolean inTouch = quorum.majorityReachable(nowMs);
             Resolution resolution = fleet.frontends()
                     .resolve(region, zone, () -> fleet.homeRegions().of(host), inTouch, nowMs);
             fleet.resolutions().answered(region, resolution.scope(), () -> basis(host, inTouch, nowMs));
@@ -65,7 +65,7 @@
     }
 
     /** How many answers of the directory this node has given, by scope. */
-    public Map<String, Long> resolutions() {
+    public Map<String, Long> resolutionCounts() {
         synchronized (fleet.lock) {
             return fleet.resolutions().counts();
         }
@@ -97,15 +97,16 @@
     }
 
     /** What control nodes in touch last said that they hold. */
-    public List<ShutdownHandover.Holder> holders() {
-        List<ShutdownHandover.Holder> holders = new ArrayList<>();
+    public List<ShutdownHandover.PeerState> peerStates() {
+        List<ShutdownHandover.PeerState> holders = new ArrayList<>();
         synchronized (fleet.lock) {
             fleet.sessions().advance(context.nowMs());
             for (SessionTable.Peer peer : fleet.sessions().peers()) {
                 if (peer.hello().kind() == NodeKind.CONTROL && peer.linked()) {
                     Heartbeat newest = peer.heartbeat();
                     boolean blank = newest.flags().has(NodeFlags.RELEARNING);
-                    holders.add(new ShutdownHandover.Holder(peer.hello().node(), newest.epoch(), newest.seq(), blank));
+                    holders.add(
+                            new ShutdownHandover.PeerState(peer.hello().node(), newest.epoch(), newest.seq(), blank));
                 }
             }
         }
--- a/src/main/java/ringspindle/controlplane/QuorumTracker.java
+++ b/src/main/java/ringspindle/controlplane/QuorumTracker.java
@@ -98,7 +98,7 @@
     }
 
     /** True while a majority is proven to be in touch: calls may be passed on. */
-    boolean inTouch(long nowMs) {
+    boolean majorityReachable(long nowMs) {
         Proof latest = proof;
         return latest.valid(latest.contactMs(), nowMs);
     }
--- a/src/main/java/ringspindle/controlplane/QuotaHandler.java
+++ b/src/main/java/ringspindle/controlplane/QuotaHandler.java
@@ -75,7 +75,7 @@
         State committed = replication.committed();
         List<QuotaLeave> leaves = new ArrayList<>();
         synchronized (lock) {
-            if (committed == null || !serving.quorate() || serving.provenAgoMs() > HeadChanges.PROOF_MS) {
+            if (committed == null || !serving.quorate() || serving.quorumProofAgeMs() > HeadChanges.PROOF_MS) {
                 return;
             }
             long nowMs = context.nowMs();
--- a/src/main/java/ringspindle/controlplane/ReplicationDriver.java
+++ b/src/main/java/ringspindle/controlplane/ReplicationDriver.java
@@ -120,7 +120,7 @@
         long arrivedMs = context.nowMs();
         synchronized (lock) {
             long nowMs = context.nowMs();
-            if (quorum.inTouch(nowMs) || quorum.starting(nowMs)) {
+            if (quorum.majorityReachable(nowMs) || quorum.starting(nowMs)) {
                 long id = calls.open(kind, arrivedMs, callback);
                 carryOut(state.call(kind.call(id, base, argument, body), nowMs));
                 return;
@@ -169,7 +169,7 @@
     }
 
     /** True while a first start still waits for voters. */
-    boolean founding(long nowMs) {
+    boolean bootstrapping(long nowMs) {
         synchronized (lock) {
             return state.founding(nowMs);
         }
--- a/src/main/java/ringspindle/controlplane/ServingState.java
+++ b/src/main/java/ringspindle/controlplane/ServingState.java
@@ -9,7 +9,7 @@
  */
 public final class ServingState {
     /** What a control node waits for before it serves; operators read these names. */
-    public enum Awaited {
+    public enum Prerequisite {
         NOTHING,
         RELEARNING,
         MAJORITY,
@@ -55,8 +55,8 @@
     }
 
     /** True while a majority is proven to be in touch: calls are passed on. */
-    public boolean inTouch() {
-        return quorum.inTouch(clock.nowMs());
+    public boolean majorityReachable() {
+        return quorum.majorityReachable(clock.nowMs());
     }
 
     /** True while a majority is proven to know of no newer view: facts of this node may be handed out. */
@@ -65,21 +65,21 @@
     }
 
     /** Milliseconds since a majority was last proven, below 0 for never. */
-    public long provenAgoMs() {
+    public long quorumProofAgeMs() {
         return quorum.ageMs(clock.nowMs());
     }
 
     /** What this node waits for: the first of these that it lacks. */
-    Awaited awaited(ReplicationDriver.Phase phase, long nowMs) {
+    Prerequisite missingPrerequisite(ReplicationDriver.Phase phase, long nowMs) {
         if (phase == ReplicationDriver.Phase.RELEARNING) {
-            return Awaited.RELEARNING;
+            return Prerequisite.RELEARNING;
         }
-        if (!quorum.inTouch(nowMs)) {
-            return Awaited.MAJORITY;
+        if (!quorum.majorityReachable(nowMs)) {
+            return Prerequisite.MAJORITY;
         }
         if (phase == ReplicationDriver.Phase.FOUNDING) {
-            return Awaited.FOUNDING;
+            return Prerequisite.FOUNDING;
         }
-        return hearsCommits && quorum.upToDate(nowMs) ? Awaited.NOTHING : Awaited.VIEW;
+        return hearsCommits && quorum.upToDate(nowMs) ? Prerequisite.NOTHING : Prerequisite.VIEW;
     }
 }
--- a/src/main/java/ringspindle/controlplane/ShutdownHandover.java
+++ b/src/main/java/ringspindle/controlplane/ShutdownHandover.java
@@ -12,10 +12,10 @@
      * What another control node last said of itself.
      *
      * @param epoch the epoch of the view that it follows
-     * @param seq the sequence number of the newest committed state that it holds
-     * @param blank it can neither vote nor hold state
+     * @param sequence the sequence number of the newest committed state that it holds
+     * @param relearning it can neither vote nor hold state
      */
-    public record Holder(NodeId node, long epoch, long seq, boolean blank) {}
+    public record PeerState(NodeId node, long epoch, long sequence, boolean relearning) {}
 
     private ShutdownHandover() {}
 
@@ -23,7 +23,7 @@
      * True once the chain goes on without this node, and a majority of the voters, not counting it, follow that view and
      * hold all that is committed here.
      */
-    static boolean done(NodeId me, View view, long committedSeq, Collection<Holder> holders) {
+    static boolean done(NodeId me, View view, long committedSeq, Collection<PeerState> holders) {
         if (view == null || view.voters().equals(List.of(me))) {
             // there is nothing to hand over, or nobody to take it
             return true;
@@ -33,8 +33,9 @@
         }
         long holding = holders.stream()
                 .filter(holder -> !holder.node().equals(me) && view.voters().contains(holder.node()))
-                .filter(holder -> !holder.blank() && holder.epoch() >= view.epoch() && holder.seq() >= committedSeq)
-                .map(Holder::node)
+                .filter(holder ->
+                        !holder.relearning() && holder.epoch() >= view.epoch() && holder.sequence() >= committedSeq)
+                .map(PeerState::node)
                 .distinct()
                 .count();
         return holding >= view.majority();
--- a/src/main/java/ringspindle/controlplane/StorageNodes.java
+++ b/src/main/java/ringspindle/controlplane/StorageNodes.java
@@ -36,7 +36,7 @@
     }
 
     /** True if enough would be left to hold every shard as often as it takes, and one disk more lost than may be. */
-    public boolean mayLose(String name) {
+    public boolean canRemove(String name) {
         int needed = 2 * context.config().lossesBorne() + 1;
         Set<String> left = new HashSet<>();
         greetings(true).forEach(hello -> left.add(hello.name()));
@@ -46,7 +46,7 @@
     }
 
     /** True if no shard is assigned to that node, as member or learner. */
-    public boolean isEmptied(String name) {
+    public boolean isDrained(String name) {
         Collection<ShardAssignment> assignments = assignments().values();
         return greetings(false).stream()
                 .filter(hello -> hello.name().equals(name))
--- a/src/main/java/ringspindle/controlplane/server/ControlPlane.java
+++ b/src/main/java/ringspindle/controlplane/server/ControlPlane.java
@@ -75,11 +75,11 @@
                 disk,
                 reports,
                 new PlatformClient(pool, scheduler));
-        reports.listener(node.engines()::reported);
+        reports.listener(node.engines()::recordReport);
         Server server = server(config, pool, scheduler);
         server.setHandler(new ControlApiHandler(node));
         config.metrics().ifPresent(address -> MetricsEndpoint.add(server, address, ControlPlaneMetrics.of(node)));
-        settings.listen(node::settings);
+        settings.listen(node::applySettings);
         node.start();
         PeriodicTask.start(node::tick, scheduler, ControlNode.TICK_MS);
         server.start();
--- a/src/main/java/ringspindle/controlplane/server/ControlPlaneMetrics.java
+++ b/src/main/java/ringspindle/controlplane/server/ControlPlaneMetrics.java
@@ -28,7 +28,7 @@
                 .gauge(
                         "ringspindle_proven_age_seconds",
                         "Seconds since a majority was last proven, below 0 for never.",
-                        () -> node.serving().provenAgoMs() / MS_PER_S)
+                        () -> node.serving().quorumProofAgeMs() / MS_PER_S)
                 .gauge("ringspindle_view_epoch", "Epoch of the newest view, 0 without one.", () -> replication
                         .status()
                         .epoch())
@@ -54,7 +54,7 @@
                         "ringspindle_directory_answers",
                         "Answers to clients that asked where to go, by how near the named data nodes are.",
                         "scope",
-                        () -> node.queries().resolutions())
+                        () -> node.queries().resolutionCounts())
                 .gauge("ringspindle_engines", "Engines that are registered.", () -> node.fleet()
                         .read(store -> store.all(FactKind.ENGINE).size()));
     }
--- a/src/main/java/ringspindle/controlplane/server/EvacuationResource.java
+++ b/src/main/java/ringspindle/controlplane/server/EvacuationResource.java
@@ -23,7 +23,7 @@
     }
 
     private void order(ApiExchange exchange, CallKind kind) {
-        if (!node.serving().inTouch()) {
+        if (!node.serving().majorityReachable()) {
             exchange.respond(Outcome.UNCLEAR);
             return;
         }
--- a/src/main/java/ringspindle/controlplane/server/ExperimentsPage.java
+++ b/src/main/java/ringspindle/controlplane/server/ExperimentsPage.java
@@ -30,7 +30,7 @@
     /** The page as it is now. */
     static JsonObject of(ControlNode node) {
         View view = node.replication().view();
-        boolean judges = view != null && view.head().equals(node.me());
+        boolean judges = view != null && view.head().equals(node.nodeId());
         JsonArrayBuilder experiments = JSON.createArrayBuilder();
         for (Fact fact : node.fleet().read(store -> new ArrayList<>(store.all(FactKind.EXPERIMENT)))) {
             experiments.add(experiment(node, new String(fact.value(), UTF_8), judges));
--- a/src/main/java/ringspindle/controlplane/server/RetirementResource.java
+++ b/src/main/java/ringspindle/controlplane/server/RetirementResource.java
@@ -27,7 +27,7 @@
         StorageNodes nodes = node.storageNodes();
         if (!nodes.isKnown(name)) {
             exchange.respond(Outcome.NO_SUCH);
-        } else if (!isAsked(name) && !nodes.mayLose(name)) {
+        } else if (!isAsked(name) && !nodes.canRemove(name)) {
             exchange.respond(Outcome.CLASH);
         } else {
             node.replication()
@@ -46,7 +46,7 @@
         } else if (!isAsked(exchange.argument())) {
             exchange.respond(Outcome.NO_SUCH);
         } else {
-            boolean empty = node.storageNodes().isEmptied(exchange.argument());
+            boolean empty = node.storageNodes().isDrained(exchange.argument());
             exchange.respond(JSON.createObjectBuilder()
                     .add("state", empty ? "completed" : "active")
                     .build());
--- a/src/main/java/ringspindle/controlplane/server/RulesResource.java
+++ b/src/main/java/ringspindle/controlplane/server/RulesResource.java
@@ -44,7 +44,7 @@
     }
 
     private void put(ApiExchange exchange, long base, byte[] body) {
-        if (!node.serving().inTouch()) {
+        if (!node.serving().majorityReachable()) {
             exchange.respond(Outcome.UNCLEAR);
             return;
         }
--- a/src/main/java/ringspindle/controlplane/server/StatusPage.java
+++ b/src/main/java/ringspindle/controlplane/server/StatusPage.java
@@ -39,16 +39,16 @@
         JsonObjectBuilder page = JSON.createObjectBuilder()
                 .add("node", node.config().name())
                 .add("quorate", serving.quorate())
-                .add("founding", node.founding())
-                .add("provenAgoMs", serving.provenAgoMs())
-                .add("awaited", node.awaited().name());
+                .add("founding", node.bootstrapping())
+                .add("provenAgoMs", serving.quorumProofAgeMs())
+                .add("awaited", node.missingPrerequisite().name());
         View view = node.replication().view();
         if (view != null) {
             page.add("view", view(view)).add("duties", duties(view));
         }
         addState(page, node.replication().committed(), serving);
         page.add("sessions", sessions(node.queries().sessions()))
-                .add("holders", holders(node.queries().holders()))
+                .add("holders", holders(node.queries().peerStates()))
                 .add("nodes", dataNodes(node));
         addShards(page, node.storageNodes());
         return page.build();
@@ -138,14 +138,14 @@
         return names(replicas.stream().map(ShardMember::node).toList());
     }
 
-    private static JsonArrayBuilder holders(List<ShutdownHandover.Holder> holders) {
+    private static JsonArrayBuilder holders(List<ShutdownHandover.PeerState> holders) {
         JsonArrayBuilder array = JSON.createArrayBuilder();
-        for (ShutdownHandover.Holder holder : holders) {
+        for (ShutdownHandover.PeerState holder : holders) {
             array.add(JSON.createObjectBuilder()
                     .add("node", holder.node().toString())
                     .add("epoch", holder.epoch())
-                    .add("seq", holder.seq())
-                    .add("blank", holder.blank()));
+                    .add("seq", holder.sequence())
+                    .add("blank", holder.relearning()));
         }
         return array;
     }
--- a/src/main/java/ringspindle/controlplane/server/VersionResource.java
+++ b/src/main/java/ringspindle/controlplane/server/VersionResource.java
@@ -27,7 +27,7 @@
     /** Starts one. */
     void start(ApiExchange exchange) {
         exchange.readBody(BODY_MAX, body -> {
-            if (!node.serving().inTouch()) {
+            if (!node.serving().majorityReachable()) {
                 exchange.respond(Outcome.UNCLEAR);
                 return;
             }
--- a/src/test/java/ringspindle/controlplane/CallIdsTest.java
+++ b/src/test/java/ringspindle/controlplane/CallIdsTest.java
@@ -72,7 +72,7 @@
     private final Sent mesh = new Sent();
     private final List<Outcome> outcomes = new ArrayList<>();
     private long nowMs = 1000;
-    private HollowControlNode control;
+    private SimulatedControlNode control;
 
     private void start(long chance) throws Exception {
         Properties p = new Properties();
@@ -98,7 +98,7 @@
                 "node.bootstrap",
                 "true"));
         NodeConfig config = ((Validated.Valid<NodeConfig>) NodeConfig.check(p)).value();
-        control = new HollowControlNode(
+        control = new SimulatedControlNode(
                 config,
                 new NodeEnvironment(() -> nowMs, LIFE, () -> chance, Runnable::run, hello -> mesh),
                 (inMs, r) -> {});
--- a/src/test/java/ringspindle/controlplane/QuorumTrackerTest.java
+++ b/src/test/java/ringspindle/controlplane/QuorumTrackerTest.java
@@ -36,11 +36,11 @@
     void itDatesFromTheOldestHeartbeatOfTheNewestMajority() {
         contact(B, 900);
         tick(1000);
-        assertFalse(proof.inTouch(1000), "two of five");
+        assertFalse(proof.majorityReachable(1000), "two of five");
         contact(C, 700);
         contact(D, 200);
         tick(1000);
-        assertTrue(proof.inTouch(1000));
+        assertTrue(proof.majorityReachable(1000));
         assertEquals(300, proof.ageMs(1000));
     }
 
@@ -49,13 +49,13 @@
         contact(B, 900);
         contact(C, 900);
         tick(1000);
-        assertTrue(proof.inTouch(1999) && proof.upToDate(1999));
-        assertFalse(proof.inTouch(2000), "no tick for a second: this node stood still");
+        assertTrue(proof.majorityReachable(1999) && proof.upToDate(1999));
+        assertFalse(proof.majorityReachable(2000), "no tick for a second: this node stood still");
         for (long nowMs = 1100; nowMs < 2400; nowMs += 100) {
             tick(nowMs);
         }
-        assertTrue(proof.inTouch(2399));
-        assertFalse(proof.inTouch(2400), "ticks without contact do not renew it");
+        assertTrue(proof.majorityReachable(2399));
+        assertFalse(proof.majorityReachable(2400), "ticks without contact do not renew it");
         assertFalse(proof.upToDate(2400));
     }
 
@@ -63,7 +63,7 @@
     void nodeIsStartingUntilItHasMetAMajorityOrItsTimeIsUp() {
         assertFalse(proof.starting(0), "not before it runs");
         tick(0);
-        assertTrue(proof.starting(0) && !proof.inTouch(0));
+        assertTrue(proof.starting(0) && !proof.majorityReachable(0));
         for (long nowMs = 100; nowMs < QuorumTracker.STARTING_MS; nowMs += 100) {
             tick(nowMs);
             assertTrue(proof.starting(nowMs));
@@ -77,11 +77,11 @@
         contact(B, 90);
         contact(C, 90);
         tick(100);
-        assertTrue(proof.inTouch(100) && !proof.starting(100));
+        assertTrue(proof.majorityReachable(100) && !proof.starting(100));
         for (long nowMs = 200; nowMs < 2000; nowMs += 100) {
             tick(nowMs);
         }
-        assertFalse(proof.inTouch(1900) || proof.starting(1900), "cut off: nothing is held");
+        assertFalse(proof.majorityReachable(1900) || proof.starting(1900), "cut off: nothing is held");
     }
 
     @Test
@@ -98,16 +98,16 @@
         contact(C, 900);
         tick(1000);
         tick(2000);
-        assertFalse(proof.inTouch(2000), "1100 ms old, but from before the pause");
+        assertFalse(proof.majorityReachable(2000), "1100 ms old, but from before the pause");
         assertEquals(-1, proof.ageMs(2000));
         contact(B, 1990);
         contact(C, 1999);
         tick(2100);
-        assertFalse(proof.inTouch(2100), "sent before this node knew of its pause");
+        assertFalse(proof.majorityReachable(2100), "sent before this node knew of its pause");
         contact(B, 2100);
         contact(C, 2100);
         tick(2200);
-        assertTrue(proof.inTouch(2200) && proof.upToDate(2200));
+        assertTrue(proof.majorityReachable(2200) && proof.upToDate(2200));
     }
 
     @Test
@@ -115,7 +115,7 @@
         contact(B, 900);
         contacts.put(C, new Contact(900, 4, false));
         tick(1000);
-        assertTrue(proof.inTouch(1000));
+        assertTrue(proof.majorityReachable(1000));
         assertFalse(proof.upToDate(1000), "a later view may have taken orders that this node lacks");
         contact(D, 950);
         tick(1100);
@@ -139,7 +139,7 @@
         contact(B, 900);
         contacts.put(C, new Contact(900, 3, true));
         tick(1000);
-        assertFalse(proof.inTouch(1000));
+        assertFalse(proof.majorityReachable(1000));
     }
 
     @Test
@@ -147,7 +147,7 @@
         contact(B, 900);
         contact(C, 900);
         proof.renew(1000, A, null, contacts::get);
-        assertFalse(proof.inTouch(1000));
+        assertFalse(proof.majorityReachable(1000));
         assertEquals(-1, proof.ageMs(1000));
     }
 
--- a/src/test/java/ringspindle/controlplane/ShutdownHandoverTest.java
+++ b/src/test/java/ringspindle/controlplane/ShutdownHandoverTest.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import ringspindle.controlplane.ShutdownHandover.Holder;
+import ringspindle.controlplane.ShutdownHandover.PeerState;
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
 
@@ -16,18 +16,18 @@
     private static final NodeId C = NodeId.of("10.0.0.3:7000");
     private static final View WITHOUT_A = new View(5, List.of(A, B, C), List.of(B, C));
 
-    private static boolean done(View view, Holder... holders) {
+    private static boolean done(View view, PeerState... holders) {
         return ShutdownHandover.done(A, view, 7, List.of(holders));
     }
 
-    private static Holder holder(NodeId n) {
-        return new Holder(n, 5, 7, false);
+    private static PeerState holder(NodeId n) {
+        return new PeerState(n, 5, 7, false);
     }
 
     @Test
     void aMajorityOfTheOthersHasToHoldIt() {
         assertTrue(done(WITHOUT_A, holder(B), holder(C)));
-        assertTrue(done(WITHOUT_A, holder(B), new Holder(C, 6, 9, false)), "a newer view and state hold it as well");
+        assertTrue(done(WITHOUT_A, holder(B), new PeerState(C, 6, 9, false)), "a newer view and state hold it as well");
         assertFalse(done(WITHOUT_A, holder(B)), "one of three voters is no majority");
         assertFalse(done(WITHOUT_A, holder(B), holder(B)), "nor is one counted twice");
         assertFalse(done(WITHOUT_A, holder(B), holder(A)), "this node does not count");
@@ -36,9 +36,9 @@
 
     @Test
     void oldViewsOldStatesAndBlankNodesDoNotCount() {
-        assertFalse(done(WITHOUT_A, holder(B), new Holder(C, 4, 7, false)), "does not know the view yet");
-        assertFalse(done(WITHOUT_A, holder(B), new Holder(C, 5, 6, false)), "lacks the last order");
-        assertFalse(done(WITHOUT_A, holder(B), new Holder(C, 5, 7, true)), "is blank");
+        assertFalse(done(WITHOUT_A, holder(B), new PeerState(C, 4, 7, false)), "does not know the view yet");
+        assertFalse(done(WITHOUT_A, holder(B), new PeerState(C, 5, 6, false)), "lacks the last order");
+        assertFalse(done(WITHOUT_A, holder(B), new PeerState(C, 5, 7, true)), "is blank");
     }
 
     @Test
--- a/src/test/java/ringspindle/controlplane/HollowControlNode.java
+++ b/src/test/java/ringspindle/controlplane/SimulatedControlNode.java
@@ -19,30 +19,32 @@
 import ringspindle.transport.NodeEnvironment;
 
 /** A real control node without sockets and disk: ticked, called and fed from outside. */
-public final class HollowControlNode {
+public final class SimulatedControlNode {
     private final ControlNode control;
 
     /** A timer of whoever runs it. */
-    public interface Later {
+    public interface TaskScheduler {
         /** Runs the task after a delay in milliseconds. */
-        void at(double inMs, Runnable r);
+        void schedule(double delayMs, Runnable task);
     }
 
     /** Starts a control node with storage that only delays. */
-    public HollowControlNode(NodeConfig config, NodeEnvironment means, Later later) throws Exception {
-        this(config, means, later, null);
+    public SimulatedControlNode(NodeConfig config, NodeEnvironment environment, TaskScheduler scheduler)
+            throws Exception {
+        this(config, environment, scheduler, null);
     }
 
     /** Starts a control node with the records that are on that disk. */
-    public HollowControlNode(NodeConfig config, NodeEnvironment means, Later later, SimulatedDisk disk)
+    public SimulatedControlNode(
+            NodeConfig config, NodeEnvironment environment, TaskScheduler scheduler, SimulatedDisk disk)
             throws Exception {
-        control = new ControlNode(config, means, new HollowStorage(later, disk), null, null);
+        control = new ControlNode(config, environment, new SimulatedStorage(scheduler, disk), null, null);
         control.start();
     }
 
     /** The settings file changed. */
-    public void settings(NodeConfig changed) {
-        control.settings(changed);
+    public void applySettings(NodeConfig changed) {
+        control.applySettings(changed);
     }
 
     /** The revision of the committed configuration, 0 while none is known. */
@@ -63,28 +65,28 @@
     }
 
     /** Takes an engine's heartbeat. */
-    public void heartbeat(String id, Engine e, long seq) {
-        control.engines().heartbeat(id, e, seq);
+    public void heartbeat(String id, Engine engine, long sequence) {
+        control.engines().heartbeat(id, engine, sequence);
     }
 
     /** Puts a configuration that builds on a revision. */
-    public void put(long base, byte[] body, Consumer<Outcome> then) {
-        control.replication().call(CallKind.PUT, base, "", body, (o, b) -> then.accept(o));
+    public void put(long base, byte[] body, Consumer<Outcome> callback) {
+        control.replication().call(CallKind.PUT, base, "", body, (outcome, reply) -> callback.accept(outcome));
     }
 
     /** Patches the configuration of a revision. */
-    public void patch(long base, byte[] body, Consumer<Outcome> then) {
-        control.replication().call(CallKind.PATCH, base, "", body, (o, b) -> then.accept(o));
+    public void patch(long base, byte[] body, Consumer<Outcome> callback) {
+        control.replication().call(CallKind.PATCH, base, "", body, (outcome, reply) -> callback.accept(outcome));
     }
 
     /** Puts serving rules that build on a revision. */
-    public void rules(long base, byte[] body, Consumer<Outcome> then) {
-        control.replication().call(CallKind.RULES, base, "", body, (o, b) -> then.accept(o));
+    public void putRules(long base, byte[] body, Consumer<Outcome> callback) {
+        control.replication().call(CallKind.RULES, base, "", body, (outcome, reply) -> callback.accept(outcome));
     }
 
     /** Calls the replicated state, as an operator's request of that kind does. */
-    public void call(CallKind kind, String argument, byte[] body, Consumer<Outcome> then) {
-        control.replication().call(kind, 0, argument, body, (outcome, text) -> then.accept(outcome));
+    public void call(CallKind kind, String argument, byte[] body, Consumer<Outcome> callback) {
+        control.replication().call(kind, 0, argument, body, (outcome, reply) -> callback.accept(outcome));
     }
 
     /** The JSON pages that operators read, by name. */
@@ -97,13 +99,13 @@
     }
 
     /** What nodes that report here say they follow. */
-    public Map<NodeId, Long> followed() {
-        Map<NodeId, Long> out = new TreeMap<>();
+    public Map<NodeId, Long> reportedRevisions() {
+        Map<NodeId, Long> revisions = new TreeMap<>();
         control.queries()
                 .ledgerReports()
-                .forEach((node, lives) ->
-                        lives.forEach(l -> out.merge(node, l.report().revision(), Math::max)));
-        return out;
+                .forEach((node, entries) -> entries.forEach(
+                        entry -> revisions.merge(node, entry.report().revision(), Math::max)));
+        return revisions;
     }
 
     /** The HTTP calls of engines, operators and clients, for a server of whoever runs it. */
@@ -117,36 +119,36 @@
     }
 
     /** How many voters the view has, 0 without a view. */
-    public int voters() {
+    public int voterCount() {
         return control.replication().view() == null
                 ? 0
                 : control.replication().view().voters().size();
     }
 
     /** The node's inner address. */
-    public NodeId me() {
-        return control.me();
+    public NodeId nodeId() {
+        return control.nodeId();
     }
 
     /** True if the node is the head of the chain. */
-    public boolean head() {
+    public boolean isHead() {
         return control.replication().view() != null
-                && control.replication().view().head().equals(control.me());
+                && control.replication().view().head().equals(control.nodeId());
     }
 
     /** How many data nodes are ready. */
-    public int frontends() {
+    public int readyDataNodes() {
         return control.queries().readyDataNodes();
     }
 
     /** The sum of all reports that came in. */
-    public ringspindle.telemetry.LoadSummary total() {
+    public ringspindle.telemetry.LoadSummary totalLoad() {
         return control.queries().load();
     }
 
     /** True while a majority is proven to be in touch. */
-    public boolean inTouch() {
-        return control.serving().inTouch();
+    public boolean majorityReachable() {
+        return control.serving().majorityReachable();
     }
 
     /** The epoch of the newest view, 0 without one. */
@@ -155,8 +157,8 @@
     }
 
     /** Adds to a counter. */
-    public void add(String counter, String instance, Consumer<Outcome> then) {
-        control.counters().add(counter, instance, 1, then);
+    public void add(String counter, String instance, Consumer<Outcome> callback) {
+        control.counters().add(counter, instance, 1, callback);
     }
 
     /** The total of a counter; empty while the node cannot tell. */
@@ -165,7 +167,7 @@
     }
 
     /** True if that node votes in the newest view that is known here. */
-    public boolean votes(NodeId node) {
+    public boolean isVoter(NodeId node) {
         return control.replication().view() != null
                 && control.replication().view().voters().contains(node);
     }
--- a/src/test/java/ringspindle/controlplane/HollowStorage.java
+++ b/src/test/java/ringspindle/controlplane/SimulatedStorage.java
@@ -8,15 +8,15 @@
 import ringspindle.protocol.Message.Fact;
 
 /** Storage that keeps nothing on any disk, and tells after a delay that it does; a later process may take over its records. */
-final class HollowStorage implements Storage {
+final class SimulatedStorage implements Storage {
     private static final int SYNC_MS = 2;
 
     /** Records that are kept in memory, and only where somebody will ask for them. */
-    private final class HollowLog implements RecordLog {
+    private final class SimulatedRecordLog implements RecordLog {
         private final List<Message> kept;
         private LongConsumer stored;
 
-        HollowLog(List<Message> kept) {
+        SimulatedRecordLog(List<Message> kept) {
             this.kept = kept;
         }
 
@@ -33,7 +33,7 @@
         @Override
         public void write(Write records) {
             records.records().forEach(Codec::encode);
-            later.at(SYNC_MS, () -> {
+            scheduler.schedule(SYNC_MS, () -> {
                 keep(records);
                 stored.accept(records.token());
             });
@@ -50,15 +50,15 @@
         }
     }
 
-    private final HollowControlNode.Later later;
+    private final SimulatedControlNode.TaskScheduler scheduler;
     private final RecordLog replication;
     private final RecordLog counters;
 
     /** Keeps records on that disk, or nothing if it is null. */
-    HollowStorage(HollowControlNode.Later later, SimulatedDisk disk) {
-        this.later = later;
-        replication = new HollowLog(disk == null ? null : disk.replication);
-        counters = new HollowLog(disk == null ? null : disk.counters);
+    SimulatedStorage(SimulatedControlNode.TaskScheduler scheduler, SimulatedDisk disk) {
+        this.scheduler = scheduler;
+        replication = new SimulatedRecordLog(disk == null ? null : disk.replication);
+        counters = new SimulatedRecordLog(disk == null ? null : disk.counters);
     }
 
     @Override
--- a/src/test/java/ringspindle/scale/BulkTrafficTest.java
+++ b/src/test/java/ringspindle/scale/BulkTrafficTest.java
@@ -45,7 +45,7 @@
 
     private void watch() {
         for (PeeringWorld.Node node : watched) {
-            if (!node.control.inTouch()) {
+            if (!node.control.majorityReachable()) {
                 broken.add(network.nowMs() + ": " + node.id + " is out of touch");
             } else if (node.control.epoch() != epoch) {
                 broken.add(network.nowMs() + ": " + node.id + " is in view " + node.control.epoch());
--- a/src/test/java/ringspindle/scale/ControlInterfacesTest.java
+++ b/src/test/java/ringspindle/scale/ControlInterfacesTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Validated;
-import ringspindle.controlplane.HollowControlNode;
+import ringspindle.controlplane.SimulatedControlNode;
 import ringspindle.dataplane.HollowDataNode;
 import ringspindle.protocol.NodeId;
 
@@ -47,7 +47,7 @@
     private record Answer(int status, String head, String body) {}
 
     private final SimulatedNetwork net = new SimulatedNetwork();
-    private final List<HollowControlNode> controls = new ArrayList<>();
+    private final List<SimulatedControlNode> controls = new ArrayList<>();
     private final List<NodeId> controlIds = new ArrayList<>();
     private final List<HollowDataNode> datas = new ArrayList<>();
     private final List<NodeId> dataIds = new ArrayList<>();
@@ -102,10 +102,10 @@
     void start() throws Exception {
         for (int z = 0; z < ZONES; z++) {
             String ip = "10.0." + z + ".1";
-            HollowControlNode c = new HollowControlNode(settings("c" + z, ip, z, true), net.means(1), net::at);
+            SimulatedControlNode c = new SimulatedControlNode(settings("c" + z, ip, z, true), net.means(1), net::at);
             controls.add(c);
             controlIds.add(NodeId.of(ip + ":7000"));
-            every(controlIds.get(z), c::tick, HollowControlNode.tickMs());
+            every(controlIds.get(z), c::tick, SimulatedControlNode.tickMs());
             LocalConnector door = new LocalConnector(server);
             doors.add(door);
             server.addConnector(door);
@@ -337,7 +337,7 @@
                 new Ask("PUT /ringspindle/rules", "99", "{\"revision\":100,\"default\":{\"class\":{\"waitMs\":9}}}"))) {
             waiting.add(send(2, a));
         }
-        assertFalse(controls.get(2).head(), "the head decides some of these by itself");
+        assertFalse(controls.get(2).isHead(), "the head decides some of these by itself");
         net.freeze(controlIds.get(2), frozenMs);
         net.runFor(frozenMs + 3000);
         for (LocalConnector.LocalEndPoint e : waiting) {
--- a/src/test/java/ringspindle/scale/CounterResourceTest.java
+++ b/src/test/java/ringspindle/scale/CounterResourceTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Validated;
-import ringspindle.controlplane.HollowControlNode;
+import ringspindle.controlplane.SimulatedControlNode;
 
 /** What the calls on counters answer, proper ones and others; one node that may lose no disk. */
 @Timeout(60)
@@ -44,7 +44,7 @@
                 "loss.nodes", "0",
                 "node.bootstrap", "true"));
         NodeConfig config = ((Validated.Valid<NodeConfig>) NodeConfig.check(settings)).value();
-        HollowControlNode node = new HollowControlNode(config, network.means(1), network::at);
+        SimulatedControlNode node = new SimulatedControlNode(config, network.means(1), network::at);
         server.addConnector(connector);
         server.setHandler(node.apiHandler());
         server.start();
--- a/src/test/java/ringspindle/scale/HollowFleet.java
+++ b/src/test/java/ringspindle/scale/HollowFleet.java
@@ -12,7 +12,7 @@
 import ringspindle.api.Outcome;
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Validated;
-import ringspindle.controlplane.HollowControlNode;
+import ringspindle.controlplane.SimulatedControlNode;
 import ringspindle.dataplane.HollowDataNode;
 import ringspindle.loadbalancing.LoadBalancer;
 import ringspindle.loadbalancing.SelectionRequests;
@@ -49,7 +49,7 @@
     private final Size size;
     private final SimulatedNetwork net = new SimulatedNetwork();
     private final Random luck;
-    private final List<HollowControlNode> controls = new ArrayList<>();
+    private final List<SimulatedControlNode> controls = new ArrayList<>();
     private final List<NodeId> controlIds = new ArrayList<>();
     private List<HollowDataNode> datas = new ArrayList<>();
     private final List<NodeId> dataIds = new ArrayList<>();
@@ -129,7 +129,7 @@
         long base = known;
         long next = base + 1;
         byte[] body = config(next);
-        HollowControlNode via = controls.get(luck.nextInt(controls.size()));
+        SimulatedControlNode via = controls.get(luck.nextInt(controls.size()));
         net.charge(
                 controlIds.get(controls.indexOf(via)),
                 () -> via.put(base, body, o -> {
@@ -159,7 +159,7 @@
         for (int z = 0; z < size.zones(); z++) {
             String ip = "10.0." + z + ".1";
             controlIds.add(NodeId.of(ip + ":7000"));
-            controls.add(new HollowControlNode(settings("c" + z, ip, z, true), net.means(1), net::at));
+            controls.add(new SimulatedControlNode(settings("c" + z, ip, z, true), net.means(1), net::at));
         }
         for (int i = 0; i < size.nodes(); i++) {
             int z = i % size.zones();
@@ -168,7 +168,7 @@
             datas.add(new HollowDataNode(settings("d" + i, ip, z, false), net.means(1)));
         }
         for (int i = 0; i < controls.size(); i++) {
-            tick(controlIds.get(i), controls.get(i)::tick, HollowControlNode.tickMs());
+            tick(controlIds.get(i), controls.get(i)::tick, SimulatedControlNode.tickMs());
         }
         for (int i = 0; i < datas.size(); i++) {
             tick(dataIds.get(i), datas.get(i)::tick, HollowDataNode.tickMs());
@@ -194,8 +194,8 @@
                 .max(Comparator.comparingLong(n -> net.meters.get(n).cpuNs))
                 .orElseThrow();
         means("busiest", List.of(busiest), f);
-        f.put("voters", (double) controls.get(0).voters());
-        f.put("ready", (double) controls.get(controls.size() - 1).frontends());
+        f.put("voters", (double) controls.get(0).voterCount());
+        f.put("ready", (double) controls.get(controls.size() - 1).readyDataNodes());
         f.put("configured", datas.stream().filter(d -> d.revision() > 0).count() / (double) datas.size());
         f.put("changes", (double) changes);
         f.put("slowestChangeMs", slowestMs);
--- a/src/test/java/ringspindle/scale/OperatorPagesTest.java
+++ b/src/test/java/ringspindle/scale/OperatorPagesTest.java
@@ -10,7 +10,7 @@
 import ringspindle.api.Outcome;
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Validated;
-import ringspindle.controlplane.HollowControlNode;
+import ringspindle.controlplane.SimulatedControlNode;
 import ringspindle.dataplane.HollowDataNode;
 import ringspindle.protocol.Message.Engine;
 import ringspindle.replication.CallKind;
@@ -20,7 +20,7 @@
     private static final int ENGINE_HEARTBEAT_MS = 1200;
 
     private final SimulatedNetwork network = new SimulatedNetwork();
-    private HollowControlNode control;
+    private SimulatedControlNode control;
     private HollowDataNode data;
 
     private static NodeConfig settings(String name, String ip, boolean isControl) {
@@ -60,9 +60,9 @@
 
     @BeforeEach
     void start() throws Exception {
-        control = new HollowControlNode(settings("c0", "10.0.0.1", true), network.means(1), network::at);
+        control = new SimulatedControlNode(settings("c0", "10.0.0.1", true), network.means(1), network::at);
         data = new HollowDataNode(settings("d0", "10.1.0.2", false), network.means(9));
-        every(HollowControlNode.tickMs(), control::tick);
+        every(SimulatedControlNode.tickMs(), control::tick);
         every(HollowDataNode.tickMs(), () -> data.tick());
         network.runFor(1000);
     }
--- a/src/test/java/ringspindle/scale/PeeringWorld.java
+++ b/src/test/java/ringspindle/scale/PeeringWorld.java
@@ -13,7 +13,7 @@
 import ringspindle.api.Outcome;
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Validated;
-import ringspindle.controlplane.HollowControlNode;
+import ringspindle.controlplane.SimulatedControlNode;
 import ringspindle.controlplane.SimulatedDisk;
 import ringspindle.dataplane.HollowDataNode;
 import ringspindle.protocol.NodeId;
@@ -41,7 +41,7 @@
         private SimulatedDisk disk = new SimulatedDisk();
         private long life = 10;
         private SimulatedMesh process;
-        HollowControlNode control;
+        SimulatedControlNode control;
         HollowDataNode data;
         boolean removed;
 
@@ -89,7 +89,7 @@
         private void start(boolean bootstrap) {
             try {
                 if (isControl) {
-                    control = new HollowControlNode(settings(bootstrap), network.means(life), network::at, disk);
+                    control = new SimulatedControlNode(settings(bootstrap), network.means(life), network::at, disk);
                 } else {
                     data = new HollowDataNode(settings(bootstrap), network.means(life));
                 }
@@ -107,7 +107,7 @@
             if (!network.down(id)) {
                 network.charge(id, isControl ? control::tick : data::tick);
             }
-            network.at(HollowControlNode.tickMs(), () -> tick(ofProcess));
+            network.at(SimulatedControlNode.tickMs(), () -> tick(ofProcess));
         }
 
         void restart(int inMs, boolean wipe) {
@@ -128,7 +128,7 @@
                 return;
             }
             if (isControl) {
-                control.settings(settings(false));
+                control.applySettings(settings(false));
             } else {
                 data.settings(settings(false));
             }
@@ -272,13 +272,13 @@
         List<String> broken = new ArrayList<>();
         network.runFor(IN_TOUCH_MS);
         for (Node node : controls) {
-            if (!node.removed && !node.control.inTouch()) {
+            if (!node.removed && !node.control.majorityReachable()) {
                 broken.add(node.id + " is not in touch");
             }
         }
         network.runFor(VOTES_MS);
         for (Node node : controls) {
-            if (!node.removed && controls.stream().anyMatch(at -> !at.removed && !at.control.votes(node.id))) {
+            if (!node.removed && controls.stream().anyMatch(at -> !at.removed && !at.control.isVoter(node.id))) {
                 broken.add(node.id + " does not vote everywhere");
             }
         }
--- a/src/test/java/ringspindle/scale/RemovedVoterTest.java
+++ b/src/test/java/ringspindle/scale/RemovedVoterTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Timeout;
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Validated;
-import ringspindle.controlplane.HollowControlNode;
+import ringspindle.controlplane.SimulatedControlNode;
 import ringspindle.protocol.NodeId;
 
 /** A voter that was cut off for so long that the others removed it from the view gets in touch again, whatever its address. */
@@ -23,7 +23,7 @@
     private static final int BACK_MS = 6000;
 
     private final SimulatedNetwork network = new SimulatedNetwork();
-    private final List<HollowControlNode> nodes = new ArrayList<>();
+    private final List<SimulatedControlNode> nodes = new ArrayList<>();
 
     private static String ip(int node) {
         return "10.0.0." + (node + 1);
@@ -62,19 +62,19 @@
     @Test
     void isInTouchAgainSoonAfterTheCutHasHealed() throws Exception {
         for (int node = 0; node < NODES; node++) {
-            HollowControlNode control = new HollowControlNode(settings(node), network.means(1), network::at);
+            SimulatedControlNode control = new SimulatedControlNode(settings(node), network.means(1), network::at);
             nodes.add(control);
-            every(control::tick, HollowControlNode.tickMs());
+            every(control::tick, SimulatedControlNode.tickMs());
         }
-        HollowControlNode last = nodes.get(NODES - 1);
+        SimulatedControlNode last = nodes.get(NODES - 1);
         network.runFor(10_000);
-        assertTrue(last.votes(id(NODES - 1)), "it votes");
+        assertTrue(last.isVoter(id(NODES - 1)), "it votes");
         network.cut(Set.of(id(NODES - 1)), CUT_MS);
         network.runFor(CUT_MS - 1000);
-        assertFalse(nodes.get(0).votes(id(NODES - 1)), "removed meanwhile");
-        assertFalse(last.inTouch());
+        assertFalse(nodes.get(0).isVoter(id(NODES - 1)), "removed meanwhile");
+        assertFalse(last.majorityReachable());
         network.runFor(1000 + BACK_MS);
-        assertTrue(last.inTouch());
-        assertTrue(nodes.get(0).votes(id(NODES - 1)), "votes again");
+        assertTrue(last.majorityReachable());
+        assertTrue(nodes.get(0).isVoter(id(NODES - 1)), "votes again");
     }
 }
--- a/src/test/java/ringspindle/scale/RestartTest.java
+++ b/src/test/java/ringspindle/scale/RestartTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Validated;
-import ringspindle.controlplane.HollowControlNode;
+import ringspindle.controlplane.SimulatedControlNode;
 import ringspindle.dataplane.HollowDataNode;
 import ringspindle.loadbalancing.LoadBalancer;
 import ringspindle.loadbalancing.SelectionRequests;
@@ -25,7 +25,7 @@
     private static final NodeId DATA = NodeId.of("10.1.0.2:7001");
 
     private final SimulatedNetwork net = new SimulatedNetwork();
-    private HollowControlNode control;
+    private SimulatedControlNode control;
     private HollowDataNode data;
 
     private static NodeConfig settings(String name, String ip, boolean isControl) {
@@ -73,14 +73,14 @@
     }
 
     private int running() {
-        return control.total().counts(EngineKey.of(ENGINE)).running();
+        return control.totalLoad().counts(EngineKey.of(ENGINE)).running();
     }
 
     @Test
     void itsReportsCountAsSoonAsItsSessionStands() throws Exception {
-        control = new HollowControlNode(settings("c", "10.0.0.1", true), net.means(1), net::at);
+        control = new SimulatedControlNode(settings("c", "10.0.0.1", true), net.means(1), net::at);
         data = new HollowDataNode(settings("d", "10.1.0.2", false), net.means(9));
-        every(HollowControlNode.tickMs(), control::tick);
+        every(SimulatedControlNode.tickMs(), control::tick);
         every(HollowDataNode.tickMs(), () -> data.tick());
         long[] seq = {0};
         every(
@@ -103,6 +103,6 @@
         request();
         net.runFor(2000);
         assertEquals(1, running(), "of its new life");
-        assertEquals(Set.of(DATA), control.followed().keySet());
+        assertEquals(Set.of(DATA), control.reportedRevisions().keySet());
     }
 }
--- a/src/test/java/ringspindle/scale/RulesFleetTest.java
+++ b/src/test/java/ringspindle/scale/RulesFleetTest.java
@@ -17,7 +17,7 @@
 import ringspindle.api.Outcome;
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Validated;
-import ringspindle.controlplane.HollowControlNode;
+import ringspindle.controlplane.SimulatedControlNode;
 import ringspindle.dataplane.HollowDataNode;
 import ringspindle.protocol.NodeId;
 
@@ -26,7 +26,7 @@
     private static final int ZONES = 6;
 
     private final SimulatedNetwork net = new SimulatedNetwork();
-    private final List<HollowControlNode> controls = new ArrayList<>();
+    private final List<SimulatedControlNode> controls = new ArrayList<>();
     private final List<NodeId> controlIds = new ArrayList<>();
     private final List<HollowDataNode> datas = new ArrayList<>();
     private final List<NodeId> dataIds = new ArrayList<>();
@@ -79,8 +79,8 @@
         for (int z = 0; z < ZONES; z++) {
             String ip = "10.0." + z + ".1";
             controlIds.add(NodeId.of(ip + ":7000"));
-            controls.add(new HollowControlNode(settings("c" + z, ip, z, true), net.means(1), net::at));
-            tick(controlIds.get(z), controls.get(z)::tick, HollowControlNode.tickMs());
+            controls.add(new SimulatedControlNode(settings("c" + z, ip, z, true), net.means(1), net::at));
+            tick(controlIds.get(z), controls.get(z)::tick, SimulatedControlNode.tickMs());
         }
         for (int i = 0; i < 18; i++) {
             String ip = "10.1.0." + (2 + i);
@@ -118,7 +118,7 @@
         }
         String body = "{\"revision\":" + next + ",\"default\":{\"class\":{\"waitMs\":" + luck.nextInt(30_000) + "}}}";
         boolean[] done = {false};
-        controls.get(via).rules(base, body.getBytes(UTF_8), o -> {
+        controls.get(via).putRules(base, body.getBytes(UTF_8), o -> {
             if (done[0]) {
                 return;
             }
@@ -196,7 +196,7 @@
         followed.forEach((id, l) -> assertEquals(new ArrayList<>(new TreeSet<>(l)), l, id + " went back"));
         // every node says so, through the control node it reports to, and only those that did are counted
         Map<NodeId, Long> said = new TreeMap<>();
-        controls.forEach(c -> c.followed().forEach((node, rev) -> said.merge(node, rev, Math::max)));
+        controls.forEach(c -> c.reportedRevisions().forEach((node, rev) -> said.merge(node, rev, Math::max)));
         assertEquals(new TreeSet<>(dataIds), said.keySet());
         said.forEach((node, rev) -> assertEquals(datas.get(0).rules(), rev, node + " says " + rev));
     }
--- a/src/test/java/ringspindle/scale/StorageStartTest.java
+++ b/src/test/java/ringspindle/scale/StorageStartTest.java
@@ -17,7 +17,7 @@
 import ringspindle.api.Outcome;
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Validated;
-import ringspindle.controlplane.HollowControlNode;
+import ringspindle.controlplane.SimulatedControlNode;
 import ringspindle.dataplane.HollowDataNode;
 import ringspindle.protocol.BatchMessage.JobCall;
 import ringspindle.protocol.JobCallKind;
@@ -44,7 +44,7 @@
     private static final int SUBMISSION_MS = 4000;
 
     private final SimulatedNetwork net = new SimulatedNetwork();
-    private final List<HollowControlNode> controls = new ArrayList<>();
+    private final List<SimulatedControlNode> controls = new ArrayList<>();
     private HollowDataNode data;
     private long acknowledged;
 
@@ -93,10 +93,10 @@
 
     private void startControl(int number) throws Exception {
         String ip = "10.0." + number + ".1";
-        HollowControlNode control = new HollowControlNode(
+        SimulatedControlNode control = new SimulatedControlNode(
                 settings("c" + number, ip, number, "listen.control", ip + ":80"), net.means(life()), net::at);
         controls.add(control);
-        every(NodeId.of(ip + ":7000"), HollowControlNode.tickMs(), control::tick);
+        every(NodeId.of(ip + ":7000"), SimulatedControlNode.tickMs(), control::tick);
     }
 
     private void startStorage(int number, IntSupplier syncMs) throws Exception {
@@ -208,9 +208,9 @@
     }
 
     private void freezeHead() {
-        for (HollowControlNode control : controls) {
-            if (control.head()) {
-                net.freeze(control.me(), 3000);
+        for (SimulatedControlNode control : controls) {
+            if (control.isHead()) {
+                net.freeze(control.nodeId(), 3000);
                 return;
             }
         }
