--- a/src/main/java/ringspindle/controlplane/ControlNode.java
+++ b/src/main/java/ringspindle/controlplane/ControlNode.java
@@ -74,7 +74,7 @@
                 me, this::config, environment.clock(), environment.meshFactory().apply(self), environment.pool());
         serving = new ServingState(context.clock(), quorum);
         fleet = new FleetState(context, self);
-        CommittedFacts committedFacts = new CommittedFacts(context.pool(), fleet, serving);
+        CommittedFacts committedFacts = new CommittedFacts(context.executor(), fleet, serving);
         List<Message> found = storage.replication().load();
         ReplicatedState state = replicatedState(me, environment, found);
         replication = new ReplicationDriver(context, state, calls, storage.replication(), quorum, committedFacts);
@@ -164,7 +164,7 @@
     /** Settings changed while running. */
     public void settings(NodeConfig changed) {
         config = changed;
-        fleet.settings(changed);
+        fleet.updateSettings(changed);
     }
 
     /** Says that this node leaves; {@link #handedOver} tells when it may end. */
@@ -176,7 +176,7 @@
     /** True once the others go on without this node and hold all that is committed here. */
     public boolean handedOver() {
         ReplicationDriver.Status status = replication.status();
-        return ShutdownHandover.done(context.me(), status.view(), status.sequence(), queries.holders());
+        return ShutdownHandover.done(context.self(), status.view(), status.sequence(), queries.holders());
     }
 
     /** What this node waits for before it serves. */
@@ -202,7 +202,7 @@
 
     /** This node's identity among nodes. */
     public NodeId me() {
-        return context.me();
+        return context.self();
     }
 
     /** Whether this node may serve. */
--- a/src/main/java/ringspindle/controlplane/ControlNodeTasks.java
+++ b/src/main/java/ringspindle/controlplane/ControlNodeTasks.java
@@ -72,7 +72,7 @@
         this.heartbeats = heartbeats;
         this.committedFacts = committedFacts;
         this.headDuties = headDuties;
-        dialer = new ControlPeerDialer(context.me());
+        dialer = new ControlPeerDialer(context.self());
     }
 
     /** Runs what is due. */
@@ -107,7 +107,7 @@
         List<NodeId> heartbeatTo = new ArrayList<>();
         synchronized (fleet.lock) {
             for (NodeId silent : fleet.sessions().peersToDrop(nowMs)) {
-                context.pool().execute(() -> context.mesh().drop(silent));
+                context.executor().execute(() -> context.mesh().drop(silent));
             }
             for (SessionTable.Peer peer : fleet.sessions().peers()) {
                 NodeId node = peer.hello().node();
@@ -133,7 +133,7 @@
                 replication.tick(nowMs, new PeerConnectivity(context, fleet, serving, live));
         serving.hearsCommits(result.current());
         synchronized (fleet.lock) {
-            quorum.renew(nowMs, context.me(), result.blank() ? null : result.view(), this::contact);
+            quorum.renew(nowMs, context.self(), result.blank() ? null : result.view(), this::contact);
         }
         return result.view();
     }
@@ -170,7 +170,7 @@
             return;
         }
         if (hearsEngines(nowMs)) {
-            fleet.facts().judgeEngines(nowMs);
+            fleet.facts().updateEnginePresence(nowMs);
         }
         fleet.loads().send(nowMs);
     }
--- a/src/main/java/ringspindle/controlplane/CounterDriver.java
+++ b/src/main/java/ringspindle/controlplane/CounterDriver.java
@@ -50,7 +50,7 @@
         this.records = records;
         CounterSettings settings = CounterSettings.of(
                 context.config().lossesBorne(), context.config().bootstrap());
-        replica = new CounterReplica(context.me(), settings, records.load(), newStore, context.nowMs());
+        replica = new CounterReplica(context.self(), settings, records.load(), newStore, context.nowMs());
     }
 
     /** From now on records are written. */
@@ -168,7 +168,7 @@
                 records.write(new RecordLog.Write(store.token(), store.records(), store.snapshot()));
             } else if (command instanceof CounterReplica.Out.Answer answer) {
                 Consumer<Outcome> caller = callers.remove(answer.call());
-                context.pool().execute(() -> caller.accept(answer.outcome()));
+                context.executor().execute(() -> caller.accept(answer.outcome()));
             }
         }
     }
--- a/src/main/java/ringspindle/controlplane/EngineRegistry.java
+++ b/src/main/java/ringspindle/controlplane/EngineRegistry.java
@@ -35,7 +35,7 @@
             if (!serving.quorate()) {
                 return false;
             }
-            fleet.facts().heartbeat(id, engine, sequence);
+            fleet.facts().onHeartbeat(id, engine, sequence);
             return true;
         }
     }
--- a/src/main/java/ringspindle/controlplane/ExperimentTask.java
+++ b/src/main/java/ringspindle/controlplane/ExperimentTask.java
@@ -58,7 +58,7 @@
         List<Experiment> open = openExperiments();
         Set<Long> ids = new HashSet<>();
         open.forEach(experiment -> ids.add(experiment.id()));
-        boolean leads = view != null && quorate && view.head().equals(context.me());
+        boolean leads = view != null && quorate && view.head().equals(context.self());
         if (!leads) {
             watches.clear();
         }
--- a/src/main/java/ringspindle/controlplane/FleetQueries.java
+++ b/src/main/java/ringspindle/controlplane/FleetQueries.java
@@ -53,7 +53,7 @@
             boolean inTouch = quorum.inTouch(nowMs);
             Resolution resolution = fleet.frontends()
                     .resolve(region, zone, () -> fleet.homeRegions().of(host), inTouch, nowMs);
-            fleet.resolutions().answered(region, resolution.scope(), () -> basis(host, inTouch, nowMs));
+            fleet.resolutions().recordAnswer(region, resolution.scope(), () -> basis(host, inTouch, nowMs));
             return resolution;
         }
     }
--- a/src/main/java/ringspindle/controlplane/HeartbeatExchange.java
+++ b/src/main/java/ringspindle/controlplane/HeartbeatExchange.java
@@ -63,8 +63,8 @@
     /** Called with the fleet's lock held. */
     private void noted(SessionTable.Peer peer, Heartbeat heartbeat) {
         if (peer.hello().kind() != NodeKind.CONTROL) {
-            fleet.dataNodes().heard(peer, heartbeat);
+            fleet.dataNodes().onHeartbeat(peer, heartbeat);
         }
-        fleet.dissemination().heard(peer.hello().node(), heartbeat.digest());
+        fleet.dissemination().onHeartbeat(peer.hello().node(), heartbeat.digest());
     }
 }
--- a/src/main/java/ringspindle/controlplane/LoadHandler.java
+++ b/src/main/java/ringspindle/controlplane/LoadHandler.java
@@ -20,7 +20,7 @@
     /** What a data node, or a control node of this region, saw of engines. */
     void received(NodeId from, Report report, long nowMs) {
         synchronized (fleet.lock) {
-            fleet.loads().reported(from, report, nowMs);
+            fleet.loads().onReport(from, report, nowMs);
         }
     }
 
@@ -49,7 +49,7 @@
     /** Another region's load. */
     void received(Load load, long nowMs) {
         synchronized (fleet.lock) {
-            fleet.loads().heard(load, nowMs);
+            fleet.loads().onRegionLoads(load, nowMs);
         }
     }
 }
--- a/src/main/java/ringspindle/controlplane/MessageDispatcher.java
+++ b/src/main/java/ringspindle/controlplane/MessageDispatcher.java
@@ -61,8 +61,8 @@
         long nowMs = context.nowMs();
         synchronized (fleet.lock) {
             fleet.sessions().opened(peer, nowMs);
-            fleet.loads().opened(peer);
-            fleet.dissemination().opened(peer.node());
+            fleet.loads().onSessionOpened(peer);
+            fleet.dissemination().onSessionOpened(peer.node());
         }
         if (peer.kind() == NodeKind.CONTROL) {
             replication.opened(peer.node(), nowMs);
@@ -118,11 +118,11 @@
                     && session.hello().kind() != NodeKind.CONTROL
                     && session.heartbeat().n() > 0;
             if (heardDataNode) {
-                fleet.dataNodes().closed(session);
-                fleet.loads().closed(peer);
+                fleet.dataNodes().onSessionClosed(session);
+                fleet.loads().onSessionClosed(peer);
             }
             fleet.sessions().closed(peer);
-            fleet.dissemination().closed(peer);
+            fleet.dissemination().onSessionClosed(peer);
         }
     }
 }
--- a/src/main/java/ringspindle/controlplane/MeteringTask.java
+++ b/src/main/java/ringspindle/controlplane/MeteringTask.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.eclipse.jetty.http.HttpStatus;
 import ringspindle.config.PlatformSettings;
-import ringspindle.controlplane.fleet.DutyLease;
+import ringspindle.controlplane.fleet.HeadLease;
 import ringspindle.controlplane.fleet.NodeContext;
 import ringspindle.metering.UsageLedger;
 import ringspindle.protocol.Message.Mark;
@@ -41,7 +41,7 @@
     private final ServingState serving;
     private final UsageLedger ledger;
     private final PlatformClient platform;
-    private final DutyLease lease;
+    private final HeadLease lease;
     private final FilteredWallClock wallClock;
     private final AtomicBoolean busy = new AtomicBoolean();
     /** The last window that the platform took from this node. */
@@ -62,7 +62,7 @@
         this.ledger = ledger;
         this.platform = platform;
         int leaseMs = context.config().platform().leaseMs();
-        lease = new DutyLease(context.me(), Math.max(leaseMs, QuorumTracker.VALID_MS) + TAKEOVER_MARGIN_MS);
+        lease = new HeadLease(context.self(), Math.max(leaseMs, QuorumTracker.VALID_MS) + TAKEOVER_MARGIN_MS);
         wallClock = FilteredWallClock.system(context.nowMs());
     }
 
@@ -70,7 +70,7 @@
     void tick(View view, boolean quorate, long ticks, long nowMs) {
         PlatformSettings settings = context.config().platform();
         wallClock.tick(nowMs);
-        if (!settings.wants(PlatformSettings.METERING) || !lease.mayAct(view, quorate, nowMs)) {
+        if (!settings.wants(PlatformSettings.METERING) || !lease.renew(view, quorate, nowMs)) {
             return;
         }
         if (ticks % PERIOD_TICKS != 0 || nowMs < notBeforeMs || busy.get()) {
--- a/src/main/java/ringspindle/controlplane/PeerConnectivity.java
+++ b/src/main/java/ringspindle/controlplane/PeerConnectivity.java
@@ -41,12 +41,12 @@
 
     @Override
     public boolean leaving(NodeId node) {
-        return node.equals(context.me()) ? serving.leaving() : announces(node, NodeFlags.LEAVING);
+        return node.equals(context.self()) ? serving.leaving() : announces(node, NodeFlags.LEAVING);
     }
 
     @Override
     public boolean relearning(NodeId node) {
-        return !node.equals(context.me()) && announces(node, NodeFlags.RELEARNING);
+        return !node.equals(context.self()) && announces(node, NodeFlags.RELEARNING);
     }
 
     private boolean announces(NodeId node, NodeFlags flag) {
@@ -58,7 +58,7 @@
 
     @Override
     public String failureDomain(NodeId node) {
-        if (node.equals(context.me())) {
+        if (node.equals(context.self())) {
             return context.config().region();
         }
         synchronized (fleet.lock) {
--- a/src/main/java/ringspindle/controlplane/QuotaHandler.java
+++ b/src/main/java/ringspindle/controlplane/QuotaHandler.java
@@ -65,7 +65,7 @@
         if (view == null) {
             return;
         }
-        if (!view.head().equals(context.me())) {
+        if (!view.head().equals(context.self())) {
             boolean fromDataNode = ask.origin().equals(from);
             if (fromDataNode) {
                 context.mesh().send(view.head(), ask);
--- a/src/main/java/ringspindle/controlplane/UsageHandler.java
+++ b/src/main/java/ringspindle/controlplane/UsageHandler.java
@@ -23,7 +23,7 @@
         ledger.add(report);
         View view = replication.view();
         boolean fromDataNode = report.origin().equals(from);
-        if (fromDataNode && view != null && !view.head().equals(context.me())) {
+        if (fromDataNode && view != null && !view.head().equals(context.self())) {
             context.mesh().send(view.head(), report);
         }
     }
--- a/src/main/java/ringspindle/controlplane/fleet/DataNodeDirectory.java
+++ b/src/main/java/ringspindle/controlplane/fleet/DataNodeDirectory.java
@@ -49,7 +49,7 @@
     }
 
     /** A node's session is told once; told anew if it changes, or if whoever told it is out of touch. */
-    public void heard(SessionTable.Peer peer, Heartbeat heartbeat) {
+    public void onHeartbeat(SessionTable.Peer peer, Heartbeat heartbeat) {
         DecodedFacts.Entry<DataNodeFact> known = known(peer);
         DataNodeFact told = known == null ? null : known.value();
         boolean same = told != null
@@ -66,7 +66,7 @@
     }
 
     /** The session of a data node is gone. If it has one with another control node in touch, that one speaks of it. */
-    public void closed(SessionTable.Peer peer) {
+    public void onSessionClosed(SessionTable.Peer peer) {
         if (isToldElsewhere(peer)) {
             return;
         }
--- a/src/main/java/ringspindle/controlplane/fleet/FactDissemination.java
+++ b/src/main/java/ringspindle/controlplane/fleet/FactDissemination.java
@@ -36,20 +36,20 @@
     }
 
     /** A new session: its peer is told everything. */
-    public void opened(NodeId peer) {
+    public void onSessionOpened(NodeId peer) {
         facts.store().resetPeer(peer);
         filled.remove(peer);
         repairs.forget(peer);
     }
 
     /** A session is gone. */
-    public void closed(NodeId peer) {
+    public void onSessionClosed(NodeId peer) {
         facts.store().removePeer(peer);
         repairs.forget(peer);
     }
 
     /** A peer's heartbeat carries the digest of what it knows: it is asked to compare if it stays apart from this node. */
-    public void heard(NodeId peer, long peerDigest) {
+    public void onHeartbeat(NodeId peer, long peerDigest) {
         if (peerDigest != 0 && repairs.onHeartbeat(peer, facts.store().digest(), peerDigest)) {
             mesh.send(peer, new Digest(facts.store().ranges()));
         }
--- a/src/main/java/ringspindle/controlplane/fleet/FleetFacts.java
+++ b/src/main/java/ringspindle/controlplane/fleet/FleetFacts.java
@@ -57,7 +57,7 @@
     }
 
     /** Settings changed while running. */
-    void settings(NodeConfig changed) {
+    void updateSettings(NodeConfig changed) {
         config = changed;
     }
 
@@ -136,14 +136,14 @@
     }
 
     /** An engine's heartbeat, spread only if it says something new. */
-    public void heartbeat(String id, Engine engine, long sequence) {
+    public void onHeartbeat(String id, Engine engine, long sequence) {
         if (presence.onHeartbeat(id, engine, sequence, clock.nowMs())) {
             merge(List.of(new Fact(FactKind.ENGINE, id, 0, sequence, Codec.encode(engine))));
         }
     }
 
     /** Engines of this region that fell silent or are heard again become facts. */
-    public void judgeEngines(long nowMs) {
+    public void updateEnginePresence(long nowMs) {
         for (EnginePresence.Change change : presence.detectChanges(this::inThisRegion, nowMs)) {
             LOG.atInfo()
                     .with(LogField.ENGINE, change.id())
--- a/src/main/java/ringspindle/controlplane/fleet/FleetState.java
+++ b/src/main/java/ringspindle/controlplane/fleet/FleetState.java
@@ -35,7 +35,7 @@
 
     /** Knows nothing of other nodes yet; the greeting is that of this node. */
     public FleetState(NodeContext context, Hello self) {
-        NodeId me = context.me();
+        NodeId me = context.self();
         NodeConfig config = context.config();
         Mesh mesh = context.mesh();
         sessions = SessionTable.forControl(me);
@@ -49,10 +49,10 @@
     }
 
     /** Settings changed while running. */
-    public void settings(NodeConfig config) {
+    public void updateSettings(NodeConfig config) {
         synchronized (lock) {
-            facts.settings(config);
-            loads.settings(config);
+            facts.updateSettings(config);
+            loads.updateSettings(config);
         }
     }
 
--- a/src/main/java/ringspindle/controlplane/fleet/DutyLease.java
+++ b/src/main/java/ringspindle/controlplane/fleet/HeadLease.java
@@ -8,7 +8,7 @@
  * cannot act any more. A head acts on a proof that is 1.5 s old at most; one that takes over waits for longer than that. Confined to
  * its owner.
  */
-public final class DutyLease {
+public final class HeadLease {
     private static final long NEVER = -1;
     private static final long FIRST_EPOCH = 1;
 
@@ -24,7 +24,7 @@
      *
      * @param takeoverMs for how long a node waits that takes the role over from another one
      */
-    public DutyLease(NodeId me, int takeoverMs) {
+    public HeadLease(NodeId me, int takeoverMs) {
         this.me = me;
         this.takeoverMs = takeoverMs;
     }
@@ -35,7 +35,7 @@
      * @param view the newest view, null if unknown
      * @param quorate only then this node may act as the head
      */
-    public boolean mayAct(View view, boolean quorate, long nowMs) {
+    public boolean renew(View view, boolean quorate, long nowMs) {
         if (view == null || !quorate || !view.head().equals(me)) {
             return false;
         }
--- a/src/main/java/ringspindle/controlplane/fleet/LoadAggregator.java
+++ b/src/main/java/ringspindle/controlplane/fleet/LoadAggregator.java
@@ -63,23 +63,23 @@
     }
 
     /** Settings changed while running. */
-    void settings(NodeConfig changed) {
+    void updateSettings(NodeConfig changed) {
         region = changed.region();
     }
 
     /** A session says which incarnation of its node counts from now on. */
-    public void opened(Hello peer) {
+    public void onSessionOpened(Hello peer) {
         sources.onSessionOpened(peer.node(), peer.life());
         peers.onSessionOpened(peer.node(), peer.life());
     }
 
     /** The session of a data node is gone: what it said here counts no more. */
-    public void closed(NodeId peer) {
+    public void onSessionClosed(NodeId peer) {
         sources.onSessionClosed(peer);
     }
 
     /** A report came; it counts only if it is of the incarnation that the session stands for. */
-    public void reported(NodeId from, Report report, long nowMs) {
+    public void onReport(NodeId from, Report report, long nowMs) {
         SessionTable.Peer peer = sessions.peer(from);
         if (peer == null || peer.hello().life() != report.life()) {
             return;
@@ -101,7 +101,7 @@
     }
 
     /** Another region's sums came. */
-    public void heard(Load load, long nowMs) {
+    public void onRegionLoads(Load load, long nowMs) {
         for (RegionLoad reported : load.regions()) {
             String other = reported.region();
             if (!other.equals(region)) {
--- a/src/main/java/ringspindle/controlplane/fleet/NodeContext.java
+++ b/src/main/java/ringspindle/controlplane/fleet/NodeContext.java
@@ -10,12 +10,13 @@
 /**
  * What the parts of a control node work with. Without state of its own.
  *
- * @param me this node's identity among nodes
+ * @param self this node's identity among nodes
  * @param settings the settings in force, which may change while running
  * @param mesh connections to other nodes; sending only queues
- * @param pool runs what must not hold up the caller
+ * @param executor runs what must not hold up the caller
  */
-public record NodeContext(NodeId me, Supplier<NodeConfig> settings, MonotonicClock clock, Mesh mesh, Executor pool) {
+public record NodeContext(
+        NodeId self, Supplier<NodeConfig> settings, MonotonicClock clock, Mesh mesh, Executor executor) {
     /** The settings in force. */
     public NodeConfig config() {
         return settings.get();
--- a/src/main/java/ringspindle/controlplane/fleet/QuotaLeaseIssuer.java
+++ b/src/main/java/ringspindle/controlplane/fleet/QuotaLeaseIssuer.java
@@ -21,12 +21,12 @@
 
     private final FleetFacts facts;
     private final DataNodeDirectory dataNodes;
-    private final DutyLease lease;
+    private final HeadLease lease;
 
     QuotaLeaseIssuer(NodeId me, FleetFacts facts, DataNodeDirectory dataNodes) {
         this.facts = facts;
         this.dataNodes = dataNodes;
-        lease = new DutyLease(me, TAKEOVER_MS);
+        lease = new HeadLease(me, TAKEOVER_MS);
     }
 
     /**
@@ -36,7 +36,7 @@
      * @param quorate only then this node may act as the head
      */
     public void tick(View view, boolean quorate, long ticks, long nowMs) {
-        if (lease.mayAct(view, quorate, nowMs) && ticks % PERIOD_TICKS == 0) {
+        if (lease.renew(view, quorate, nowMs) && ticks % PERIOD_TICKS == 0) {
             grant(view.epoch(), nowMs);
         }
     }
--- a/src/main/java/ringspindle/controlplane/fleet/ResolutionLog.java
+++ b/src/main/java/ringspindle/controlplane/fleet/ResolutionLog.java
@@ -33,7 +33,7 @@
      * @param region the client's region
      * @param basis what the answer rests on; asked for only if a line is logged
      */
-    public void answered(String region, Scope scope, Supplier<String> basis) {
+    public void recordAnswer(String region, Scope scope, Supplier<String> basis) {
         counts.merge(scope, 1L, Long::sum);
         if (NEAR.contains(scope)) {
             if (logged.remove(region) != null) {
--- a/src/test/java/ringspindle/controlplane/fleet/DataNodeDirectoryTest.java
+++ b/src/test/java/ringspindle/controlplane/fleet/DataNodeDirectoryTest.java
@@ -200,14 +200,14 @@
     void sessionThatMovedToAnotherControlNodeStaysReadyWhenTheOldOneCloses() {
         dataNodesHereAndAbroad();
         dataNode(2, "b", true, OTHER);
-        directory.closed(sessions.peer(NodeId.of("10.1.0.2:7000")));
+        directory.onSessionClosed(sessions.peer(NodeId.of("10.1.0.2:7000")));
         assertEquals(List.of(address(2)), addresses("b", NO_HOMES));
     }
 
     @Test
     void sessionThatOnlyThisNodeHeldIsGoneWhenItCloses() {
         dataNodesHereAndAbroad();
-        directory.closed(sessions.peer(NodeId.of("10.1.0.2:7000")));
+        directory.onSessionClosed(sessions.peer(NodeId.of("10.1.0.2:7000")));
         assertEquals(
                 List.of(),
                 addresses("b", Set.of("b")).stream().filter(address(2)::equals).toList());
