--- a/src/main/java/ringspindle/dataplane/DataPlaneMetrics.java
+++ b/src/main/java/ringspindle/dataplane/DataPlaneMetrics.java
@@ -27,27 +27,27 @@
                         "ringspindle_engines",
                         "Engines by state; one may have several. known counts all.",
                         "state",
-                        () -> engines(loadBalancer.figures()))
+                        () -> engines(loadBalancer.stats()))
                 .counter(
                         "ringspindle_engine_ejections",
                         "Ejections of engines by what this node saw of them.",
-                        () -> loadBalancer.figures().ejections())
+                        () -> loadBalancer.stats().ejections())
                 .counters(
                         "ringspindle_retries",
                         "Retries that the budget granted or refused.",
                         "decision",
-                        () -> retries(loadBalancer.figures()));
+                        () -> retries(loadBalancer.stats()));
     }
 
-    private static Map<String, Integer> engines(LoadBalancer.Figures figures) {
+    private static Map<String, Integer> engines(LoadBalancer.Stats stats) {
         return Map.of(
-                "known", figures.known(),
-                "ejected", figures.ejected(),
-                "draining", figures.draining(),
-                "heartbeat_missing", figures.heartbeatMissing());
+                "known", stats.known(),
+                "ejected", stats.ejected(),
+                "draining", stats.draining(),
+                "heartbeat_missing", stats.heartbeatMissing());
     }
 
-    private static Map<String, Long> retries(LoadBalancer.Figures figures) {
-        return Map.of("granted", figures.retriesGranted(), "refused", figures.retriesRefused());
+    private static Map<String, Long> retries(LoadBalancer.Stats stats) {
+        return Map.of("granted", stats.retriesGranted(), "refused", stats.retriesRefused());
     }
 }
--- a/src/main/java/ringspindle/dataplane/FactApplier.java
+++ b/src/main/java/ringspindle/dataplane/FactApplier.java
@@ -75,12 +75,12 @@
                 loadBalancer.setZoneEvacuated(fact.key(), text(fact).equals("on"), nowMs);
             case ROLLOUT -> {
                 Rollout rollout = Rollout.read(text(fact));
-                loadBalancer.setRolloutTurn(rollout.service(), new HashSet<>(rollout.turn()), nowMs);
+                loadBalancer.setEnginesInRollout(rollout.service(), new HashSet<>(rollout.turn()), nowMs);
             }
             case VERSION -> {
                 VersionRollout rollout = VersionRollout.read(text(fact));
                 boolean serves = rollout.standing() == VersionRollout.Standing.COMPLETED;
-                loadBalancer.setWithheldVersion(rollout.service(), serves ? "" : rollout.targetRevision());
+                loadBalancer.setExcludedSoftwareVersion(rollout.service(), serves ? "" : rollout.targetRevision());
             }
             case LEASE -> loadBalancer.updateLease((Lease) Codec.decode(fact.value()), nowMs);
             default -> {
--- a/src/main/java/ringspindle/loadbalancing/CostModel.java
+++ b/src/main/java/ringspindle/loadbalancing/CostModel.java
@@ -70,7 +70,7 @@
         // the order of the terms is part of the behaviour, as sums of doubles depend on it
         double cost = roundTripMs(engine, request)
                 + tokensToRead * tokenMs
-                + running * request.weights().runningRequestMs()
+                + running * request.costWeights().runningRequestMs()
                 + tokensInFlight * tokenMs * IN_FLIGHT_TOKEN_PART
                 + tieBreak * TIE_BREAK_STEP_MS;
         return engine.slowStart().isWarmingUp(nowMs) ? cost + WARMING_UP_MS : cost;
@@ -98,7 +98,7 @@
         }
         return engine.region().name().equals(settings.region())
                 ? SAME_REGION_MS
-                : request.weights().otherRegionMs();
+                : request.costWeights().otherRegionMs();
     }
 
     /** Learns from the time to the first byte of an answer, in ms; below 0 it says nothing. */
--- a/src/main/java/ringspindle/loadbalancing/EngineTableLoadBalancer.java
+++ b/src/main/java/ringspindle/loadbalancing/EngineTableLoadBalancer.java
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public synchronized void setRolloutTurn(String service, Set<String> ids, long nowMs) {
+    public synchronized void setEnginesInRollout(String service, Set<String> ids, long nowMs) {
         for (String id : rolloutTurns.ids(service)) {
             EngineEntry engine = engines.get(id);
             if (engine != null && !ids.contains(id)) {
@@ -184,8 +184,8 @@
     }
 
     @Override
-    public synchronized void setWithheldVersion(String service, String version) {
-        rolloutTurns.setWithheldVersion(service, version);
+    public synchronized void setExcludedSoftwareVersion(String service, String version) {
+        rolloutTurns.setExcludedSoftwareVersion(service, version);
     }
 
     @Override
@@ -269,7 +269,7 @@
         if (engine == null) {
             return;
         }
-        boolean stale = firstMs == STALE_MS;
+        boolean stale = firstMs == STALE_CONNECTION;
         boolean countsAsFailure = outcome.againstEngine() && !stale;
         countEnd(engine, request, stale ? AttemptOutcome.PARENT_ENDED : outcome, firstMs, nowMs);
         if (countsAsFailure) {
@@ -350,7 +350,7 @@
     }
 
     @Override
-    public synchronized Figures figures() {
+    public synchronized Stats stats() {
         int ejected = 0;
         int draining = 0;
         int heartbeatMissing = 0;
@@ -359,7 +359,7 @@
             draining += engine.isDraining() ? 1 : 0;
             heartbeatMissing += engine.isHeartbeatMissing() ? 1 : 0;
         }
-        return new Figures(
+        return new Stats(
                 engines.all().size(),
                 ejected,
                 draining,
--- a/src/main/java/ringspindle/loadbalancing/LeastCostPolicy.java
+++ b/src/main/java/ringspindle/loadbalancing/LeastCostPolicy.java
@@ -41,7 +41,7 @@
         for (EngineEntry engine : PrefixAffinity.rank(candidates.healthy(), request)) {
             if (candidates.isOpen(engine)
                     && PrefixAffinity.isBalanced(
-                            engine, request, request.weights().maxImbalance(), meanTokens, nowMs)) {
+                            engine, request, request.costWeights().maxImbalance(), meanTokens, nowMs)) {
                 return engine;
             }
         }
--- a/src/main/java/ringspindle/loadbalancing/LoadBalancer.java
+++ b/src/main/java/ringspindle/loadbalancing/LoadBalancer.java
@@ -32,7 +32,7 @@
  */
 public interface LoadBalancer {
     /** Value of a time to first byte in {@link #onAttemptEnded}: an idle connection had been closed by the peer. */
-    long STALE_MS = -2;
+    long STALE_CONNECTION = -2;
 
     /**
      * A request that needs an engine.
@@ -47,7 +47,7 @@
      * @param weightsVersion version of the model weights that the engine must run; below 0 if any will do
      * @param random uniformly distributed bits for breaking ties
      * @param preference what a serving rule says of the choice, or null
-     * @param weights weights of the cost by which engines are compared
+     * @param costWeights weights of the cost by which engines are compared
      */
     record SelectionRequest(
             String service,
@@ -60,7 +60,7 @@
             long weightsVersion,
             long random,
             RoutingPreference preference,
-            CostWeights weights) {
+            CostWeights costWeights) {
         /** Tokens that count as in flight at the engine while the request runs there. */
         int tokensInFlight() {
             return uncachedTokens + outputTokens;
@@ -94,9 +94,10 @@
     /**
      * The engine that was selected.
      *
-     * @param connections how many connections this node may hold to it
+     * @param connectionLimit how many connections this node may hold to it
      */
-    record SelectedEngine(String id, NodeId address, String zone, ConnectionLimit connections) implements Selection {}
+    record SelectedEngine(String id, NodeId address, String zone, ConnectionLimit connectionLimit)
+            implements Selection {}
 
     /**
      * No engine has capacity now.
@@ -145,10 +146,10 @@
     LoadSummary summarizeLoad(long nowMs);
 
     /** The engines of a service whose turn it is in a rollout: they get nothing new, and warm up when they return. */
-    void setRolloutTurn(String service, Set<String> ids, long nowMs);
+    void setEnginesInRollout(String service, Set<String> ids, long nowMs);
 
     /** Engines of a service that run that version of its software get nothing; empty for none. */
-    void setWithheldVersion(String service, String version);
+    void setExcludedSoftwareVersion(String service, String version);
 
     /** How many requests the engines of a service run at a time, of those that are in service now. */
     int capacityInService(String service);
@@ -166,7 +167,7 @@
      * The attempt at an engine that {@link #select} returned is over.
      *
      * @param request the request as it was given to {@link #select}
-     * @param firstMs time to the first byte, in ms; below 0 if none came, and {@link #STALE_MS} if none came because an idle
+     * @param firstMs time to the first byte, in ms; below 0 if none came, and {@link #STALE_CONNECTION} if none came because an idle
      *     connection had been closed by the peer, which says nothing of the engine
      */
     void onAttemptEnded(String id, SelectionRequest request, AttemptOutcome outcome, long firstMs, long nowMs);
@@ -199,7 +200,7 @@
      * @param retriesGranted retries that the budget let go
      * @param retriesRefused retries that it did not
      */
-    record Figures(
+    record Stats(
             int known,
             int ejected,
             int draining,
@@ -209,7 +210,7 @@
             long retriesRefused) {}
 
     /** Figures of the table as it is now. */
-    Figures figures();
+    Stats stats();
 
     /** Ids of the engines that are known, for closing connections to all others. */
     Set<String> knownEngineIds();
--- a/src/main/java/ringspindle/loadbalancing/RolloutTurns.java
+++ b/src/main/java/ringspindle/loadbalancing/RolloutTurns.java
@@ -23,7 +23,7 @@
         return withheldVersions.getOrDefault(service, "");
     }
 
-    void setWithheldVersion(String service, String version) {
+    void setExcludedSoftwareVersion(String service, String version) {
         withheldVersions.put(service, version);
     }
 
--- a/src/main/java/ringspindle/proxy/AttemptTiming.java
+++ b/src/main/java/ringspindle/proxy/AttemptTiming.java
@@ -33,7 +33,7 @@
 
     /** The engine had closed the connection before: the time says nothing of the engine. */
     void connectionWasStale() {
-        firstByteMs = LoadBalancer.STALE_MS;
+        firstByteMs = LoadBalancer.STALE_CONNECTION;
     }
 
     boolean wasSent() {
--- a/src/main/java/ringspindle/proxy/ItemAttempt.java
+++ b/src/main/java/ringspindle/proxy/ItemAttempt.java
@@ -38,7 +38,7 @@
     }
 
     void start() {
-        client.connections().acquire(engine.id(), engine.address(), engine.connections(), true, this);
+        client.connections().acquire(engine.id(), engine.address(), engine.connectionLimit(), true, this);
     }
 
     @Override
--- a/src/main/java/ringspindle/proxy/ProxiedAttempt.java
+++ b/src/main/java/ringspindle/proxy/ProxiedAttempt.java
@@ -71,7 +71,7 @@
 
     /** Takes a connection to the engine and goes on from there. */
     void start(boolean repeatable) {
-        proxy.connections().acquire(engine.id(), engine.address(), engine.connections(), repeatable, this);
+        proxy.connections().acquire(engine.id(), engine.address(), engine.connectionLimit(), repeatable, this);
     }
 
     @Override
--- a/src/test/java/ringspindle/loadbalancing/LoadBalancerTest.java
+++ b/src/test/java/ringspindle/loadbalancing/LoadBalancerTest.java
@@ -41,11 +41,11 @@
         assertEquals(
                 "i-b", LoadBalancers.id(loadBalancer.select(LoadBalancers.request(Set.of(), Set.of("i-a"), -1), 10)));
         assertEquals("none", LoadBalancers.id(loadBalancer.select(LoadBalancers.request(Set.of(), Set.of(), 2), 10)));
-        loadBalancer.setRolloutTurn("s", Set.of("i-a"), 20);
+        loadBalancer.setEnginesInRollout("s", Set.of("i-a"), 20);
         assertEquals("i-b", LoadBalancers.id(loadBalancer.select(LoadBalancers.anyRequest(), 30)));
         loadBalancer.setZoneEvacuated("b1", true, 40);
         assertEquals("none", LoadBalancers.id(loadBalancer.select(LoadBalancers.anyRequest(), 50)));
-        loadBalancer.setRolloutTurn("s", Set.of(), 60);
+        loadBalancer.setEnginesInRollout("s", Set.of(), 60);
         assertEquals("i-a", LoadBalancers.id(loadBalancer.select(LoadBalancers.anyRequest(), 2000)));
         loadBalancer.updateEngine("i-a", LoadBalancers.engine("a1", 1, 0, true), 2, 2100);
         assertEquals("none", LoadBalancers.id(loadBalancer.select(LoadBalancers.anyRequest(), 2200)));
@@ -65,7 +65,7 @@
                 SelectionRequests.of("s").prompt(4711, 13_000, 100).output(50).build();
         SelectedEngine first = (SelectedEngine) loadBalancer.select(sharing, 10);
         SelectedEngine second = (SelectedEngine) loadBalancer.select(sharing, 10);
-        assertEquals(new ConnectionLimit(1, true), first.connections());
+        assertEquals(new ConnectionLimit(1, true), first.connectionLimit());
         assertNotEquals(first.id(), second.id());
         assertEquals("none", LoadBalancers.id(loadBalancer.select(sharing, 10)));
         loadBalancer.onAttemptEnded(first.id(), sharing, AttemptOutcome.ANSWERED, 20, 30);
@@ -359,7 +359,7 @@
         for (int i = 0; i < 6; i++) {
             loadBalancer.select(LoadBalancers.anyRequest(), 100 + i);
             loadBalancer.onAttemptEnded(
-                    "i-a", LoadBalancers.anyRequest(), AttemptOutcome.BROKEN, LoadBalancer.STALE_MS, 101 + i);
+                    "i-a", LoadBalancers.anyRequest(), AttemptOutcome.BROKEN, LoadBalancer.STALE_CONNECTION, 101 + i);
         }
         assertEquals(List.of(), loadBalancer.dueHealthProbes(200));
         assertEquals(
--- a/src/test/java/ringspindle/loadbalancing/LoadBalancers.java
+++ b/src/test/java/ringspindle/loadbalancing/LoadBalancers.java
@@ -45,11 +45,11 @@
 
     static SelectionRequest request(Set<String> homes, Set<String> excluded, long weights) {
         return SelectionRequests.of("s")
-                .homes(homes)
+                .allowedRegions(homes)
                 .prompt(0, 0, 100)
                 .output(50)
                 .excluding(excluded)
-                .weights(weights)
+                .weightsVersion(weights)
                 .random(5)
                 .build();
     }
--- a/src/test/java/ringspindle/loadbalancing/RoutingPreferenceTest.java
+++ b/src/test/java/ringspindle/loadbalancing/RoutingPreferenceTest.java
@@ -163,7 +163,7 @@
                 out.addAll(List.of("i-2", "i-4", "i-6"));
             }
             if (random.nextBoolean()) {
-                loadBalancer.setRolloutTurn("s", Set.of("i-4"), 1);
+                loadBalancer.setEnginesInRollout("s", Set.of("i-4"), 1);
                 out.add("i-4");
             }
             List<FallbackTarget> steps = new ArrayList<>();
@@ -178,7 +178,7 @@
                     random.nextInt(2) * 0.5, 1 + random.nextInt(3), steps, steps, random.nextInt(500));
             String got = LoadBalancers.id(loadBalancer.select(
                     SelectionRequests.of("s")
-                            .homes(homes)
+                            .allowedRegions(homes)
                             .prompt(random.nextInt(2) * 4711L, 13_000, 3000)
                             .output(100)
                             .excluding(Set.of("i-6"))
--- a/src/test/java/ringspindle/loadbalancing/SelectionRequests.java
+++ b/src/test/java/ringspindle/loadbalancing/SelectionRequests.java
@@ -35,7 +35,7 @@
     }
 
     /** The regions that may serve it; none for any. */
-    public SelectionRequests homes(Set<String> homes) {
+    public SelectionRequests allowedRegions(Set<String> homes) {
         allowed = homes.isEmpty() ? AllowedRegions.ANY : new AllowedRegions.Only(homes);
         return this;
     }
@@ -61,7 +61,7 @@
     }
 
     /** The version of the weights that must serve it, negative for any. */
-    public SelectionRequests weights(long version) {
+    public SelectionRequests weightsVersion(long version) {
         weights = version;
         return this;
     }
--- a/src/test/java/ringspindle/loadbalancing/SelectionSequence.java
+++ b/src/test/java/ringspindle/loadbalancing/SelectionSequence.java
@@ -211,14 +211,14 @@
         Set<String> excluded = random.nextInt(5) == 0 ? Set.of(engineId(), "i-none") : Set.of();
         boolean shares = random.nextInt(2) == 0;
         return SelectionRequests.of(SERVICES[random.nextInt(10) == 0 ? 1 + random.nextInt(2) : 0])
-                .homes(allowed)
+                .allowedRegions(allowed)
                 .prompt(
                         shares ? 1 + random.nextInt(5) * 7919L : 0,
                         shares ? 1000 + random.nextInt(20_000) : random.nextInt(200),
                         random.nextInt(8) == 0 ? 0 : random.nextInt(maxPromptTokens))
                 .output(random.nextInt(400))
                 .excluding(excluded)
-                .weights(random.nextInt(8) == 0 ? random.nextInt(3) : -1)
+                .weightsVersion(random.nextInt(8) == 0 ? random.nextInt(3) : -1)
                 .random(random.nextLong())
                 .preference(random.nextInt(3) == 0 ? preference() : null)
                 .build();
@@ -257,7 +257,11 @@
             return;
         }
         SelectedEngine engine = (SelectedEngine) selection;
-        note(engine.id(), engine.address(), engine.zone(), engine.connections().max());
+        note(
+                engine.id(),
+                engine.address(),
+                engine.zone(),
+                engine.connectionLimit().max());
         totals.count("selected");
         totals.count(request.preference() == null ? "plain" : "preferred");
         running.add(new Running(node, engine.id(), request));
@@ -281,7 +285,7 @@
         }
         long firstMs = outcome == AttemptOutcome.ANSWERED ? random.nextInt(600) : -1;
         if (outcome == AttemptOutcome.BROKEN && random.nextInt(3) == 0) {
-            firstMs = LoadBalancer.STALE_MS;
+            firstMs = LoadBalancer.STALE_CONNECTION;
         }
         ended.at().onAttemptEnded(ended.id(), ended.request(), outcome, firstMs, nowMs);
     }
@@ -355,8 +359,8 @@
                     node().setHeartbeatMissing("i-" + i, false, nowMs);
                 }
             }
-            case 9 -> node().setRolloutTurn("warm", new HashSet<>(Set.of(engineId(), "i-none")), nowMs);
-            case 10 -> node().setRolloutTurn("warm", Set.of(), nowMs);
+            case 9 -> node().setEnginesInRollout("warm", new HashSet<>(Set.of(engineId(), "i-none")), nowMs);
+            case 10 -> node().setEnginesInRollout("warm", Set.of(), nowMs);
             default -> engineLeaves();
         }
     }
--- a/src/test/java/ringspindle/replication/RolloutSimulation.java
+++ b/src/test/java/ringspindle/replication/RolloutSimulation.java
@@ -119,7 +119,7 @@
         for (LoadBalancer p : pickers) {
             in(
                     20 + random.nextInt(400),
-                    () -> p.setRolloutTurn("s", new HashSet<>(rollout().turn()), nowMs));
+                    () -> p.setEnginesInRollout("s", new HashSet<>(rollout().turn()), nowMs));
         }
         checkFloor(r);
         return Outcome.TAKEN;
--- a/src/test/java/ringspindle/replication/RolloutTraffic.java
+++ b/src/test/java/ringspindle/replication/RolloutTraffic.java
@@ -54,11 +54,11 @@
         }
         long weights = request.weights.isEmpty() ? -1 : request.weights.get(0);
         SelectionRequest ask = SelectionRequests.of("s")
-                .homes(request.homes)
+                .allowedRegions(request.homes)
                 .prompt(0, 0, 200)
                 .output(50)
                 .excluding(tried)
-                .weights(weights)
+                .weightsVersion(weights)
                 .random(simulation.random.nextLong())
                 .build();
         Selection selection = picker.select(ask, simulation.nowMs());
