--- a/src/main/java/ringspindle/proxy/AttemptConnection.java
+++ b/src/main/java/ringspindle/proxy/AttemptConnection.java
@@ -22,7 +22,7 @@
     }
 
     /** The attempt goes out over that connection. */
-    void hold(PooledConnection acquired, Request engineRequest) {
+    void attach(PooledConnection acquired, Request engineRequest) {
         held = acquired;
         engineRequest.onRequestSuccess(written -> requestWritten = true);
     }
@@ -53,10 +53,10 @@
     }
 
     /** A reused connection that was reset at once had been closed by the engine before: that is no fault of the engine. */
-    void noteIfForgotten(AttemptTiming timing, long nowMs) {
+    void recordIfStale(AttemptTiming timing, long nowMs) {
         if (held != null && held.isReused() && timing.wasSentWithin(FORGOTTEN_RESET_MS, nowMs)) {
-            timing.connectionWasStale();
-            pool.noteForgotten(held);
+            timing.onStaleConnection();
+            pool.recordStale(held);
         }
     }
 }
--- a/src/main/java/ringspindle/proxy/AttemptTiming.java
+++ b/src/main/java/ringspindle/proxy/AttemptTiming.java
@@ -8,31 +8,31 @@
 
     private long sentMs = NOT_YET;
     private long firstByteMs = NOT_YET;
-    private long lastHeardMs;
+    private long lastActivityMs;
 
     AttemptTiming(long nowMs) {
-        lastHeardMs = nowMs;
+        lastActivityMs = nowMs;
     }
 
-    void sent(long nowMs) {
+    void onSent(long nowMs) {
         sentMs = nowMs;
-        lastHeardMs = nowMs;
+        lastActivityMs = nowMs;
     }
 
-    void heard(long nowMs) {
-        lastHeardMs = nowMs;
+    void onActivity(long nowMs) {
+        lastActivityMs = nowMs;
     }
 
     /** Bytes of the body came; true if they are the first. */
-    boolean bodyBytes(long nowMs) {
-        lastHeardMs = nowMs;
+    boolean onBodyBytes(long nowMs) {
+        lastActivityMs = nowMs;
         boolean first = firstByteMs < 0;
         firstByteMs = first ? nowMs - sentMs : firstByteMs;
         return first;
     }
 
     /** The engine had closed the connection before: the time says nothing of the engine. */
-    void connectionWasStale() {
+    void onStaleConnection() {
         firstByteMs = LoadBalancer.STALE_MS;
     }
 
@@ -49,7 +49,7 @@
         return firstByteMs;
     }
 
-    long lastHeardMs() {
-        return lastHeardMs;
+    long lastActivityMs() {
+        return lastActivityMs;
     }
 }
--- a/src/main/java/ringspindle/proxy/BodyDeadline.java
+++ b/src/main/java/ringspindle/proxy/BodyDeadline.java
@@ -22,8 +22,8 @@
         this.onPassed = onPassed;
     }
 
-    /** The timer that will call {@link #pass}. */
-    synchronized void set(Scheduler.Task timer) {
+    /** The timer that will call {@link #expire}. */
+    synchronized void setTimer(Scheduler.Task timer) {
         if (state == State.OPEN) {
             this.timer = timer;
         } else {
@@ -36,7 +36,7 @@
     }
 
     /** The body is whole, or its reading has failed; false if the client has its answer already. */
-    synchronized boolean meet() {
+    synchronized boolean markMet() {
         if (state != State.OPEN) {
             return false;
         }
@@ -48,7 +48,7 @@
     }
 
     /** The deadline has come. */
-    void pass() {
+    void expire() {
         synchronized (this) {
             if (state != State.OPEN) {
                 return;
--- a/src/main/java/ringspindle/proxy/ClientResponse.java
+++ b/src/main/java/ringspindle/proxy/ClientResponse.java
@@ -24,7 +24,7 @@
     private final Response response;
     private final Callback callback;
     /** Null where nobody asks. */
-    private volatile AnswerTiming timing;
+    private volatile ResponseTiming timing;
 
     /** The response to that request; the callback ends the exchange. */
     ClientResponse(Request request, Response response, Callback callback) {
@@ -66,9 +66,9 @@
 
     /** Writes part of the body; one write at a time. */
     void write(byte[] part, Callback written) {
-        AnswerTiming asked = timing;
+        ResponseTiming asked = timing;
         if (asked != null) {
-            asked.onPart();
+            asked.onWrite();
         }
         response.write(false, ByteBuffer.wrap(part), written);
     }
@@ -79,7 +79,7 @@
     }
 
     /** Notes from now on when parts are written; what is written whole is not among them. */
-    void time(AnswerTiming answerTiming) {
+    void setTiming(ResponseTiming answerTiming) {
         timing = answerTiming;
     }
 
@@ -89,7 +89,7 @@
     }
 
     /** Ends the exchange so that what was written does not look complete. */
-    void breakOff(Throwable cause) {
+    void abort(Throwable cause) {
         callback.failed(cause);
     }
 
--- a/src/main/java/ringspindle/proxy/EngineConnectionPool.java
+++ b/src/main/java/ringspindle/proxy/EngineConnectionPool.java
@@ -42,10 +42,10 @@
     }
 
     /** Told of the outcome of {@link #acquire}, once, in this thread or another. */
-    interface Acquisition {
-        void acquired(PooledConnection connection);
+    interface AcquireListener {
+        void onAcquired(PooledConnection connection);
 
-        void failed(Failure failure);
+        void onAcquireFailed(Failure failure);
     }
 
     /** The connections to one engine; guarded by itself. */
@@ -82,7 +82,7 @@
      * @param limit how many connections this node may have open to the engine
      */
     void acquire(
-            String instanceId, NodeId address, ConnectionLimit limit, boolean repeatable, Acquisition acquisition) {
+            String instanceId, NodeId address, ConnectionLimit limit, boolean repeatable, AcquireListener listener) {
         EngineConnections engine = engines.computeIfAbsent(instanceId, id -> new EngineConnections());
         List<PooledConnection> doubtful = new ArrayList<>(0);
         PooledConnection reused;
@@ -97,11 +97,11 @@
         }
         doubtful.forEach(connection -> connection.connection().close());
         if (reused != null) {
-            acquisition.acquired(reused);
+            listener.onAcquired(reused);
         } else if (destination == null) {
-            acquisition.failed(Failure.LIMIT_REACHED);
+            listener.onAcquireFailed(Failure.LIMIT_REACHED);
         } else {
-            open(engine, destination, instanceId, acquisition);
+            open(engine, destination, instanceId, listener);
         }
     }
 
@@ -139,20 +139,20 @@
     }
 
     private static void open(
-            EngineConnections engine, Destination destination, String instanceId, Acquisition acquisition) {
+            EngineConnections engine, Destination destination, String instanceId, AcquireListener listener) {
         destination.newConnection(Promise.from(
-                connection -> acquisition.acquired(
+                connection -> listener.onAcquired(
                         new PooledConnection((EngineTransport.EngineConnection) connection, instanceId, KEEP_ALIVE_MS)),
                 failure -> {
                     synchronized (engine) {
                         engine.open--;
                     }
-                    acquisition.failed(Failure.CONNECT_FAILED);
+                    listener.onAcquireFailed(Failure.CONNECT_FAILED);
                 }));
     }
 
     /** Notes that a reused connection was reset without a word: the engine forgets idle ones sooner than thought. */
-    void noteForgotten(PooledConnection connection) {
+    void recordStale(PooledConnection connection) {
         EngineConnections engine = engines.get(connection.instanceId());
         if (engine != null && connection.isReused()) {
             synchronized (engine) {
--- a/src/main/java/ringspindle/proxy/EngineStream.java
+++ b/src/main/java/ringspindle/proxy/EngineStream.java
@@ -29,9 +29,9 @@
     /** The head has come; false if this run cannot go on behind what the client has. */
     boolean begin(String weightVersions, boolean resumes) {
         if (resumes) {
-            return position.continuesWith(weightVersions);
+            return position.isCompatibleWith(weightVersions);
         }
-        position.begin(weightVersions);
+        position.recordWeightVersion(weightVersions);
         return true;
     }
 
--- a/src/main/java/ringspindle/proxy/ExperimentOutcomes.java
+++ b/src/main/java/ringspindle/proxy/ExperimentOutcomes.java
@@ -18,7 +18,7 @@
  * holds nothing. Thread safe.
  */
 final class ExperimentOutcomes {
-    private record Open(Assignment assignment, AdmittedRequest admitted, AnswerTiming timing) {}
+    private record Open(Assignment assignment, AdmittedRequest admitted, ResponseTiming timing) {}
 
     private final ExperimentTable experiments = new ExperimentTable();
     private final OutcomeTable outcomes = new OutcomeTable();
@@ -40,8 +40,8 @@
     /** A request begins; if its outcome counts, its answer is timed. */
     void begin(String actionId, AdmittedRequest admitted, ClientResponse client, MonotonicClock clock) {
         admitted.assignment().filter(Assignment::isCounted).ifPresent(assignment -> {
-            AnswerTiming timing = new AnswerTiming(clock);
-            client.time(timing);
+            ResponseTiming timing = new ResponseTiming(clock);
+            client.setTiming(timing);
             open.put(actionId, new Open(assignment, admitted, timing));
         });
     }
@@ -55,13 +55,13 @@
         FleetConfig.Route route = ended.admitted().route();
         boolean answered = event.state() == Action.State.COMPLETED && event.lastOutcome() == AttemptOutcome.ANSWERED;
         // an answer that is held until it is whole is written right after the end
-        long firstMs = ended.timing().firstMs() == AnswerTiming.NOTHING_YET && answered
+        long firstMs = ended.timing().firstWriteMs() == ResponseTiming.NOT_WRITTEN && answered
                 ? nowMs
-                : ended.timing().firstMs();
-        long takenMs = firstMs == AnswerTiming.NOTHING_YET
+                : ended.timing().firstWriteMs();
+        long takenMs = firstMs == ResponseTiming.NOT_WRITTEN
                 ? firstMs
                 : firstMs - ended.admitted().receivedMs();
-        boolean paused = route.tokenGapMs() > 0 && ended.timing().longestPauseMs() > route.tokenGapMs();
+        boolean paused = route.tokenGapMs() > 0 && ended.timing().longestGapMs() > route.tokenGapMs();
         boolean inTarget = answered && takenMs <= route.aimMs() && !paused;
         outcomes.add(ended.assignment(), inTarget, takenMs, route.aimMs());
     }
--- a/src/main/java/ringspindle/proxy/Departure.java
+++ b/src/main/java/ringspindle/proxy/GracefulShutdown.java
@@ -6,7 +6,7 @@
  * @param sinceMs when it was told to, on the steady clock
  * @param endMs when it closes whatever is still open
  */
-record Departure(long sinceMs, long endMs) {
+record GracefulShutdown(long sinceMs, long endMs) {
     /** Requests sent within this of the order to leave may be cut by the node's end; later ones may not. */
     private static final int GRACE_MS = 2700;
 
--- a/src/main/java/ringspindle/proxy/ItemAttempt.java
+++ b/src/main/java/ringspindle/proxy/ItemAttempt.java
@@ -10,7 +10,7 @@
 import ringspindle.retry.AttemptOutcome;
 
 /** One attempt of an item at one engine. All fields are guarded by the monitor of its {@link ItemCall}. */
-final class ItemAttempt implements EngineConnectionPool.Acquisition, Response.Listener {
+final class ItemAttempt implements EngineConnectionPool.AcquireListener, Response.Listener {
     private final ItemClient client;
     private final ItemCall call;
     private final LoadBalancer.SelectionRequest selection;
@@ -21,7 +21,7 @@
     private final boolean resumes;
     private Request engineRequest;
     private Response head;
-    private AnswerKind kind;
+    private ResponseKind kind;
 
     ItemAttempt(
             ItemClient client,
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public void failed(EngineConnectionPool.Failure failure) {
+    public void onAcquireFailed(EngineConnectionPool.Failure failure) {
         synchronized (call) {
             if (call.isCurrent(this)) {
                 boolean full = failure == EngineConnectionPool.Failure.LIMIT_REACHED;
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void acquired(PooledConnection acquired) {
+    public void onAcquired(PooledConnection acquired) {
         synchronized (call) {
             if (!call.isCurrent(this)) {
                 client.connections().releaseUnused(acquired);
@@ -65,8 +65,8 @@
                     engine.address(),
                     engine.id(),
                     resumes ? call.text().position() : null);
-            connection.hold(acquired, engineRequest);
-            timing.sent(nowMs);
+            connection.attach(acquired, engineRequest);
+            timing.onSent(nowMs);
             client.loadBalancer().onRequestSent(engine.id(), nowMs);
         }
         acquired.connection().send(engineRequest, this);
@@ -80,14 +80,14 @@
             }
             long nowMs = client.nowMs();
             head = response;
-            timing.heard(nowMs);
-            if (AnswerKind.isForeign(response, call.item().attemptId())) {
+            timing.onActivity(nowMs);
+            if (ResponseKind.isUnattributable(response, call.item().attemptId())) {
                 fail(AttemptOutcome.BROKEN);
                 return;
             }
             client.loadBalancer().onResponseBytes(engine.id(), nowMs);
-            kind = AnswerKind.of(response, engine.id());
-            if (kind == AnswerKind.SUCCESS) {
+            kind = ResponseKind.of(response, engine.id());
+            if (kind == ResponseKind.SUCCESS) {
                 begin(response.getHeaders());
             }
         }
@@ -97,8 +97,8 @@
         String weights = fields.get(Headers.WEIGHT_VERSIONS);
         StreamPosition position = call.text().position();
         if (!resumes) {
-            position.begin(weights);
-        } else if (!position.continuesWith(weights)) {
+            position.recordWeightVersion(weights);
+        } else if (!position.isCompatibleWith(weights)) {
             fail(AttemptOutcome.BROKEN);
         }
     }
@@ -110,9 +110,9 @@
                 return;
             }
             long nowMs = client.nowMs();
-            timing.bodyBytes(nowMs);
+            timing.onBodyBytes(nowMs);
             client.loadBalancer().onResponseBytes(engine.id(), nowMs);
-            if (kind == AnswerKind.SUCCESS && !takeEvents(content)) {
+            if (kind == ResponseKind.SUCCESS && !takeEvents(content)) {
                 fail(AttemptOutcome.BROKEN);
             }
         }
@@ -139,7 +139,7 @@
             }
             if (result.isFailed() || kind == null) {
                 if (head == null) {
-                    connection.noteIfForgotten(timing, client.nowMs());
+                    connection.recordIfStale(timing, client.nowMs());
                 }
                 fail(AttemptOutcome.BROKEN);
             } else {
@@ -166,14 +166,14 @@
             }
             case NOT_RUN, MISDIRECTED -> {
                 connection.release(head.getHeaders());
-                fail(kind.end().orElseThrow());
+                fail(kind.attemptOutcome().orElseThrow());
             }
             case BROKEN -> fail(AttemptOutcome.BROKEN);
         }
     }
 
     void checkSilence(long nowMs) {
-        if (nowMs - timing.lastHeardMs() > ItemClient.SILENCE_MS) {
+        if (nowMs - timing.lastActivityMs() > ItemClient.SILENCE_MS) {
             fail(AttemptOutcome.ATTEMPT_TIMEOUT);
         }
     }
--- a/src/main/java/ringspindle/proxy/ProxiedAttempt.java
+++ b/src/main/java/ringspindle/proxy/ProxiedAttempt.java
@@ -18,7 +18,7 @@
  * <p>All fields are guarded by the lock of the request. What is read from the engine is written to the client before more
  * is read, so a slow client holds the engine back; at most one write to the client is pending.
  */
-final class ProxiedAttempt implements EngineConnectionPool.Acquisition, Response.Listener, NonBlockingTask {
+final class ProxiedAttempt implements EngineConnectionPool.AcquireListener, Response.Listener, NonBlockingTask {
     /** An answer that is whole goes to the client after so long, in ms, though the request is not written whole. */
     private static final int EARLY_ANSWER_MS = 20;
 
@@ -41,7 +41,7 @@
     private final AttemptConnection connection;
     private Request engineRequest;
     private Response head;
-    private AnswerKind kind;
+    private ResponseKind kind;
     private Content.Source content;
     /** The answer's body as far as it has come, where it is held until it is complete; null for a stream. */
     private BufferedBody buffered;
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void failed(EngineConnectionPool.Failure failure) {
+    public void onAcquireFailed(EngineConnectionPool.Failure failure) {
         synchronized (request) {
             if (phase != Phase.ENDED) {
                 boolean full = failure == EngineConnectionPool.Failure.LIMIT_REACHED;
@@ -86,7 +86,7 @@
 
     /** Sends the request. */
     @Override
-    public void acquired(PooledConnection acquired) {
+    public void onAcquired(PooledConnection acquired) {
         synchronized (request) {
             long nowMs = proxy.nowMs();
             // the last look before anything goes out
@@ -98,10 +98,10 @@
                 return;
             }
             engineRequest = request.createEngineRequest(engine, resumes, nowMs);
-            connection.hold(acquired, engineRequest);
+            connection.attach(acquired, engineRequest);
             scope.markSent();
             request.onSent(resumes);
-            timing.sent(nowMs);
+            timing.onSent(nowMs);
             proxy.loadBalancer().onRequestSent(engine.id(), nowMs);
             phase = Phase.AWAITING_HEAD;
         }
@@ -118,15 +118,15 @@
             }
             long nowMs = proxy.nowMs();
             head = response;
-            timing.heard(nowMs);
+            timing.onActivity(nowMs);
             phase = Phase.RECEIVING;
-            if (AnswerKind.isForeign(response, request.admitted().attemptId())) {
-                kind = AnswerKind.BROKEN;
+            if (ResponseKind.isUnattributable(response, request.admitted().attemptId())) {
+                kind = ResponseKind.BROKEN;
                 request.onAttemptFailed(this, AttemptOutcome.BROKEN);
                 return;
             }
             proxy.loadBalancer().onResponseBytes(engine.id(), nowMs);
-            kind = AnswerKind.of(response, engine.id());
+            kind = ResponseKind.of(response, engine.id());
             if (isStream()) {
                 beginStream(response);
             } else {
@@ -177,7 +177,7 @@
                 return false;
             }
             long nowMs = proxy.nowMs();
-            proxy.onOutput(timing.bodyBytes(nowMs), kind, request.admitted());
+            proxy.onOutput(timing.onBodyBytes(nowMs), kind, request.admitted());
             proxy.loadBalancer().onResponseBytes(engine.id(), nowMs);
             if (buffered != null) {
                 return goesOnIf(buffered.append(part));
@@ -232,7 +232,7 @@
                 return;
             }
             if (pastTimeout) {
-                timing.heard(proxy.nowMs());
+                timing.onActivity(proxy.nowMs());
                 if (phase != Phase.ENDED) {
                     request.armTimer();
                 }
@@ -286,7 +286,7 @@
             long nowMs = proxy.nowMs();
             if (result.isFailed()) {
                 if (head == null) {
-                    connection.noteIfForgotten(timing, nowMs);
+                    connection.recordIfStale(timing, nowMs);
                 }
                 request.onAttemptFailed(this, AttemptOutcome.BROKEN);
             } else {
@@ -309,7 +309,7 @@
             case NOT_RUN:
             case MISDIRECTED:
                 connection.release(head.getHeaders());
-                request.onAttemptFailed(this, kind.end().orElseThrow());
+                request.onAttemptFailed(this, kind.attemptOutcome().orElseThrow());
                 return null;
             default:
                 request.onAttemptFailed(this, AttemptOutcome.BROKEN);
@@ -351,7 +351,7 @@
     /** When it times out by itself: a stream by silence, anything else as a whole. */
     long timeoutAtMs() {
         return kind != null && isStream()
-                ? timing.lastHeardMs() + request.limits().silenceMs()
+                ? timing.lastActivityMs() + request.limits().silenceMs()
                 : scope.deadlineMs();
     }
 
@@ -365,7 +365,7 @@
     }
 
     private boolean isStream() {
-        return kind == AnswerKind.SUCCESS && request.admitted().isStreaming();
+        return kind == ResponseKind.SUCCESS && request.admitted().isStreaming();
     }
 
     Attempt scope() {
--- a/src/main/java/ringspindle/proxy/ProxiedRequest.java
+++ b/src/main/java/ringspindle/proxy/ProxiedRequest.java
@@ -80,7 +80,7 @@
     }
 
     /** Starts: watches the client's connection and selects the first engine. */
-    void begin() {
+    void start() {
         if (admitted.request().getConnectionMetaData().getConnection().getEndPoint()
                 instanceof ClientEndPoint endPoint) {
             action.onEnd(endPoint::unwatch);
@@ -308,7 +308,7 @@
         if (action.cancel(cause, nowMs)) {
             abandonAttempt(nowMs);
             end();
-            client.breakOff(new IOException("the answer is not whole"));
+            client.abort(new IOException("the answer is not whole"));
         }
     }
 
@@ -328,7 +328,7 @@
             abandonAttempt(nowMs);
             end();
         }
-        client.breakOff(new EofException("the client is gone"));
+        client.abort(new EofException("the client is gone"));
     }
 
     private void abandonAttempt(long nowMs) {
--- a/src/main/java/ringspindle/proxy/ProxyHandler.java
+++ b/src/main/java/ringspindle/proxy/ProxyHandler.java
@@ -70,7 +70,7 @@
     private final RequestAdmission admission;
     private volatile Knowledge knowledge = () -> "";
     private final NodeServices services = new NodeServices();
-    private volatile Departure departure;
+    private volatile GracefulShutdown departure;
     private volatile boolean accepting = true;
     private volatile boolean lastServing;
 
@@ -209,7 +209,7 @@
      * @param endMs when {@link #close} will come, on the steady clock; what could last longer is soon refused
      */
     public void leave(long endMs) {
-        departure = new Departure(clock.nowMs(), endMs);
+        departure = new GracefulShutdown(clock.nowMs(), endMs);
     }
 
     /**
@@ -306,7 +306,7 @@
 
     /** True if this node leaves and may have ended before a request that comes now has. */
     boolean mayBeOutlivedBy(long receivedMs, long timeLimitMs) {
-        Departure leaving = departure;
+        GracefulShutdown leaving = departure;
         return leaving != null && leaving.mayBeOutlivedBy(receivedMs, timeLimitMs);
     }
 
@@ -338,8 +338,8 @@
     }
 
     /** Output of an engine came; the first of a success shows that it has begun to run the request. */
-    void onOutput(boolean first, AnswerKind kind, AdmittedRequest admitted) {
-        if (first && kind == AnswerKind.SUCCESS) {
+    void onOutput(boolean first, ResponseKind kind, AdmittedRequest admitted) {
+        if (first && kind == ResponseKind.SUCCESS) {
             admitted.tenant().ifPresent(tenant -> services.usage().began(tenant.name()));
         }
     }
--- a/src/main/java/ringspindle/proxy/RequestAdmission.java
+++ b/src/main/java/ringspindle/proxy/RequestAdmission.java
@@ -124,18 +124,18 @@
                         arrival.request(),
                         bytesMax,
                         body -> {
-                            if (deadline.meet()) {
+                            if (deadline.markMet()) {
                                 admit(arrival, body);
                             }
                         },
                         failure -> {
-                            if (deadline.meet()) {
-                                client.breakOff(failure);
+                            if (deadline.markMet()) {
+                                client.abort(failure);
                             }
                         })
                 .run();
         if (!deadline.isMet()) {
-            deadline.set(proxy.schedule(deadline::pass, Math.max(1, arrival.timeLimitMs())));
+            deadline.setTimer(proxy.schedule(deadline::expire, Math.max(1, arrival.timeLimitMs())));
         }
     }
 
@@ -171,6 +171,6 @@
         ProxiedRequest proxied = new ProxiedRequest(proxy, admitted, arrival.client());
         experiments.begin(proxied.actionId(), admitted, arrival.client(), proxy.clock());
         active.track(proxied.actionId(), proxied);
-        proxied.begin();
+        proxied.start();
     }
 }
--- a/src/main/java/ringspindle/proxy/AnswerKind.java
+++ b/src/main/java/ringspindle/proxy/ResponseKind.java
@@ -8,7 +8,7 @@
 import ringspindle.retry.AttemptOutcome;
 
 /** What the head of an engine's answer says of the attempt, before any of its body has been read. */
-enum AnswerKind {
+enum ResponseKind {
     /** A success that may be passed on once it is seen to be whole. */
     SUCCESS(null),
     /** The engine ran the request and failed; its answer may be passed on. */
@@ -22,23 +22,23 @@
 
     private final AttemptOutcome end;
 
-    AnswerKind(AttemptOutcome end) {
+    ResponseKind(AttemptOutcome end) {
         this.end = end;
     }
 
     /** How the attempt ends once this answer has come whole; empty for {@link #SUCCESS}. */
-    Optional<AttemptOutcome> end() {
+    Optional<AttemptOutcome> attemptOutcome() {
         return Optional.ofNullable(end);
     }
 
     /** True if whose answer it is cannot be told, so that nothing more of it is read. */
-    static boolean isForeign(Response head, String attemptId) {
+    static boolean isUnattributable(Response head, String attemptId) {
         return !attemptId.equals(head.getHeaders().get(Headers.ATTEMPT_ID))
                 || head.getStatus() == HttpStatus.SWITCHING_PROTOCOLS_101;
     }
 
     /** The kind of an answer that bears the attempt's id and came from the engine of that instance id. */
-    static AnswerKind of(Response head, String instanceId) {
+    static ResponseKind of(Response head, String instanceId) {
         HttpFields fields = head.getHeaders();
         int status = head.getStatus();
         if (status == HttpStatus.MISDIRECTED_REQUEST_421) {
--- a/src/main/java/ringspindle/proxy/StreamPosition.java
+++ b/src/main/java/ringspindle/proxy/StreamPosition.java
@@ -53,12 +53,12 @@
     }
 
     /** Notes the weights that the head of a first run names; null if it names none. */
-    void begin(String weightVersions) {
+    void recordWeightVersion(String weightVersions) {
         readVersion(weightVersions).ifPresent(version -> weightVersion = version);
     }
 
     /** True if a run whose head names those weights, or none, may go on where this stream stands. */
-    boolean continuesWith(String weightVersions) {
+    boolean isCompatibleWith(String weightVersions) {
         Optional<Long> version = readVersion(weightVersions);
         return version.isEmpty() || weightVersion == UNKNOWN || version.get() == weightVersion;
     }
--- a/src/test/java/ringspindle/proxy/BrokenStreamTest.java
+++ b/src/test/java/ringspindle/proxy/BrokenStreamTest.java
@@ -25,8 +25,8 @@
         return "id: " + id + "\ndata: <" + id + ">\n\n";
     }
 
-    private static String okHead(StandInEngine.Seen seen) {
-        return "HTTP/1.1 200 OK\r\nAttempt-Id: " + seen.heads().get("Attempt-Id")
+    private static String okHead(ScriptedEngine.ReceivedRequest seen) {
+        return "HTTP/1.1 200 OK\r\nAttempt-Id: " + seen.headers().get("Attempt-Id")
                 + "\r\nServer-Seal: seal\r\nWeight-Versions: 1\r\n";
     }
 
@@ -43,7 +43,7 @@
     private String streamResetAfter(String path, String head, String events, String last) throws Exception {
         CountDownLatch passedOn = new CountDownLatch(1);
         engine("i-1", "z", (seen, out, socket) -> {
-            StandInEngine.say(out, okHead(seen) + head + events);
+            ScriptedEngine.writeText(out, okHead(seen) + head + events);
             passedOn.await();
             reset(socket);
         });
@@ -63,7 +63,7 @@
     @Test
     void unframedStreamThatIsClosedIsComplete() throws Exception {
         engine("i-1", "z", (seen, out, socket) -> {
-            StandInEngine.say(out, okHead(seen) + UNFRAMED + event(0) + event(1));
+            ScriptedEngine.writeText(out, okHead(seen) + UNFRAMED + event(0) + event(1));
             throw new IOException("close");
         });
         String got = ok("/short/x", "t1");
@@ -75,7 +75,7 @@
         engine("i-1", "z", (seen, out, socket) -> {
             // the relay holds a plain answer back until its end, so nothing tells when it was read: large enough that
             // the reset can only come once much of it was taken
-            StandInEngine.say(out, okHead(seen) + "Connection: close\r\n\r\n" + "x".repeat(8 << 20));
+            ScriptedEngine.writeText(out, okHead(seen) + "Connection: close\r\n\r\n" + "x".repeat(8 << 20));
             reset(socket);
         });
         String got = ok("/once/x", "t1");
@@ -97,8 +97,9 @@
         engine(
                 "i-1",
                 "z",
-                (seen, out, socket) -> StandInEngine.say(
-                        out, StandInEngine.streamHead(seen) + StandInEngine.chunk(events.toString()) + END_OF_CHUNKS));
+                (seen, out, socket) -> ScriptedEngine.writeText(
+                        out,
+                        ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk(events.toString()) + END_OF_CHUNKS));
         String got = ok("/short/x", "t1");
         assertFalse(looksComplete(got), got);
         long before = -1;
@@ -115,10 +116,11 @@
     /** A resumable stream goes on at another engine behind the last event that followed. */
     @Test
     void wrongIdInsideOneReadIsResumedElsewhere() throws Exception {
-        StandInEngine.Script script = (seen, out, socket) -> {
-            String last = seen.heads().get("Last-Event-Id");
+        ScriptedEngine.Script script = (seen, out, socket) -> {
+            String last = seen.headers().get("Last-Event-Id");
             String events = last == null ? event(0) + event(1) + event(3) : event(2) + event(3);
-            StandInEngine.say(out, StandInEngine.streamHead(seen) + StandInEngine.chunk(events) + END_OF_CHUNKS);
+            ScriptedEngine.writeText(
+                    out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk(events) + END_OF_CHUNKS);
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
@@ -130,14 +132,14 @@
     /** A resumed run with other weights than the stream had is not joined to it. */
     @Test
     void resumedRunWithOtherWeightsIsNotPassedOn() throws Exception {
-        StandInEngine.Script script = (seen, out, socket) -> {
-            boolean first = seen.heads().get("Last-Event-Id") == null;
-            String head = StandInEngine.streamHead(seen);
+        ScriptedEngine.Script script = (seen, out, socket) -> {
+            boolean first = seen.headers().get("Last-Event-Id") == null;
+            String head = ScriptedEngine.streamHead(seen);
             if (first) {
-                StandInEngine.say(out, head + StandInEngine.chunk(event(0) + event(2)) + END_OF_CHUNKS);
+                ScriptedEngine.writeText(out, head + ScriptedEngine.chunk(event(0) + event(2)) + END_OF_CHUNKS);
             } else {
                 String others = head.replace("Weight-Versions: 1", "Weight-Versions: 2");
-                StandInEngine.say(out, others + StandInEngine.chunk(event(1)) + END_OF_CHUNKS);
+                ScriptedEngine.writeText(out, others + ScriptedEngine.chunk(event(1)) + END_OF_CHUNKS);
             }
         };
         engine("i-1", "z", script);
@@ -150,15 +152,16 @@
     /** Behind an event without an id nobody knows where another engine would have to go on. */
     @Test
     void streamIsNotResumedBehindAnEventWithoutAnId() throws Exception {
-        StandInEngine.Script script = (seen, out, socket) -> {
-            if (seen.heads().get("Last-Event-Id") == null) {
-                StandInEngine.say(
+        ScriptedEngine.Script script = (seen, out, socket) -> {
+            if (seen.headers().get("Last-Event-Id") == null) {
+                ScriptedEngine.writeText(
                         out,
-                        StandInEngine.streamHead(seen)
-                                + StandInEngine.chunk(event(0) + "data: <unnumbered>\n\n" + event(2))
+                        ScriptedEngine.streamHead(seen)
+                                + ScriptedEngine.chunk(event(0) + "data: <unnumbered>\n\n" + event(2))
                                 + END_OF_CHUNKS);
             } else {
-                StandInEngine.say(out, StandInEngine.streamHead(seen) + StandInEngine.chunk(event(1)) + END_OF_CHUNKS);
+                ScriptedEngine.writeText(
+                        out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk(event(1)) + END_OF_CHUNKS);
             }
         };
         engine("i-1", "z", script);
--- a/src/test/java/ringspindle/proxy/EngineAnswersTest.java
+++ b/src/test/java/ringspindle/proxy/EngineAnswersTest.java
@@ -28,18 +28,18 @@
         return "HTTP/1.1 " + status + " X\r\n" + fields + "\r\n";
     }
 
-    private static String whole(StandInEngine.Seen seen, String body) {
-        return "HTTP/1.1 200 OK\r\nAttempt-Id: " + seen.heads().get("Attempt-Id")
+    private static String whole(ScriptedEngine.ReceivedRequest seen, String body) {
+        return "HTTP/1.1 200 OK\r\nAttempt-Id: " + seen.headers().get("Attempt-Id")
                 + "\r\nServer-Seal: s\r\nKeep-Alive: timeout=30\r\nContent-Length: " + body.length() + "\r\n\r\n"
                 + body;
     }
 
     /** An engine that answers with that text each time and notes the connections that requests came on. */
-    private Set<Socket> engineThatSays(Function<StandInEngine.Seen, String> answer) throws IOException {
+    private Set<Socket> engineThatSays(Function<ScriptedEngine.ReceivedRequest, String> answer) throws IOException {
         Set<Socket> used = ConcurrentHashMap.newKeySet();
         engine("i-1", "z", (seen, out, socket) -> {
             used.add(socket);
-            StandInEngine.say(out, answer.apply(seen));
+            ScriptedEngine.writeText(out, answer.apply(seen));
         });
         return used;
     }
@@ -50,14 +50,14 @@
     }
 
     private int arrivals() {
-        return engines.stream().mapToInt(e -> e.seen.size()).sum();
+        return engines.stream().mapToInt(e -> e.requests.size()).sum();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {100, 102, 103})
     void interimAnswersArePassedOverAndLendNothing(int status) throws Exception {
         Set<Socket> used = engineThatSays(s -> {
-            String own = "Attempt-Id: " + s.heads().get("Attempt-Id") + "\r\nContent-Encoding: x\r\nLink: y\r\n";
+            String own = "Attempt-Id: " + s.headers().get("Attempt-Id") + "\r\nContent-Encoding: x\r\nLink: y\r\n";
             return interim(status, own) + interim(status, own) + whole(s, "hello");
         });
         for (int i = 0; i < 3; i++) {
@@ -82,9 +82,9 @@
 
     @Test
     void idAndSealOfAnInterimAnswerDoNotStandInForThoseOfTheAnswer() throws Exception {
-        engineThatSays(s -> interim(103, "Attempt-Id: " + s.heads().get("Attempt-Id") + "\r\nServer-Seal: s\r\n")
+        engineThatSays(s -> interim(103, "Attempt-Id: " + s.headers().get("Attempt-Id") + "\r\nServer-Seal: s\r\n")
                 + "HTTP/1.1 200 OK\r\n"
-                + (s.heads().get("Attempt-Id").equals("t1")
+                + (s.headers().get("Attempt-Id").equals("t1")
                         ? "Attempt-Id: t1\r\n"
                         : "Server-Seal: s\r\nAttempt-Id: other\r\n")
                 + "Content-Length: 2\r\n\r\nno");
@@ -111,8 +111,8 @@
                 "500 X\r\nServer-Seal: s\r\nAttempt-Id: other"
             })
     void failureWithoutTheIdIsNobodysAnswer(String head) throws Exception {
-        StandInEngine.Script script =
-                (seen, out, socket) -> StandInEngine.say(out, "HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n");
+        ScriptedEngine.Script script = (seen, out, socket) ->
+                ScriptedEngine.writeText(out, "HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n");
         engine("i-1", "z", script);
         engine("i-2", "z", script);
         assertMayHaveRun(ok("/once/x", "t1"));
@@ -140,12 +140,12 @@
 
     @Test
     void resetBetweenHeadAndBodyIsNeverSentAgain() throws Exception {
-        StandInEngine.Script reset = (seen, out, socket) -> {
+        ScriptedEngine.Script reset = (seen, out, socket) -> {
             socket.setSoLinger(true, 0);
             socket.close();
         };
         for (String id : List.of("i-1", "i-2")) {
-            engine(id, "z", reset).early(reset);
+            engine(id, "z", reset).setEarlyScript(reset);
         }
         for (int i = 0; i < 5; i++) {
             assertMayHaveRun(all(send("/once/x", "t" + i, CLOSE, "b".repeat(LARGE_BODY))));
@@ -157,13 +157,13 @@
     @ParameterizedTest
     @ValueSource(strings = {"200 OK\r\nServer-Seal: s", "503 X\r\nNot-Executed: 1"})
     void answerBeforeTheBodyIsSentEndsTheConnection(String head) throws Exception {
-        StandInEngine e = engine("i-1", "z", (seen, out, socket) -> {
+        ScriptedEngine e = engine("i-1", "z", (seen, out, socket) -> {
             throw new IOException("the body was read");
         });
-        e.early((seen, out, socket) -> {
-            StandInEngine.say(
+        e.setEarlyScript((seen, out, socket) -> {
+            ScriptedEngine.writeText(
                     out,
-                    "HTTP/1.1 " + head + "\r\nAttempt-Id: " + seen.heads().get("Attempt-Id")
+                    "HTTP/1.1 " + head + "\r\nAttempt-Id: " + seen.headers().get("Attempt-Id")
                             + "\r\nContent-Length: 1\r\n\r\n1");
             socket.setSoLinger(true, 0);
             throw new IOException("break off");
@@ -176,15 +176,15 @@
 
     @Test
     void halfClosedConnectionLosesTheAnswerAndIsClosed() throws Exception {
-        StandInEngine e = engine("i-1", "z", (seen, out, socket) -> {
+        ScriptedEngine e = engine("i-1", "z", (seen, out, socket) -> {
             socket.shutdownOutput();
             assertEquals(-1, socket.getInputStream().read());
         });
         engine("i-2", "z", (seen, out, socket) -> socket.shutdownOutput());
         assertMayHaveRun(ok("/once/x", "t1"));
         assertEquals(1, arrivals());
-        assertEquals(1, engines.stream().filter(x -> !x.seen.isEmpty()).count());
-        assertTrue(e.seen.isEmpty() || e.closed.poll(10, TimeUnit.SECONDS) != null);
+        assertEquals(1, engines.stream().filter(x -> !x.requests.isEmpty()).count());
+        assertTrue(e.requests.isEmpty() || e.closed.poll(10, TimeUnit.SECONDS) != null);
     }
 
     /** The first engine answers only when the second has: that answer goes to nobody, and its connection is closed. */
@@ -193,17 +193,17 @@
         CountDownLatch served = new CountDownLatch(1);
         CountDownLatch said = new CountDownLatch(1);
         Set<String> silent = ConcurrentHashMap.newKeySet();
-        StandInEngine.Script script = (seen, out, socket) -> {
+        ScriptedEngine.Script script = (seen, out, socket) -> {
             if (silent.add("once")) {
                 served.await();
                 try {
-                    StandInEngine.say(out, whole(seen, "late"));
+                    ScriptedEngine.writeText(out, whole(seen, "late"));
                 } finally {
                     said.countDown();
                 }
                 return;
             }
-            StandInEngine.say(out, whole(seen, "hello"));
+            ScriptedEngine.writeText(out, whole(seen, "hello"));
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
@@ -227,8 +227,8 @@
             String got = ok("/card/x", id);
             assertTrue(got.startsWith("HTTP/1.1 50"), got);
             long reached = engines.stream()
-                    .filter(e ->
-                            e.seen.stream().anyMatch(s -> id.equals(s.heads().get("Attempt-Id"))))
+                    .filter(e -> e.requests.stream()
+                            .anyMatch(s -> id.equals(s.headers().get("Attempt-Id"))))
                     .count();
             assertTrue(reached <= 2, id + " reached " + reached);
         }
@@ -236,29 +236,30 @@
 
     @Test
     void nothingThatAnEngineSetsGoesOutWithTheRequestOfAnother() throws Exception {
-        StandInEngine e = engine("i-1", "z", StandInEngine.whole(200, "hello", "Set-Cookie: who=me; Path=/\r\n"));
+        ScriptedEngine e =
+                engine("i-1", "z", ScriptedEngine.respondWith(200, "hello", "Set-Cookie: who=me; Path=/\r\n"));
         assertTrue(ok("/card/x", "t1").contains("Set-Cookie"));
         ok("/card/x", "t2");
-        for (StandInEngine.Seen seen : e.seen) {
-            assertFalse(seen.heads().containsKey("Cookie"), seen.heads().toString());
+        for (ScriptedEngine.ReceivedRequest seen : e.requests) {
+            assertFalse(seen.headers().containsKey("Cookie"), seen.headers().toString());
         }
     }
 
     @Test
     void headersUpToTheLimitArePassedOn() throws Exception {
-        StandInEngine e = engine("i-1", "z", StandInEngine.whole(200, "hello", ""));
+        ScriptedEngine e = engine("i-1", "z", ScriptedEngine.respondWith(200, "hello", ""));
         String prefix = "ab:1,".repeat(3000);
         String got = all(send("/once/x", "t1", CLOSE + "Prompt-Prefix: " + prefix + "cd:2\r\n", ""));
         assertTrue(got.startsWith("HTTP/1.1 200"), got);
-        assertEquals(prefix + "cd:2", e.seen.take().heads().get("Prompt-Prefix"));
+        assertEquals(prefix + "cd:2", e.requests.take().headers().get("Prompt-Prefix"));
     }
 
     /** Also where the connection ends with the answer, whose end could be taken for the stream's. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void brokenStreamDoesNotLookWholeOnAConnectionThatCloses(boolean leaving) throws Exception {
-        StandInEngine e = engine("i-1", "z", (seen, out, socket) -> {
-            StandInEngine.say(out, StandInEngine.streamHead(seen) + StandInEngine.chunk("id: 1\ndata: a\n\n"));
+        ScriptedEngine e = engine("i-1", "z", (seen, out, socket) -> {
+            ScriptedEngine.writeText(out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk("id: 1\ndata: a\n\n"));
             throw new IOException("break off");
         });
         if (leaving) {
@@ -268,8 +269,8 @@
         String broken = all(send("/short/x", "t1", leaving ? "" : CLOSE, ""));
         assertTrue(broken.startsWith(head) && broken.contains("Connection: close"), broken);
         assertTrue(broken.contains("Transfer-Encoding: chunked") && !broken.endsWith("0\r\n\r\n"), broken);
-        e.script((seen, out, socket) -> StandInEngine.say(
-                out, StandInEngine.streamHead(seen) + StandInEngine.chunk("id: 1\ndata: a\n\n") + "0\r\n\r\n"));
+        e.setScript((seen, out, socket) -> ScriptedEngine.writeText(
+                out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk("id: 1\ndata: a\n\n") + "0\r\n\r\n"));
         String complete = all(send("/short/x", "t2", leaving ? "" : CLOSE, ""));
         assertTrue(complete.startsWith(head) && complete.endsWith("0\r\n\r\n"), complete);
     }
@@ -278,13 +279,13 @@
     @Test
     void clientsThatVanishLeaveNothingToTheNext() throws Exception {
         engine("i-1", "z", (seen, out, socket) -> {
-            String id = seen.heads().get("Attempt-Id");
-            StandInEngine.say(out, StandInEngine.streamHead(seen));
+            String id = seen.headers().get("Attempt-Id");
+            ScriptedEngine.writeText(out, ScriptedEngine.streamHead(seen));
             for (int i = 0; i < 40; i++) {
-                StandInEngine.say(
-                        out, StandInEngine.chunk("id: " + i + "\ndata: <" + id + ">" + ".".repeat(20_000) + "\n\n"));
+                ScriptedEngine.writeText(
+                        out, ScriptedEngine.chunk("id: " + i + "\ndata: <" + id + ">" + ".".repeat(20_000) + "\n\n"));
             }
-            StandInEngine.say(out, "0\r\n\r\n");
+            ScriptedEngine.writeText(out, "0\r\n\r\n");
         });
         for (int round = 0; round < 20; round++) {
             String id = "t" + round;
--- a/src/test/java/ringspindle/proxy/EngineConnectionPoolTest.java
+++ b/src/test/java/ringspindle/proxy/EngineConnectionPoolTest.java
@@ -36,7 +36,7 @@
     private ScheduledExecutorScheduler scheduler;
     private HttpClient client;
     private EngineConnectionPool connections;
-    private StandInEngine engine;
+    private ScriptedEngine engine;
     private final BlockingQueue<Socket> sockets = new LinkedBlockingQueue<>();
     /** By how much the clock of the pool was set on. */
     private volatile long laterMs;
@@ -52,9 +52,9 @@
         client = EngineHttpClient.start(pool, scheduler);
         connections =
                 new EngineConnectionPool(client, () -> MonotonicClock.system().nowMs() + laterMs);
-        engine = new StandInEngine((seen, out, socket) -> {
+        engine = new ScriptedEngine((seen, out, socket) -> {
             sockets.add(socket);
-            StandInEngine.whole(200, "hello", "").run(seen, out, socket);
+            ScriptedEngine.respondWith(200, "hello", "").run(seen, out, socket);
         });
     }
 
@@ -73,14 +73,14 @@
     private PooledConnection acquire(ConnectionLimit limit, boolean repeatable) {
         CompletableFuture<PooledConnection> taken = new CompletableFuture<>();
         NodeId address = NodeId.of(engine.address());
-        connections.acquire("i-1", address, limit, repeatable, new EngineConnectionPool.Acquisition() {
+        connections.acquire("i-1", address, limit, repeatable, new EngineConnectionPool.AcquireListener() {
             @Override
-            public void acquired(PooledConnection connection) {
+            public void onAcquired(PooledConnection connection) {
                 taken.complete(connection);
             }
 
             @Override
-            public void failed(EngineConnectionPool.Failure failure) {
+            public void onAcquireFailed(EngineConnectionPool.Failure failure) {
                 taken.completeExceptionally(new AssertionError(failure.toString()));
             }
         });
@@ -127,7 +127,7 @@
         request.abort(new IllegalStateException("given up"));
         assertTrue(send(connection, request).join().isFailed());
         assertTrue(send(acquire(), request()).join().isSucceeded());
-        assertEquals(1, engine.seen.size());
+        assertEquals(1, engine.requests.size());
     }
 
     /** Half an answer that nobody asked for, on a connection at rest. */
@@ -137,7 +137,7 @@
         assertTrue(send(first, request()).join().isSucceeded());
         connections.release(first, KEPT);
         long had = first.connection().getBytesIn();
-        StandInEngine.say(sockets.take().getOutputStream(), "HTTP/1.1 200 OK\r\nAttempt-Id: t");
+        ScriptedEngine.writeText(sockets.take().getOutputStream(), "HTTP/1.1 200 OK\r\nAttempt-Id: t");
         while (first.connection().getBytesIn() == had) {
             Thread.onSpinWait();
         }
@@ -161,14 +161,14 @@
                 NodeId.of(engine.address()),
                 new ConnectionLimit(1, true),
                 true,
-                new EngineConnectionPool.Acquisition() {
+                new EngineConnectionPool.AcquireListener() {
                     @Override
-                    public void acquired(PooledConnection connection) {
+                    public void onAcquired(PooledConnection connection) {
                         full.complete(false);
                     }
 
                     @Override
-                    public void failed(EngineConnectionPool.Failure failure) {
+                    public void onAcquireFailed(EngineConnectionPool.Failure failure) {
                         full.complete(failure == EngineConnectionPool.Failure.LIMIT_REACHED);
                     }
                 });
--- a/src/test/java/ringspindle/proxy/EventStreams.java
+++ b/src/test/java/ringspindle/proxy/EventStreams.java
@@ -116,8 +116,8 @@
     private EventStreams() {}
 
     /** The head of an engine's stream up to its framing. */
-    static String head(StandInEngine.Seen seen, String seal, String weights) {
-        return "HTTP/1.1 200 OK\r\nAttempt-Id: " + seen.heads().get("Attempt-Id") + "\r\nServer-Seal: " + seal
+    static String head(ScriptedEngine.ReceivedRequest seen, String seal, String weights) {
+        return "HTTP/1.1 200 OK\r\nAttempt-Id: " + seen.headers().get("Attempt-Id") + "\r\nServer-Seal: " + seal
                 + "\r\nWeight-Versions: " + weights + "\r\n";
     }
 
--- a/src/test/java/ringspindle/proxy/ManyBrokenStreamsTest.java
+++ b/src/test/java/ringspindle/proxy/ManyBrokenStreamsTest.java
@@ -79,13 +79,13 @@
     }
 
     /** Sends events in groups; of the first runs every other one breaks off inside an event, half of those by a reset. */
-    private void serve(StandInEngine.Seen seen, OutputStream out, Socket socket) throws Exception {
+    private void serve(ScriptedEngine.ReceivedRequest seen, OutputStream out, Socket socket) throws Exception {
         socket.setTcpNoDelay(true);
-        String id = seen.heads().get("Attempt-Id");
-        int next = Integer.parseInt(seen.heads().getOrDefault("Last-Event-Id", "-1")) + 1;
+        String id = seen.headers().get("Attempt-Id");
+        int next = Integer.parseInt(seen.headers().getOrDefault("Last-Event-Id", "-1")) + 1;
         Random random = new Random(id.hashCode());
         int breakAt = next == 0 && random.nextBoolean() ? 1 + random.nextInt(EVENTS - 1) : EVENTS;
-        StandInEngine.say(out, StandInEngine.streamHead(seen));
+        ScriptedEngine.writeText(out, ScriptedEngine.streamHead(seen));
         while (next < EVENTS) {
             StringBuilder group = new StringBuilder();
             for (int last = Math.min(EVENTS, next + 1 + random.nextInt(3)); next < last; next++) {
@@ -99,15 +99,15 @@
             }
             if (next >= breakAt) {
                 int cut = 1 + random.nextInt(group.length() - 1);
-                StandInEngine.say(out, StandInEngine.chunk(group.substring(0, cut)));
+                ScriptedEngine.writeText(out, ScriptedEngine.chunk(group.substring(0, cut)));
                 socket.setSoLinger(random.nextBoolean(), 0);
                 throw new IOException("break off");
             }
-            StandInEngine.say(out, StandInEngine.chunk(group.toString()));
+            ScriptedEngine.writeText(out, ScriptedEngine.chunk(group.toString()));
             if (random.nextInt(4) == 0) {
                 spin(random.nextInt(SPINS_MAX));
             }
         }
-        StandInEngine.say(out, END_OF_CHUNKS);
+        ScriptedEngine.writeText(out, END_OF_CHUNKS);
     }
 }
--- a/src/test/java/ringspindle/proxy/ProxyFixture.java
+++ b/src/test/java/ringspindle/proxy/ProxyFixture.java
@@ -27,7 +27,7 @@
 
 /** The real edge on loopback with stand-in engines, opened for each test and closed after it. */
 abstract class ProxyFixture {
-    final List<StandInEngine> engines = new ArrayList<>();
+    final List<ScriptedEngine> engines = new ArrayList<>();
     QueuedThreadPool pool;
     ScheduledExecutorScheduler beats;
     /** How often anything was scheduled. */
@@ -122,15 +122,15 @@
     @AfterEach
     void close() throws Exception {
         front.close();
-        for (StandInEngine e : engines) {
+        for (ScriptedEngine e : engines) {
             e.close();
         }
         pool.stop();
         beats.stop();
     }
 
-    StandInEngine engine(String id, String zone, StandInEngine.Script script) throws IOException {
-        StandInEngine e = new StandInEngine(script);
+    ScriptedEngine engine(String id, String zone, ScriptedEngine.Script script) throws IOException {
+        ScriptedEngine e = new ScriptedEngine(script);
         engines.add(e);
         picker.updateEngine(id, new Engine(8, 0, false, -1, 1, "s", e.address(), zone, "v"), 1, clock.nowMs());
         return e;
@@ -144,7 +144,7 @@
     }
 
     static void ask(Socket s, String path, String id, String more, String body) throws IOException {
-        StandInEngine.say(
+        ScriptedEngine.writeText(
                 s.getOutputStream(),
                 "POST " + path + " HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: " + id + "\r\nDeadline-Ms: 2500\r\n"
                         + more + "Content-Length: " + body.length() + "\r\n\r\n" + body);
--- a/src/test/java/ringspindle/proxy/StandInEngine.java
+++ b/src/test/java/ringspindle/proxy/ScriptedEngine.java
@@ -16,24 +16,24 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 /** A stand-in engine on loopback that does what its script says, and keeps what it was sent. */
-final class StandInEngine implements AutoCloseable {
+final class ScriptedEngine implements AutoCloseable {
     /** One request as it came. */
-    record Seen(String line, Map<String, String> heads, byte[] body) {}
+    record ReceivedRequest(String requestLine, Map<String, String> headers, byte[] body) {}
 
     /** What a script may do with one request. */
     interface Script {
-        void run(Seen seen, OutputStream out, Socket socket) throws Exception;
+        void run(ReceivedRequest request, OutputStream out, Socket socket) throws Exception;
     }
 
     final ServerSocket server;
-    final BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
+    final BlockingQueue<ReceivedRequest> requests = new LinkedBlockingQueue<>();
     /** Gets a token when a wire ends from the other side. */
     final BlockingQueue<String> closed = new LinkedBlockingQueue<>();
 
     private volatile Script script;
-    private volatile Script early;
+    private volatile Script earlyScript;
 
-    StandInEngine(Script script) throws IOException {
+    ScriptedEngine(Script script) throws IOException {
         this.script = script;
         server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         Thread t = new Thread(this::accept);
@@ -41,13 +41,13 @@
         t.start();
     }
 
-    void script(Script s) {
-        script = s;
+    void setScript(Script newScript) {
+        script = newScript;
     }
 
     /** Runs that as soon as a head is read, before the body is. */
-    void early(Script s) {
-        early = s;
+    void setEarlyScript(Script newScript) {
+        earlyScript = newScript;
     }
 
     String address() {
@@ -75,20 +75,20 @@
                 if (line == null) {
                     break;
                 }
-                Map<String, String> heads = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
+                Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
                 for (String h = line(in); h != null && !h.isEmpty(); h = line(in)) {
                     int colon = h.indexOf(':');
-                    heads.put(h.substring(0, colon), h.substring(colon + 1).trim());
+                    headers.put(h.substring(0, colon), h.substring(colon + 1).trim());
                 }
-                Script beforeBody = early;
+                Script beforeBody = earlyScript;
                 if (beforeBody != null) {
-                    Seen head = new Seen(line, heads, new byte[0]);
-                    seen.add(head);
+                    ReceivedRequest head = new ReceivedRequest(line, headers, new byte[0]);
+                    requests.add(head);
                     beforeBody.run(head, s.getOutputStream(), s);
                 }
-                byte[] body = in.readNBytes(Integer.parseInt(heads.getOrDefault("Content-Length", "0")));
-                Seen x = new Seen(line, heads, body);
-                seen.add(x);
+                byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("Content-Length", "0")));
+                ReceivedRequest x = new ReceivedRequest(line, headers, body);
+                requests.add(x);
                 script.run(x, s.getOutputStream(), s);
                 s.getOutputStream().flush();
             }
@@ -113,16 +113,16 @@
         return b.toString(ISO_8859_1);
     }
 
-    static void say(OutputStream out, String text) throws IOException {
+    static void writeText(OutputStream out, String text) throws IOException {
         out.write(text.getBytes(ISO_8859_1));
         out.flush();
     }
 
     /** A whole answer with the seal. */
-    static Script whole(int status, String body, String more) {
-        return (s, out, socket) -> say(
+    static Script respondWith(int status, String body, String more) {
+        return (s, out, socket) -> writeText(
                 out,
-                "HTTP/1.1 " + status + " X\r\nAttempt-Id: " + s.heads().get("Attempt-Id") + "\r\nServer-Seal: s\r\n"
+                "HTTP/1.1 " + status + " X\r\nAttempt-Id: " + s.headers().get("Attempt-Id") + "\r\nServer-Seal: s\r\n"
                         + more + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
@@ -130,8 +130,8 @@
         return Integer.toHexString(s.length()) + "\r\n" + s + "\r\n";
     }
 
-    static String streamHead(Seen s) {
-        return "HTTP/1.1 200 OK\r\nAttempt-Id: " + s.heads().get("Attempt-Id") + "\r\nServer-Seal: "
+    static String streamHead(ReceivedRequest s) {
+        return "HTTP/1.1 200 OK\r\nAttempt-Id: " + s.headers().get("Attempt-Id") + "\r\nServer-Seal: "
                 + "seal\r\nContent-Type: text/event-stream\r\nWeight-Versions: 1\r\nTransfer-Encoding: chunked\r\n\r\n";
     }
 
--- a/src/test/java/ringspindle/proxy/ServingRulesProxyTest.java
+++ b/src/test/java/ringspindle/proxy/ServingRulesProxyTest.java
@@ -35,16 +35,16 @@
 
     @Test
     void rankOfTheClassGoesToTheEngineAndOlderRulesAreIgnored() throws Exception {
-        StandInEngine engine = engine("i-1", "z", (seen, out, socket) -> {
-            StandInEngine.say(
-                    out, StandInEngine.streamHead(seen) + StandInEngine.chunk("id: 0\ndata: x\n\n") + "0\r\n\r\n");
+        ScriptedEngine engine = engine("i-1", "z", (seen, out, socket) -> {
+            ScriptedEngine.writeText(
+                    out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk("id: 0\ndata: x\n\n") + "0\r\n\r\n");
         });
         front.updateRules(
                 rules(
                         "{\"revision\":5,\"rules\":[{\"name\":\"q\",\"match\":{\"route\":\"short\"},\"class\":{\"rank\":3}}]}"));
         front.updateRules(rules("{\"revision\":4,\"default\":{\"class\":{\"rank\":9}}}"));
         ok("/short/x", "t1");
-        assertEquals("3", engine.seen.take().heads().get("Request-Urgency"));
+        assertEquals("3", engine.requests.take().headers().get("Request-Urgency"));
         assertEquals(5, row("q").revision());
         assertEquals(5, front.ledgerReport(1, 1).revision());
     }
@@ -53,16 +53,16 @@
     @Test
     void actionKeepsTheRulesItWasAdmittedUnder() throws Exception {
         CountDownLatch hold = new CountDownLatch(1);
-        StandInEngine engine = engine("i-1", "z", (seen, out, socket) -> {
+        ScriptedEngine engine = engine("i-1", "z", (seen, out, socket) -> {
             hold.await();
-            StandInEngine.whole(200, "hello", "").run(seen, out, socket);
+            ScriptedEngine.respondWith(200, "hello", "").run(seen, out, socket);
         });
         front.updateRules(rules("{\"revision\":1,\"default\":{\"class\":{\"rank\":1}}}"));
         Socket first = send("/card/x", "t1", "Connection: close\r\n", "");
-        engine.seen.take();
+        engine.requests.take();
         front.updateRules(rules("{\"revision\":2,\"rules\":[{\"name\":\"cards\",\"match\":{\"route\":\"card\"}}]}"));
         Socket second = send("/card/x", "t2", "Connection: close\r\n", "");
-        engine.seen.take();
+        engine.requests.take();
         hold.countDown();
         assertTrue(all(first).startsWith("HTTP/1.1 200"));
         assertTrue(all(second).startsWith("HTTP/1.1 200"));
@@ -77,13 +77,13 @@
     void shortQuestionsNeverWaitBehindDigests() throws Exception {
         CountDownLatch hold = new CountDownLatch(1);
         List<String> order = Collections.synchronizedList(new ArrayList<>());
-        StandInEngine engine = engine("i-1", "z", (seen, out, socket) -> {
-            order.add(seen.heads().get("Attempt-Id"));
-            if (seen.heads().get("Attempt-Id").startsWith("d")) {
+        ScriptedEngine engine = engine("i-1", "z", (seen, out, socket) -> {
+            order.add(seen.headers().get("Attempt-Id"));
+            if (seen.headers().get("Attempt-Id").startsWith("d")) {
                 hold.await();
             }
-            StandInEngine.say(
-                    out, StandInEngine.streamHead(seen) + StandInEngine.chunk("id: 0\ndata: x\n\n") + "0\r\n\r\n");
+            ScriptedEngine.writeText(
+                    out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk("id: 0\ndata: x\n\n") + "0\r\n\r\n");
         });
         front.updateRules(
                 rules(
@@ -95,8 +95,8 @@
             digests.add(send("/short/x", "d" + i, digest, ""));
         }
         // two of the eight places are theirs, the other four wait
-        engine.seen.take();
-        engine.seen.take();
+        engine.requests.take();
+        engine.requests.take();
         String got = all(send("/short/x", "q1", "Connection: close\r\nToken-Count: 383,50\r\n", ""));
         assertTrue(got.startsWith("HTTP/1.1 200"), got);
         assertEquals("q1", order.get(2), "a digest went before the question: " + order);
@@ -113,22 +113,22 @@
     @Test
     void ledgerAgreesWithEnginesAndClients() throws Exception {
         int[] answered = new int[1];
-        StandInEngine bad = engine("i-1", "z", (seen, out, socket) -> {
-            if (seen.line().startsWith("GET")) {
-                StandInEngine.say(out, "HTTP/1.1 200 OK\r\nInstance-Id: i-1\r\nContent-Length: 0\r\n\r\n");
+        ScriptedEngine bad = engine("i-1", "z", (seen, out, socket) -> {
+            if (seen.requestLine().startsWith("GET")) {
+                ScriptedEngine.writeText(out, "HTTP/1.1 200 OK\r\nInstance-Id: i-1\r\nContent-Length: 0\r\n\r\n");
                 return;
             }
             switch (answered[0]++ % 3) {
                 case 0 ->
-                    StandInEngine.say(
+                    ScriptedEngine.writeText(
                             out,
-                            "HTTP/1.1 503 X\r\nAttempt-Id: " + seen.heads().get("Attempt-Id")
+                            "HTTP/1.1 503 X\r\nAttempt-Id: " + seen.headers().get("Attempt-Id")
                                     + "\r\nNot-Executed: full\r\nContent-Length: 0\r\n\r\n");
-                case 1 -> StandInEngine.whole(500, "ill", "").run(seen, out, socket);
+                case 1 -> ScriptedEngine.respondWith(500, "ill", "").run(seen, out, socket);
                 default -> socket.close();
             }
         });
-        StandInEngine good = engine("i-2", "z", StandInEngine.whole(200, "hello", ""));
+        ScriptedEngine good = engine("i-2", "z", ScriptedEngine.respondWith(200, "hello", ""));
         int whole = 0;
         int refused = 0;
         for (int i = 0; i < 60; i++) {
@@ -137,8 +137,10 @@
             refused += got.startsWith("HTTP/1.1 50") && !got.startsWith("HTTP/1.1 500") ? 1 : 0;
         }
         LedgerRow total = row(ServingRules.DEFAULT_CLASS);
-        long arrived =
-                bad.seen.stream().filter(x -> x.line().startsWith("POST")).count() + good.seen.size();
+        long arrived = bad.requests.stream()
+                        .filter(x -> x.requestLine().startsWith("POST"))
+                        .count()
+                + good.requests.size();
         assertEquals(60, total.admitted());
         assertEquals(whole, total.completed());
         assertEquals(refused, total.givenUp());
@@ -146,7 +148,7 @@
         assertEquals(0, total.inProgress());
         assertEquals(Set.of(), RequestLedger.violations(front.ledgerReport(1, 1)));
         Map<String, Integer> runs = new HashMap<>();
-        good.seen.forEach(x -> runs.merge(x.heads().get("Attempt-Id"), 1, Integer::sum));
+        good.requests.forEach(x -> runs.merge(x.headers().get("Attempt-Id"), 1, Integer::sum));
         assertTrue(runs.values().stream().allMatch(k -> k == 1), "doubled: " + runs);
     }
 }
--- a/src/test/java/ringspindle/proxy/StreamContentTest.java
+++ b/src/test/java/ringspindle/proxy/StreamContentTest.java
@@ -22,7 +22,7 @@
 class StreamContentTest extends ProxyFixture {
     private static final int MEBIBYTE = 1 << 20;
 
-    private final List<StandInEngine.Seen> requests = Collections.synchronizedList(new ArrayList<>());
+    private final List<ScriptedEngine.ReceivedRequest> requests = Collections.synchronizedList(new ArrayList<>());
 
     @Test
     void longEventIsPassedOnWhole() throws Exception {
@@ -30,8 +30,9 @@
         engine(
                 "i-1",
                 "z",
-                (seen, out, socket) -> StandInEngine.say(
-                        out, StandInEngine.streamHead(seen) + StandInEngine.chunk(longOne + event(1)) + END_OF_CHUNKS));
+                (seen, out, socket) -> ScriptedEngine.writeText(
+                        out,
+                        ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk(longOne + event(1)) + END_OF_CHUNKS));
         Received received = Received.of(ok("/short/x", "t1"));
         assertTrue(received.looksComplete());
         assertEquals(longOne + event(1), received.body());
@@ -43,8 +44,8 @@
         engine(
                 "i-1",
                 "z",
-                (seen, out, socket) -> StandInEngine.say(
-                        out, StandInEngine.streamHead(seen) + StandInEngine.chunk(stream) + END_OF_CHUNKS));
+                (seen, out, socket) -> ScriptedEngine.writeText(
+                        out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk(stream) + END_OF_CHUNKS));
         Received received = Received.of(ok("/short/x", "t1"));
         assertTrue(received.looksComplete());
         assertEquals(stream, received.body());
@@ -53,9 +54,10 @@
     /** A further run could bring it again, or not: nobody can tell the engine where to go on. */
     @Test
     void streamBrokenBehindDataWithoutAnIdIsNotResumed() throws Exception {
-        StandInEngine.Script script = (seen, out, socket) -> {
+        ScriptedEngine.Script script = (seen, out, socket) -> {
             requests.add(seen);
-            StandInEngine.say(out, StandInEngine.streamHead(seen) + StandInEngine.chunk(event(0) + "data: none\n\n"));
+            ScriptedEngine.writeText(
+                    out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk(event(0) + "data: none\n\n"));
             Ending.CLOSE.end(socket);
         };
         engine("i-1", "z", script);
@@ -69,16 +71,17 @@
     /** An engine that goes on with other weights than those of the events before is no continuation. */
     @Test
     void runWithOtherWeightsIsNotJoined() throws Exception {
-        StandInEngine.Script script = (seen, out, socket) -> {
+        ScriptedEngine.Script script = (seen, out, socket) -> {
             requests.add(seen);
             if (requests.size() == 1) {
                 String change = "weight-versions: 2\nid: 1\ndata: <1>\n\n";
-                StandInEngine.say(out, StandInEngine.streamHead(seen) + StandInEngine.chunk(event(0) + change));
+                ScriptedEngine.writeText(
+                        out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk(event(0) + change));
                 Ending.CLOSE.end(socket);
             }
             // says 1 in its head, though 2 was asked for
-            StandInEngine.say(
-                    out, StandInEngine.streamHead(seen) + StandInEngine.chunk(events(2, LAST_ID)) + END_OF_CHUNKS);
+            ScriptedEngine.writeText(
+                    out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk(events(2, LAST_ID)) + END_OF_CHUNKS);
         };
         for (String id : List.of("i-1", "i-2")) {
             // says of no weights which it has, so that it is asked
@@ -88,6 +91,6 @@
         Received received = Received.of(ok("/long/x", "t1"));
         assertFalse(received.looksComplete());
         assertFalse(received.body().contains("<2>"), received.body());
-        assertEquals("2", requests.get(1).heads().get("Expected-Revision"));
+        assertEquals("2", requests.get(1).headers().get("Expected-Revision"));
     }
 }
--- a/src/test/java/ringspindle/proxy/StreamCutTest.java
+++ b/src/test/java/ringspindle/proxy/StreamCutTest.java
@@ -123,12 +123,12 @@
     /** A stand-in engine under ever new ids, so that no failure is held against the next one. */
     private final class Lane {
         final String service;
-        final StandInEngine server;
+        final ScriptedEngine server;
         private int cases;
 
         Lane(String service) throws IOException {
             this.service = service;
-            server = new StandInEngine((seen, out, socket) -> {});
+            server = new ScriptedEngine((seen, out, socket) -> {});
             engines.add(server);
         }
 
@@ -138,16 +138,16 @@
         }
 
         /** A request whose answers are as long as those of all requests here. */
-        StandInEngine.Seen sampleHead() {
-            return new StandInEngine.Seen("", Map.of("Attempt-Id", attemptId(0)), new byte[0]);
+        ScriptedEngine.ReceivedRequest sampleHead() {
+            return new ScriptedEngine.ReceivedRequest("", Map.of("Attempt-Id", attemptId(0)), new byte[0]);
         }
 
         /** Sends a request to fresh engines that behave like that; reads the answer whole. */
-        String play(String kind, StandInEngine.Script script, String awaited, Runnable whenThere) throws IOException {
+        String play(String kind, ScriptedEngine.Script script, String awaited, Runnable whenThere) throws IOException {
             int number = cases++;
             String attempt = attemptId(number);
-            server.seen.clear();
-            server.script(script);
+            server.requests.clear();
+            server.setScript(script);
             List<String> ids = List.of(
                     service + "-" + number + "-a",
                     service + "-" + number + "-b",
@@ -207,13 +207,13 @@
     }
 
     /** The rest of the events behind the last one that a request names, or all of them. */
-    private static List<String> rest(StandInEngine.Seen seen) {
-        String last = seen.heads().get("Last-Event-Id");
+    private static List<String> rest(ScriptedEngine.ReceivedRequest seen) {
+        String last = seen.headers().get("Last-Event-Id");
         return last == null ? EVENTS : EVENTS.subList(Integer.parseInt(last) + 1, EVENTS.size());
     }
 
-    private static String weightsBefore(StandInEngine.Seen seen) {
-        String expected = seen.heads().get("Expected-Revision");
+    private static String weightsBefore(ScriptedEngine.ReceivedRequest seen) {
+        String expected = seen.headers().get("Expected-Revision");
         return expected == null ? "1" : expected;
     }
 
@@ -223,7 +223,7 @@
     }
 
     /** What became of one stream: what the client got, and the requests that engines got, in order. */
-    private record Outcome(Received received, List<StandInEngine.Seen> requests, Run first) {}
+    private record Outcome(Received received, List<ScriptedEngine.ReceivedRequest> requests, Run first) {}
 
     /** Plays one stream whose first run is cut there; every further run is whole. */
     private Outcome play(Lane lane, String kind, Framing framing, Ending ending, int at) throws Exception {
@@ -233,8 +233,8 @@
         String awaited = sample.whole() && framing != Framing.UNFRAMED
                 ? "0\r\n\r\n"
                 : EVENTS.get(Math.max(0, sample.eventsPassed() - 1));
-        List<StandInEngine.Seen> requests = Collections.synchronizedList(new ArrayList<>());
-        StandInEngine.Script script = (seen, out, socket) -> {
+        List<ScriptedEngine.ReceivedRequest> requests = Collections.synchronizedList(new ArrayList<>());
+        ScriptedEngine.Script script = (seen, out, socket) -> {
             requests.add(seen);
             if (requests.size() > 1) {
                 String head = EventStreams.head(seen, SECOND, weightsBefore(seen));
@@ -251,7 +251,7 @@
         return new Outcome(Received.of(got), List.copyOf(requests), sample);
     }
 
-    private static Run cut(StandInEngine.Seen seen, Framing framing, int at, Ending ending) {
+    private static Run cut(ScriptedEngine.ReceivedRequest seen, Framing framing, int at, Ending ending) {
         return new Run(EventStreams.answer(EventStreams.head(seen, FIRST, "1"), framing, EVENTS), at, ending);
     }
 
@@ -284,7 +284,7 @@
         assertEquals(String.join("", once ? EVENTS.subList(0, passed) : EVENTS), received.body(), what);
         assertEquals(once ? 1 : 2, outcome.requests.size(), what);
         if (!once) {
-            Map<String, String> second = outcome.requests.get(1).heads();
+            Map<String, String> second = outcome.requests.get(1).headers();
             assertEquals(passed == 0 ? null : Integer.toString(passed - 1), second.get("Last-Event-Id"), what);
             assertEquals(passed == 0 ? null : passed == 1 ? "1" : "2", second.get("Expected-Revision"), what);
         }
@@ -319,8 +319,8 @@
         inLanes(600, (lane, index) -> {
             Random random = new Random(index);
             List<Run> runs = Collections.synchronizedList(new ArrayList<>());
-            List<StandInEngine.Seen> requests = Collections.synchronizedList(new ArrayList<>());
-            StandInEngine.Script script = (seen, out, socket) -> {
+            List<ScriptedEngine.ReceivedRequest> requests = Collections.synchronizedList(new ArrayList<>());
+            ScriptedEngine.Script script = (seen, out, socket) -> {
                 Framing framing = Framing.values()[random.nextInt(Framing.values().length)];
                 Ending ending = Ending.values()[random.nextInt(Ending.values().length)];
                 String head = EventStreams.head(seen, "run" + runs.size(), weightsBefore(seen));
@@ -341,7 +341,7 @@
     }
 
     private static void assertOneStream(
-            Received received, List<Run> runs, List<StandInEngine.Seen> requests, String what) {
+            Received received, List<Run> runs, List<ScriptedEngine.ReceivedRequest> requests, String what) {
         String all = String.join("", EVENTS);
         assertTrue(requests.size() <= 5, what);
         if (received.status() != 200) {
@@ -353,11 +353,11 @@
         int got = wholeEvents(received.body().length());
         assertEquals(bodyLength(got), received.body().length(), what + "a part of an event");
         int last = -1;
-        for (StandInEngine.Seen request : requests) {
-            int asked = Integer.parseInt(request.heads().getOrDefault("Last-Event-Id", "-1"));
+        for (ScriptedEngine.ReceivedRequest request : requests) {
+            int asked = Integer.parseInt(request.headers().getOrDefault("Last-Event-Id", "-1"));
             assertTrue(asked >= last && asked < got, what + "asked to go on behind " + asked);
             assertEquals(
-                    asked < 0 ? null : asked == 0 ? "1" : "2", request.heads().get("Expected-Revision"), what);
+                    asked < 0 ? null : asked == 0 ? "1" : "2", request.headers().get("Expected-Revision"), what);
             last = asked;
         }
         if (received.looksComplete() && got < EVENTS.size()) {
--- a/src/test/java/ringspindle/proxy/StreamFaultsTest.java
+++ b/src/test/java/ringspindle/proxy/StreamFaultsTest.java
@@ -62,7 +62,7 @@
             String text = chunk.replace("NEXT", Integer.toString(next))
                     .replace("AFTER", Integer.toString(next + 1))
                     .replace("BEFORE", Integer.toString(next - 1));
-            StandInEngine.say(out, (text.isEmpty() ? "" : StandInEngine.chunk(text)) + behind);
+            ScriptedEngine.writeText(out, (text.isEmpty() ? "" : ScriptedEngine.chunk(text)) + behind);
             if (ending == Ending.RESET) {
                 passedOn.await();
             }
@@ -75,7 +75,7 @@
         }
     }
 
-    private final List<StandInEngine.Seen> requests = Collections.synchronizedList(new ArrayList<>());
+    private final List<ScriptedEngine.ReceivedRequest> requests = Collections.synchronizedList(new ArrayList<>());
 
     static String event(int id) {
         return "id: " + id + "\ndata: <" + id + ">\n\n";
@@ -89,24 +89,24 @@
         return out.toString();
     }
 
-    private static int firstDue(StandInEngine.Seen seen) {
-        return Integer.parseInt(seen.heads().getOrDefault("Last-Event-Id", "-1")) + 1;
+    private static int firstDue(ScriptedEngine.ReceivedRequest seen) {
+        return Integer.parseInt(seen.headers().getOrDefault("Last-Event-Id", "-1")) + 1;
     }
 
     /** Two engines, of which the first that is asked sends so many events before the fault; the second is whole or not. */
     private CountDownLatch engines(int before, Fault fault, boolean secondIsWhole) throws Exception {
         CountDownLatch passedOn = new CountDownLatch(1);
-        StandInEngine.Script script = (seen, out, socket) -> {
+        ScriptedEngine.Script script = (seen, out, socket) -> {
             requests.add(seen);
             int run = requests.size();
             int due = firstDue(seen);
-            StandInEngine.say(out, StandInEngine.streamHead(seen).replace("seal", "seal" + run));
+            ScriptedEngine.writeText(out, ScriptedEngine.streamHead(seen).replace("seal", "seal" + run));
             if (run == 2 && secondIsWhole) {
-                StandInEngine.say(out, StandInEngine.chunk(events(due, LAST_ID)) + END_OF_CHUNKS);
+                ScriptedEngine.writeText(out, ScriptedEngine.chunk(events(due, LAST_ID)) + END_OF_CHUNKS);
                 return;
             }
             if (before > 0) {
-                StandInEngine.say(out, StandInEngine.chunk(events(due, due + before - 1)));
+                ScriptedEngine.writeText(out, ScriptedEngine.chunk(events(due, due + before - 1)));
             }
             fault.happen(out, socket, due + before, passedOn);
         };
@@ -151,7 +151,7 @@
         assertTrue(received.looksComplete());
         assertEquals(List.of("seal2"), received.seals());
         assertEquals(events(0, LAST_ID), received.body());
-        assertNull(requests.get(1).heads().get("Last-Event-Id"));
+        assertNull(requests.get(1).headers().get("Last-Event-Id"));
     }
 
     @ParameterizedTest
@@ -170,7 +170,7 @@
         assertTrue(received.looksComplete());
         assertEquals(List.of("seal1"), received.seals());
         assertEquals(events(0, LAST_ID), received.body());
-        Map<String, String> second = requests.get(1).heads();
+        Map<String, String> second = requests.get(1).headers();
         assertEquals("1", second.get("Last-Event-Id"));
         assertEquals("1", second.get("Expected-Revision"));
     }
@@ -197,8 +197,8 @@
         assertTrue(received.looksComplete());
         assertEquals(List.of("seal2"), received.seals());
         assertEquals(events(5, LAST_ID), received.body());
-        requests.forEach(seen -> assertEquals("4", seen.heads().get("Last-Event-Id")));
-        requests.forEach(seen -> assertEquals("1", seen.heads().get("Expected-Revision")));
+        requests.forEach(seen -> assertEquals("4", seen.headers().get("Last-Event-Id")));
+        requests.forEach(seen -> assertEquals("1", seen.headers().get("Expected-Revision")));
     }
 
     @ParameterizedTest
@@ -209,7 +209,7 @@
         assertTrue(received.looksComplete());
         assertEquals(List.of("seal1"), received.seals());
         assertEquals(events(5, LAST_ID), received.body());
-        assertEquals("6", requests.get(1).heads().get("Last-Event-Id"));
+        assertEquals("6", requests.get(1).headers().get("Last-Event-Id"));
     }
 
     @ParameterizedTest
@@ -232,16 +232,17 @@
     @MethodSource("faultsAndRoutes")
     void whileTheClientIsSlowerThanTheEngine(Fault fault, String path) throws Exception {
         String filler = "x".repeat(MEBIBYTE);
-        StandInEngine.Script script = (seen, out, socket) -> {
+        ScriptedEngine.Script script = (seen, out, socket) -> {
             requests.add(seen);
-            StandInEngine.say(out, StandInEngine.streamHead(seen).replace("seal", "seal" + requests.size()));
+            ScriptedEngine.writeText(out, ScriptedEngine.streamHead(seen).replace("seal", "seal" + requests.size()));
             for (int id = firstDue(seen); id < 24; id++) {
-                StandInEngine.say(out, StandInEngine.chunk("id: " + id + "\ndata: <" + id + ">" + filler + "\n\n"));
+                ScriptedEngine.writeText(
+                        out, ScriptedEngine.chunk("id: " + id + "\ndata: <" + id + ">" + filler + "\n\n"));
             }
             if (requests.size() == 1) {
                 fault.happen(out, socket, 24, new CountDownLatch(0));
             }
-            StandInEngine.say(out, END_OF_CHUNKS);
+            ScriptedEngine.writeText(out, END_OF_CHUNKS);
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
@@ -275,22 +276,22 @@
         Received received = answer("/long/x", "", "<" + LAST_ID + ">", passedOn);
         assertTrue(received.looksComplete());
         assertEquals(events(0, LAST_ID), received.body());
-        assertEquals(Integer.toString(LAST_ID), requests.get(1).heads().get("Last-Event-Id"));
+        assertEquals(Integer.toString(LAST_ID), requests.get(1).headers().get("Last-Event-Id"));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"/short/x", "/long/x"})
     void silenceIsGoneOnWithOrEndsAtTheDeadline(String path) throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        StandInEngine.Script script = (seen, out, socket) -> {
+        ScriptedEngine.Script script = (seen, out, socket) -> {
             requests.add(seen);
             int due = firstDue(seen);
-            StandInEngine.say(out, StandInEngine.streamHead(seen));
+            ScriptedEngine.writeText(out, ScriptedEngine.streamHead(seen));
             if (requests.size() == 1) {
-                StandInEngine.say(out, StandInEngine.chunk(events(0, 1)));
+                ScriptedEngine.writeText(out, ScriptedEngine.chunk(events(0, 1)));
                 never.await();
             }
-            StandInEngine.say(out, StandInEngine.chunk(events(due, LAST_ID)) + END_OF_CHUNKS);
+            ScriptedEngine.writeText(out, ScriptedEngine.chunk(events(due, LAST_ID)) + END_OF_CHUNKS);
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
@@ -304,7 +305,10 @@
     @ParameterizedTest
     @ValueSource(strings = {"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "Content-Length: 0\r\n\r\n"})
     void headWithoutABodyIsNoStream(String rest) throws Exception {
-        engine("i-1", "z", (seen, out, socket) -> StandInEngine.say(out, EventStreams.head(seen, "seal", "1") + rest));
+        engine(
+                "i-1",
+                "z",
+                (seen, out, socket) -> ScriptedEngine.writeText(out, EventStreams.head(seen, "seal", "1") + rest));
         Received received = answer("/short/x", "", "", new CountDownLatch(1));
         assertEquals(502, received.status());
         assertEquals(List.of(), received.seals());
@@ -321,7 +325,8 @@
             byte[] whole = EventStreams.answer(head, framing, List.of(event(0), event(1)))
                     .bytes();
             out.write(whole);
-            StandInEngine.say(out, event(2) + EventStreams.head(seen, "other", "1") + "Content-Length: 0\r\n\r\n");
+            ScriptedEngine.writeText(
+                    out, event(2) + EventStreams.head(seen, "other", "1") + "Content-Length: 0\r\n\r\n");
         });
         for (int i = 0; i < 3; i++) {
             Received received = Received.of(ok("/short/x", "t" + i));
