--- a/src/main/java/ringspindle/controlplane/EngineRegistry.java
+++ b/src/main/java/ringspindle/controlplane/EngineRegistry.java
@@ -35,13 +35,13 @@
             if (!serving.quorate()) {
                 return false;
             }
-            fleet.facts().heartbeat(id, engine, sequence);
+            fleet.facts().onHeartbeat(id, engine, sequence);
             return true;
         }
     }
 
     /** Notes how many requests an engine still runs or queues, for operators who follow a roll-out. */
-    public void reported(String id, int active, int queued) {
+    public void recordReport(String id, int active, int queued) {
         View view = replication.view();
         if (view == null) {
             return;
--- a/src/main/java/ringspindle/controlplane/QuotaHandler.java
+++ b/src/main/java/ringspindle/controlplane/QuotaHandler.java
@@ -65,7 +65,7 @@
         if (view == null) {
             return;
         }
-        if (!view.head().equals(context.me())) {
+        if (!view.head().equals(context.self())) {
             boolean fromDataNode = ask.origin().equals(from);
             if (fromDataNode) {
                 context.mesh().send(view.head(), ask);
@@ -75,7 +75,7 @@
         State committed = replication.committed();
         List<QuotaLeave> leaves = new ArrayList<>();
         synchronized (lock) {
-            if (committed == null || !serving.quorate() || serving.provenAgoMs() > HeadChanges.PROOF_MS) {
+            if (committed == null || !serving.quorate() || serving.quorumProofAgeMs() > HeadChanges.PROOF_MS) {
                 return;
             }
             long nowMs = context.nowMs();
--- a/src/main/java/ringspindle/controlplane/server/VersionResource.java
+++ b/src/main/java/ringspindle/controlplane/server/VersionResource.java
@@ -27,7 +27,7 @@
     /** Starts one. */
     void start(ApiExchange exchange) {
         exchange.readBody(BODY_MAX, body -> {
-            if (!node.serving().inTouch()) {
+            if (!node.serving().majorityReachable()) {
                 exchange.respond(Outcome.UNCLEAR);
                 return;
             }
@@ -54,7 +54,7 @@
         }
         VersionRollout rollout = VersionRollout.read(new String(fact.value(), UTF_8));
         exchange.respond(JSON.createObjectBuilder()
-                .add("state", rollout.standing().onWire())
+                .add("state", rollout.status().externalName())
                 .add("targetRevision", rollout.targetRevision())
                 .build());
     }
--- a/src/main/java/ringspindle/replication/HeldCalls.java
+++ b/src/main/java/ringspindle/replication/OutstandingCalls.java
@@ -10,7 +10,7 @@
 import ringspindle.protocol.NodeId;
 
 /** Calls that are not answered yet, in the order of the nodes that took them and of their numbers there. */
-final class HeldCalls {
+final class OutstandingCalls {
     /** How far a call is in the view in force. */
     private sealed interface Progress {
         Progress WAITING = new Waiting();
@@ -19,20 +19,20 @@
         record Waiting() implements Progress {}
 
         /** Passed on to the head or tail of that epoch's view, or decided here as such; in another view it waits again. */
-        record HandedOver(long epoch) implements Progress {}
+        record Dispatched(long epoch) implements Progress {}
     }
 
     /** A call that is not answered yet. */
-    static final class HeldCall {
+    static final class OutstandingCall {
         private final CallId id;
         private final Call call;
-        private final long sinceMs;
+        private final long receivedMs;
         private Progress progress = Progress.WAITING;
 
-        private HeldCall(CallId id, Call call, long sinceMs) {
+        private OutstandingCall(CallId id, Call call, long receivedMs) {
             this.id = id;
             this.call = call;
-            this.sinceMs = sinceMs;
+            this.receivedMs = receivedMs;
         }
 
         CallId id() {
@@ -48,31 +48,31 @@
         }
 
         long ageMs(long nowMs) {
-            return nowMs - sinceMs;
+            return nowMs - receivedMs;
         }
 
-        boolean handedOverIn(long epoch) {
-            return progress instanceof Progress.HandedOver done && done.epoch() == epoch;
+        boolean dispatchedIn(long epoch) {
+            return progress instanceof Progress.Dispatched done && done.epoch() == epoch;
         }
 
-        void handOver(long epoch) {
-            progress = new Progress.HandedOver(epoch);
+        void markDispatched(long epoch) {
+            progress = new Progress.Dispatched(epoch);
         }
 
         /** What was passed on may be lost. */
-        void waitAgain() {
+        void markWaiting() {
             progress = Progress.WAITING;
         }
     }
 
-    private final Map<NodeId, Map<Long, HeldCall>> byOrigin = new TreeMap<>();
+    private final Map<NodeId, Map<Long, OutstandingCall>> byOrigin = new TreeMap<>();
     /** Answered, and to be forgotten once no walk over the calls is under way. */
     private final List<CallId> answered = new ArrayList<>();
 
     /** Holds a call; one of the same origin and number is replaced. */
     void add(NodeId origin, Call call, long nowMs) {
         CallId id = new CallId(origin, call.id());
-        byOrigin.computeIfAbsent(origin, k -> new TreeMap<>()).put(call.id(), new HeldCall(id, call, nowMs));
+        byOrigin.computeIfAbsent(origin, k -> new TreeMap<>()).put(call.id(), new OutstandingCall(id, call, nowMs));
     }
 
     boolean isEmpty() {
@@ -84,46 +84,46 @@
     }
 
     /** Calls that the node took itself from callers. */
-    Iterable<HeldCall> of(NodeId origin) {
+    Iterable<OutstandingCall> from(NodeId origin) {
         return byOrigin.getOrDefault(origin, Map.of()).values();
     }
 
-    void forEach(Consumer<HeldCall> action) {
+    void forEach(Consumer<OutstandingCall> action) {
         byOrigin.values().forEach(calls -> calls.values().forEach(action));
     }
 
-    void removeIf(Predicate<HeldCall> condition) {
+    void removeIf(Predicate<OutstandingCall> condition) {
         byOrigin.values().forEach(calls -> calls.values().removeIf(condition));
     }
 
-    void keepOnly(NodeId origin) {
+    void retainOrigin(NodeId origin) {
         byOrigin.keySet().removeIf(other -> !other.equals(origin));
     }
 
     /** Forgets a call at once; false if it is not held. */
     boolean remove(CallId id) {
-        Map<Long, HeldCall> calls = byOrigin.get(id.origin());
+        Map<Long, OutstandingCall> calls = byOrigin.get(id.origin());
         return calls != null && calls.remove(id.number()) != null;
     }
 
-    private boolean holds(CallId id) {
-        Map<Long, HeldCall> calls = byOrigin.get(id.origin());
+    private boolean contains(CallId id) {
+        Map<Long, OutstandingCall> calls = byOrigin.get(id.origin());
         return calls != null && calls.containsKey(id.number());
     }
 
-    /** The call is answered; it is forgotten by the next {@link #forgetAnswered}. */
-    void answered(CallId id) {
+    /** The call is answered; it is forgotten by the next {@link #removeAnswered}. */
+    void markAnswered(CallId id) {
         answered.add(id);
     }
 
     /** The same, if the call is still held here. */
-    void answeredIfHeld(CallId id) {
-        if (holds(id)) {
-            answered(id);
+    void markAnsweredIfOutstanding(CallId id) {
+        if (contains(id)) {
+            markAnswered(id);
         }
     }
 
-    void forgetAnswered() {
+    void removeAnswered() {
         answered.forEach(this::remove);
         answered.clear();
     }
