--- a/src/main/java/ringspindle/consensus/Acceptor.java
+++ b/src/main/java/ringspindle/consensus/Acceptor.java
@@ -44,7 +44,7 @@
     }
 
     /** A newer view is in force: what was promised and accepted for it is settled. */
-    void onViewInForce(View view) {
+    void onViewStarted(View view) {
         if (state.epoch() <= view.epoch()) {
             state = new VoterState.Unpromised(state.epoch());
         }
--- a/src/main/java/ringspindle/consensus/ChainPath.java
+++ b/src/main/java/ringspindle/consensus/ChainPath.java
@@ -10,16 +10,16 @@
     /** Steps that the search for a chain over broken links may take. */
     private static final int MAX_SEARCH_STEPS = 4000;
 
-    private final BiPredicate<NodeId, NodeId> linked;
+    private final BiPredicate<NodeId, NodeId> connected;
     private int remainingSteps = MAX_SEARCH_STEPS;
 
-    private ChainPath(BiPredicate<NodeId, NodeId> linked) {
-        this.linked = linked;
+    private ChainPath(BiPredicate<NodeId, NodeId> connected) {
+        this.connected = connected;
     }
 
     /** The longest path from the head over links that stand, or the best that the bounded search finds. */
-    static List<NodeId> longest(NodeId head, List<NodeId> members, BiPredicate<NodeId, NodeId> linked) {
-        return new ChainPath(linked).longestFrom(head, members);
+    static List<NodeId> longest(NodeId head, List<NodeId> members, BiPredicate<NodeId, NodeId> connected) {
+        return new ChainPath(connected).longestFrom(head, members);
     }
 
     private List<NodeId> longestFrom(NodeId first, List<NodeId> rest) {
@@ -28,7 +28,7 @@
             return best;
         }
         for (NodeId next : rest) {
-            if (!linked.test(first, next)) {
+            if (!connected.test(first, next)) {
                 continue;
             }
             List<NodeId> others = new ArrayList<>(rest);
--- a/src/main/java/ringspindle/consensus/Connectivity.java
+++ b/src/main/java/ringspindle/consensus/Connectivity.java
@@ -6,10 +6,10 @@
 /** Who is in touch with whom, as this node knows it at one moment. */
 public interface Connectivity {
     /** True while both sides heard each other lately. */
-    boolean linked(NodeId one, NodeId other);
+    boolean connected(NodeId one, NodeId other);
 
     /** Control nodes that this node is in touch with. */
-    Collection<NodeId> live();
+    Collection<NodeId> liveNodes();
 
     /** The failure domain of a node, so that a chain crosses few long links; equal names are near each other. */
     default String failureDomain(NodeId node) {
--- a/src/main/java/ringspindle/consensus/Proposer.java
+++ b/src/main/java/ringspindle/consensus/Proposer.java
@@ -148,7 +148,7 @@
 
     private boolean awaitingMorePromises(CollectingPromises collecting) {
         long expected = replica.view().voters().stream()
-                .filter(voter -> voter.equals(replica.self()) || replica.linked(voter))
+                .filter(voter -> voter.equals(replica.self()) || replica.connectedTo(voter))
                 .count();
         return collecting.promises().size() < expected && replica.nowMs() - collecting.sinceMs() < PROMISE_WAIT_MS;
     }
@@ -176,7 +176,7 @@
         Set<NodeId> recipients = new TreeSet<>(replica.view().voters());
         recipients.addAll(view.voters());
         // nodes without a vote, too, pass calls on to the head
-        recipients.addAll(replica.connectivity().live());
+        recipients.addAll(replica.connectivity().liveNodes());
         recipients.remove(replica.self());
         recipients.forEach(node -> effects.send(node, new Decided(view)));
         onDecided.accept(view);
--- a/src/main/java/ringspindle/consensus/Relearning.java
+++ b/src/main/java/ringspindle/consensus/Relearning.java
@@ -46,7 +46,7 @@
         }
         nextRequestMs = replica.nowMs() + RELEARN_INTERVAL_MS;
         Set<NodeId> peers = new TreeSet<>(replica.seeds());
-        peers.addAll(replica.connectivity().live());
+        peers.addAll(replica.connectivity().liveNodes());
         if (replica.view() != null) {
             peers.addAll(replica.view().voters());
         }
@@ -58,12 +58,12 @@
     void requestFromOne() {
         if (replica.votes()
                 || replica.nowMs() < nextRequestMs
-                || replica.connectivity().live().isEmpty()) {
+                || replica.connectivity().liveNodes().isEmpty()) {
             return;
         }
         nextRequestMs = replica.nowMs() + LEARNER_POLL_INTERVAL_MS;
-        NodeId[] live = replica.connectivity().live().toArray(new NodeId[0]);
-        sendRelearn(live[random.nextInt(live.length)]);
+        NodeId[] liveNodes = replica.connectivity().liveNodes().toArray(new NodeId[0]);
+        sendRelearn(liveNodes[random.nextInt(liveNodes.length)]);
     }
 
     /** Takes an answer; what was promised, once a majority of the newest view's voters has answered, else null. */
--- a/src/main/java/ringspindle/consensus/ReplicaContext.java
+++ b/src/main/java/ringspindle/consensus/ReplicaContext.java
@@ -73,13 +73,13 @@
     }
 
     /** False before the first tick: nothing is known of any link yet. */
-    public boolean linksKnown() {
+    public boolean connectivityKnown() {
         return connectivity != null;
     }
 
     /** True while this node and the peer heard each other lately, as of the last tick. */
-    public boolean linked(NodeId peer) {
-        return connectivity != null && connectivity.linked(self, peer);
+    public boolean connectedTo(NodeId peer) {
+        return connectivity != null && connectivity.connected(self, peer);
     }
 
     boolean leaving(NodeId node) {
--- a/src/main/java/ringspindle/consensus/ViewConsensus.java
+++ b/src/main/java/ringspindle/consensus/ViewConsensus.java
@@ -197,7 +197,7 @@
             // a node without memory must not act in any view before it has relearned
             return;
         }
-        acceptor.onViewInForce(view);
+        acceptor.onViewStarted(view);
         proposer.startView();
         monitor.startView();
         localState.onViewStarted(view);
--- a/src/main/java/ringspindle/consensus/ViewMonitor.java
+++ b/src/main/java/ringspindle/consensus/ViewMonitor.java
@@ -71,20 +71,20 @@
             startedMs = replica.nowMs();
         }
         if (replica.participates()) {
-            if (quorumLinked()) {
+            if (connectedToQuorum()) {
                 lastQuorumContactMs = replica.nowMs();
             }
             selection.observe(replica.view(), replica.connectivity(), replica.nowMs());
         }
     }
 
-    private boolean quorumLinked() {
-        return replica.view().voters().stream().filter(this::inTouch).count()
+    private boolean connectedToQuorum() {
+        return replica.view().voters().stream().filter(this::isConnected).count()
                 >= replica.view().majority();
     }
 
-    private boolean inTouch(NodeId node) {
-        return node.equals(replica.self()) || replica.linked(node);
+    private boolean isConnected(NodeId node) {
+        return node.equals(replica.self()) || replica.connectedTo(node);
     }
 
     boolean hasRecentQuorum(long nowMs) {
@@ -101,18 +101,18 @@
         }
         long waitedMs = nowMs - startedMs;
         return waitedMs < (bootstrap ? BOOTSTRAP_VOTER_WAIT_MS : RESTART_VOTER_WAIT_MS)
-                || waitedMs < MAX_VOTER_WAIT_MS && candidateInTouch();
+                || waitedMs < MAX_VOTER_WAIT_MS && hasConnectedCandidate();
     }
 
-    private boolean candidateInTouch() {
+    private boolean hasConnectedCandidate() {
         return replica.connectivity() != null
-                && replica.connectivity().live().stream()
-                        .anyMatch(n -> !replica.view().voters().contains(n) && !replica.leaving(n));
+                && replica.connectivity().liveNodes().stream()
+                        .anyMatch(node -> !replica.view().voters().contains(node) && !replica.leaving(node));
     }
 
     /** True if this node is to propose another view now. */
     boolean proposalDue(LocalState localState, Acceptor acceptor) {
-        boolean mayPropose = replica.votes() && quorumLinked() && !replica.recentlyPaused();
+        boolean mayPropose = replica.votes() && connectedToQuorum() && !replica.recentlyPaused();
         ViewDefect defect = mayPropose ? findDefect(localState, acceptor) : null;
         if (defect == null) {
             health = ViewHealth.HEALTHY;
@@ -129,7 +129,7 @@
     private long proposerRank() {
         List<NodeId> order = replica.votersInChainOrder();
         return order.subList(0, order.indexOf(replica.self())).stream()
-                .filter(replica::linked)
+                .filter(replica::connectedTo)
                 .count();
     }
 
@@ -173,7 +173,7 @@
     private boolean chainBroken(View view) {
         List<NodeId> chain = view.chain();
         for (int i = 0; i + 1 < chain.size(); i++) {
-            if (!replica.connectivity().linked(chain.get(i), chain.get(i + 1))) {
+            if (!replica.connectivity().connected(chain.get(i), chain.get(i + 1))) {
                 return true;
             }
         }
@@ -188,18 +188,19 @@
 
     /** True if a voter outside the chain could be a member: in touch here and with a member in touch. */
     private boolean voterToAdd(View view) {
-        return view.voters().stream().anyMatch(voter -> mayJoinChain(voter, view) && memberInTouchWith(voter, view));
+        return view.voters().stream().anyMatch(voter -> mayJoinChain(voter, view) && hasConnectedMember(voter, view));
     }
 
     private boolean mayJoinChain(NodeId voter, View view) {
         return !view.chain().contains(voter)
                 && !replica.leaving(voter)
                 && !replica.connectivity().relearning(voter)
-                && inTouch(voter);
+                && isConnected(voter);
     }
 
-    private boolean memberInTouchWith(NodeId voter, View view) {
+    private boolean hasConnectedMember(NodeId voter, View view) {
         return view.chain().stream()
-                .anyMatch(member -> inTouch(member) && replica.connectivity().linked(member, voter));
+                .anyMatch(
+                        member -> isConnected(member) && replica.connectivity().connected(member, voter));
     }
 }
--- a/src/main/java/ringspindle/consensus/ViewPlanner.java
+++ b/src/main/java/ringspindle/consensus/ViewPlanner.java
@@ -70,13 +70,13 @@
      */
     private Position safeBase(Map<NodeId, Pledge> promises) {
         View view = replica.view();
-        Position least = view.chain().stream()
+        Position lowest = view.chain().stream()
                 .map(promises::get)
                 .filter(ViewPlanner::keptDisk)
                 .map(Pledge::position)
                 .min(Comparator.naturalOrder())
                 .orElse(null);
-        return least != null && least.lineage() == view.epoch() ? least : view.base();
+        return lowest != null && lowest.lineage() == view.epoch() ? lowest : view.base();
     }
 
     /** The first promiser with the newest copy, in the order of the chain; one that leaves only if no other holds as much. */
@@ -93,17 +93,17 @@
     // ---- the chain
 
     /** A chain from the head through a majority of the voters, null if the links allow none. */
-    private List<NodeId> planChain(NodeId head, List<NodeId> voters, Collection<NodeId> promisers) {
+    private List<NodeId> planChain(NodeId head, List<NodeId> voters, Collection<NodeId> promisingVoters) {
         int majority = voters.size() / 2 + 1;
         List<NodeId> members = new ArrayList<>(voters);
-        members.removeIf(node -> replica.view().voters().contains(node) && !promisers.contains(node));
+        members.removeIf(node -> replica.view().voters().contains(node) && !promisingVoters.contains(node));
         members.remove(head);
         long staying = members.stream().filter(node -> !replica.leaving(node)).count();
         if (staying + 1 >= majority) {
             members.removeIf(replica::leaving);
         }
         sortByFailureDomain(head, members);
-        List<NodeId> path = ChainPath.longest(head, members, replica.connectivity()::linked);
+        List<NodeId> path = ChainPath.longest(head, members, replica.connectivity()::connected);
         return path.size() < majority ? null : path;
     }
 
--- a/src/main/java/ringspindle/consensus/VoterSelection.java
+++ b/src/main/java/ringspindle/consensus/VoterSelection.java
@@ -50,11 +50,13 @@
     }
 
     private boolean reachable(NodeId voter, View view, Connectivity connectivity) {
-        if (voter.equals(self) || connectivity.linked(self, voter)) {
+        if (voter.equals(self) || connectivity.connected(self, voter)) {
             return true;
         }
         for (NodeId witness : view.voters()) {
-            if (!witness.equals(voter) && connectivity.linked(self, witness) && connectivity.linked(witness, voter)) {
+            if (!witness.equals(voter)
+                    && connectivity.connected(self, witness)
+                    && connectivity.connected(witness, voter)) {
                 return true;
             }
         }
@@ -107,22 +109,22 @@
     /** Nodes that may vote: in touch, not leaving, with memory of what was promised, and heard by most voters. */
     private List<NodeId> findJoiners(View view, Connectivity connectivity) {
         List<NodeId> joiners = new ArrayList<>();
-        for (NodeId node : connectivity.live()) {
+        for (NodeId node : connectivity.liveNodes()) {
             if (!view.voters().contains(node)
                     && !connectivity.leaving(node)
                     && !connectivity.relearning(node)
-                    && votersInTouch(node, view, connectivity) >= view.majority()) {
+                    && countConnectedVoters(node, view, connectivity) >= view.majority()) {
                 joiners.add(node);
             }
         }
         return joiners;
     }
 
-    private static int votersInTouch(NodeId node, View view, Connectivity connectivity) {
-        int inTouch = 0;
+    private static int countConnectedVoters(NodeId node, View view, Connectivity connectivity) {
+        int connectedVoters = 0;
         for (NodeId voter : view.voters()) {
-            inTouch += connectivity.linked(node, voter) ? 1 : 0;
+            connectedVoters += connectivity.connected(node, voter) ? 1 : 0;
         }
-        return inTouch;
+        return connectedVoters;
     }
 }
--- a/src/main/java/ringspindle/controlplane/PeerConnectivity.java
+++ b/src/main/java/ringspindle/controlplane/PeerConnectivity.java
@@ -28,14 +28,14 @@
     }
 
     @Override
-    public boolean linked(NodeId first, NodeId second) {
+    public boolean connected(NodeId first, NodeId second) {
         synchronized (fleet.lock) {
             return fleet.sessions().linked(first, second);
         }
     }
 
     @Override
-    public Collection<NodeId> live() {
+    public Collection<NodeId> liveNodes() {
         return live;
     }
 
--- a/src/main/java/ringspindle/replication/CallPipeline.java
+++ b/src/main/java/ringspindle/replication/CallPipeline.java
@@ -124,7 +124,8 @@
         NodeId target = target(call.call());
         if (target.equals(replica.self())) {
             decideIfReady(call);
-        } else if (call.id().origin().equals(replica.self()) && (!replica.linksKnown() || replica.linked(target))) {
+        } else if (call.id().origin().equals(replica.self())
+                && (!replica.connectivityKnown() || replica.connectedTo(target))) {
             call.markDispatched(replica.epoch());
             outputs.send(target, call.call());
         }
--- a/src/main/java/ringspindle/replication/ChainMember.java
+++ b/src/main/java/ringspindle/replication/ChainMember.java
@@ -145,8 +145,8 @@
         syncProgress.restart();
         successor.startView();
         uncommittedSinceMs = replica.nowMs();
-        boolean hasCopyOfOlderView = latest.lineage() >= 0 && latest.lineage() < replica.epoch();
-        if (replica.inChain() && replica.isHead() && hasCopyOfOlderView) {
+        boolean hasOlderState = latest.lineage() >= 0 && latest.lineage() < replica.epoch();
+        if (replica.inChain() && replica.isHead() && hasOlderState) {
             latest = ControlState.inView(latest, replica.epoch());
             State first = latest;
             writeSnapshot(first, () -> onSyncedLocally(first));
@@ -208,7 +208,7 @@
     /** Sends again what the successor does not confirm. */
     void tick() {
         NodeId next = active() ? replica.successor() : null;
-        if (next == null || !replica.linked(next)) {
+        if (next == null || !replica.connectedTo(next)) {
             return;
         }
         successor.tick(latest.seq(), replica.nowMs());
@@ -283,15 +283,15 @@
         }
     }
 
-    void onSynced(NodeId from, Synced confirmation) {
+    void onSynced(NodeId from, Synced acknowledgement) {
         if (replica.view() == null
-                || confirmation.epoch() != replica.epoch()
+                || acknowledgement.epoch() != replica.epoch()
                 || !from.equals(replica.successor())
                 || !belongsToCurrentView()) {
             return;
         }
-        successor.confirmed(confirmation.seq());
-        commit(Math.min(confirmation.seq(), latest.seq()));
+        successor.acknowledged(acknowledgement.seq());
+        commit(Math.min(acknowledgement.seq(), latest.seq()));
     }
 
     private void commit(long seq) {
--- a/src/main/java/ringspindle/replication/CommandHistory.java
+++ b/src/main/java/ringspindle/replication/CommandHistory.java
@@ -44,7 +44,7 @@
     }
 
     /** True if an order on that base may have been taken so long ago that it was forgotten. */
-    static boolean mayHaveForgotten(State state, long base) {
+    static boolean mayHaveDropped(State state, long base) {
         return state.past().size() >= MAX_COMMANDS && base < oldestRevision(state);
     }
 
--- a/src/main/java/ringspindle/replication/ConfigurationCommands.java
+++ b/src/main/java/ringspindle/replication/ConfigurationCommands.java
@@ -60,7 +60,7 @@
     /** A stale base is refused only while it is certain that the order was not taken long ago and then forgotten. */
     private static Decision rejectStaleBase(State state, Call command) {
         return Decision.answer(
-                CommandHistory.mayHaveForgotten(state, command.base()) ? Outcome.UNCLEAR : Outcome.OTHER_VERSION);
+                CommandHistory.mayHaveDropped(state, command.base()) ? Outcome.UNCLEAR : Outcome.OTHER_VERSION);
     }
 
     /** Serving rules on top of the revision they were made for; checked against the configuration in force. */
--- a/src/main/java/ringspindle/replication/ControlState.java
+++ b/src/main/java/ringspindle/replication/ControlState.java
@@ -72,11 +72,11 @@
             case RETIRE -> applyMark(state, MarkKind.RETIREMENT, op.arg(), ON);
             case METER -> applyMark(state, MarkKind.METERING, MeteredWindow.KEY, new String(op.body(), UTF_8));
             case VERSION -> applyMark(state, MarkKind.VERSION, op.arg(), new String(op.body(), UTF_8));
-            case READ, UNKNOWN -> withMarks(state, state.past(), state.marks());
+            case READ, UNKNOWN -> advance(state, state.past(), state.marks());
         };
     }
 
-    private static State withMarks(State state, List<TakenOrder> past, List<Mark> marks) {
+    private static State advance(State state, List<TakenOrder> past, List<Mark> marks) {
         return new State(state.lineage(), state.seq() + 1, state.revision(), past, marks, state.config());
     }
 
@@ -93,7 +93,7 @@
 
     private static State applyMark(State state, MarkKind kind, String key, String value) {
         Mark mark = new Mark(kind.code(), key, state.seq() + 1, value);
-        return withMarks(state, state.past(), replaceMark(state.marks(), mark));
+        return advance(state, state.past(), replaceMark(state.marks(), mark));
     }
 
     /** The marks with one set; where too many engines leave, the oldest of these marks are dropped. */
--- a/src/main/java/ringspindle/replication/OutstandingCalls.java
+++ b/src/main/java/ringspindle/replication/OutstandingCalls.java
@@ -72,7 +72,7 @@
     /** Holds a call; one of the same origin and number is replaced. */
     void add(NodeId origin, Call call, long nowMs) {
         CallId id = new CallId(origin, call.id());
-        byOrigin.computeIfAbsent(origin, k -> new TreeMap<>()).put(call.id(), new OutstandingCall(id, call, nowMs));
+        byOrigin.computeIfAbsent(origin, key -> new TreeMap<>()).put(call.id(), new OutstandingCall(id, call, nowMs));
     }
 
     boolean isEmpty() {
--- a/src/main/java/ringspindle/replication/SuccessorLink.java
+++ b/src/main/java/ringspindle/replication/SuccessorLink.java
@@ -22,13 +22,13 @@
     }
 
     private Transfer transfer = new Transfer.SnapshotDue();
-    private long confirmedSeq = NO_SEQ;
+    private long acknowledgedSeq = NO_SEQ;
     private long resendDelayMs = RESEND_DELAY_MS;
 
     /** A new view: nothing of it has been sent to its successor. */
     void startView() {
         onReconnected();
-        confirmedSeq = NO_SEQ;
+        acknowledgedSeq = NO_SEQ;
     }
 
     /** The connection stands anew: what went over an older one may be lost. */
@@ -56,15 +56,15 @@
         transfer = new Transfer.Streaming(seq, nowMs);
     }
 
-    void confirmed(long seq) {
-        confirmedSeq = Math.max(confirmedSeq, seq);
+    void acknowledged(long seq) {
+        acknowledgedSeq = Math.max(acknowledgedSeq, seq);
         resendDelayMs = RESEND_DELAY_MS;
     }
 
     /** Starts over if the successor has not confirmed all up to that number for too long. */
     void tick(long newestSeq, long nowMs) {
         if (transfer instanceof Transfer.Streaming streaming
-                && confirmedSeq < newestSeq
+                && acknowledgedSeq < newestSeq
                 && nowMs - streaming.sentMs() > resendDelayMs) {
             // a large snapshot over a slow link takes its time: sending it ever more often would never end
             resendDelayMs = Math.min(resendDelayMs * 2, MAX_RESEND_DELAY_MS);
@@ -74,6 +74,6 @@
 
     @Override
     public String toString() {
-        return sentSeq() + "/" + confirmedSeq;
+        return sentSeq() + "/" + acknowledgedSeq;
     }
 }
--- a/src/main/java/ringspindle/replication/ViewConfirmations.java
+++ b/src/main/java/ringspindle/replication/ViewConfirmations.java
@@ -125,6 +125,6 @@
     }
 
     void tick() {
-        pending.values().removeIf(question -> replica.nowMs() - question.sinceMs() > CONFIRMATION_TIMEOUT_MS);
+        pending.values().removeIf(request -> replica.nowMs() - request.sinceMs() > CONFIRMATION_TIMEOUT_MS);
     }
 }
--- a/src/test/java/ringspindle/replication/ChainReplicatedStateTest.java
+++ b/src/test/java/ringspindle/replication/ChainReplicatedStateTest.java
@@ -42,12 +42,12 @@
     private static final List<NodeId> ALL = List.of(A, B, C);
     private static final Connectivity TOUCH = new Connectivity() {
         @Override
-        public boolean linked(NodeId a, NodeId b) {
+        public boolean connected(NodeId a, NodeId b) {
             return true;
         }
 
         @Override
-        public Collection<NodeId> live() {
+        public Collection<NodeId> liveNodes() {
             return List.of(B, C);
         }
     };
@@ -254,12 +254,12 @@
         synced(c, c.receive(A, new Decided(two), 5));
         Connectivity withB = new Connectivity() {
             @Override
-            public boolean linked(NodeId a, NodeId b) {
+            public boolean connected(NodeId a, NodeId b) {
                 return !a.equals(A) && !b.equals(A);
             }
 
             @Override
-            public Collection<NodeId> live() {
+            public Collection<NodeId> liveNodes() {
                 return List.of(B);
             }
         };
--- a/src/test/java/ringspindle/replication/ModelPlanted.java
+++ b/src/test/java/ringspindle/replication/ModelPlanted.java
@@ -271,7 +271,7 @@
             View view = view();
             if (view != null && view.voters().contains(me)) {
                 List<NodeId> linked = view.voters().stream()
-                        .filter(v -> v.equals(me) || connectivity.linked(me, v))
+                        .filter(v -> v.equals(me) || connectivity.connected(me, v))
                         .toList();
                 if (linked.size() < view.voters().size()) {
                     super.receive(me, new Decided(ModelViews.next(view, linked, linked)), nowMs);
--- a/src/test/java/ringspindle/replication/ModelWorld.java
+++ b/src/test/java/ringspindle/replication/ModelWorld.java
@@ -303,13 +303,13 @@
         }
 
         @Override
-        public boolean linked(NodeId a, NodeId b) {
+        public boolean connected(NodeId a, NodeId b) {
             return a.equals(b)
                     || byId.containsKey(a) && byId.containsKey(b) && ModelWorld.this.linked(byId.get(a), byId.get(b));
         }
 
         @Override
-        public Collection<NodeId> live() {
+        public Collection<NodeId> liveNodes() {
             List<NodeId> live = new ArrayList<>();
             for (ModelNode other : nodes.values()) {
                 if (other != self && ModelWorld.this.linked(self, other)) {
--- a/src/test/java/ringspindle/replication/SimulatedCluster.java
+++ b/src/test/java/ringspindle/replication/SimulatedCluster.java
@@ -338,12 +338,12 @@
         }
 
         @Override
-        public boolean linked(NodeId one, NodeId other) {
+        public boolean connected(NodeId one, NodeId other) {
             return one.equals(other) || SimulatedCluster.this.linked(one, other);
         }
 
         @Override
-        public Collection<NodeId> live() {
+        public Collection<NodeId> liveNodes() {
             return nodes.stream()
                     .filter(other -> other != self && SimulatedCluster.this.linked(self.id, other.id))
                     .map(other -> other.id)
--- a/src/test/java/ringspindle/replication/SuccessorLinkTest.java
+++ b/src/test/java/ringspindle/replication/SuccessorLinkTest.java
@@ -40,7 +40,7 @@
     @Test
     void whatIsConfirmedIsNotSentAgain() {
         link.sent(7, 0);
-        link.confirmed(7);
+        link.acknowledged(7);
         link.tick(7, 100_000);
         assertFalse(link.snapshotDue());
     }
@@ -50,7 +50,7 @@
         link.sent(7, 0);
         link.tick(7, 401);
         link.sent(7, 401);
-        link.confirmed(6);
+        link.acknowledged(6);
         link.tick(7, 802);
         assertTrue(link.snapshotDue());
     }
@@ -58,7 +58,7 @@
     @Test
     void aNewViewStartsOver() {
         link.sent(7, 0);
-        link.confirmed(7);
+        link.acknowledged(7);
         link.startView();
         assertTrue(link.snapshotDue());
         link.sent(7, 0);
