--- a/src/main/java/ringspindle/consensus/Acceptor.java
+++ b/src/main/java/ringspindle/consensus/Acceptor.java
@@ -15,8 +15,8 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * The voter's side of the agreement on the next view. A promise for epoch e + 1 also fences epoch e: from then on this node
- * neither takes entries of e nor confirms e. Whatever is told is on disk first.
+ * The voter side of view consensus. A promise for epoch e + 1 also fences epoch e: from then on this node neither
+ * accepts entries of e nor confirms e. State is synced to disk before any reply reports it.
  */
 final class Acceptor {
     private final ReplicaContext replica;
@@ -27,7 +27,7 @@
     private long promisedSinceMs;
 
     /**
-     * @param position how far this node's copy of the control state has come
+     * @param position the position of this node's copy of the control state
      */
     Acceptor(ReplicaContext replica, Effects effects, Supplier<Position> position) {
         this.replica = replica;
@@ -37,13 +37,13 @@
 
     // ---- transitions
 
-    /** Takes over what is known to have been promised and accepted: from disk, or from a majority after a lost disk. */
+    /** Restores the promised and accepted state, read from disk or relearned from a majority after a lost disk. */
     void restore(VoterState restored) {
         state = restored;
         promisedSinceMs = replica.nowMs();
     }
 
-    /** A newer view is in force: what was promised and accepted for it is settled. */
+    /** Discards the promise and the accepted value of an epoch that has been decided. */
     void onViewStarted(View view) {
         if (state.epoch() <= view.epoch()) {
             state = new VoterState.Unpromised(state.epoch());
@@ -57,9 +57,9 @@
         state = next;
     }
 
-    // ---- what others see
+    // ---- queries
 
-    /** The record of all that this voter must not forget. */
+    /** The voter's durable record. */
     Vote vote() {
         return state.toVote(replica.view());
     }
@@ -72,7 +72,7 @@
         return fenced() && replica.nowMs() - promisedSinceMs >= ms;
     }
 
-    /** The ballot promised for that epoch. */
+    /** The ballot promised for the epoch, or {@link Ballot#NONE}. */
     Ballot promisedBallot(long epoch) {
         return state.epoch() == epoch ? state.promised() : Ballot.NONE;
     }
@@ -160,7 +160,7 @@
         effects.append(List.of(vote()), () -> effects.send(from, answer));
     }
 
-    /** Tells a node that lost its disk, or missed a view, what was promised here; on disk before it is told. */
+    /** Reports this voter's state to a node that lost its disk or missed a view, after syncing it to disk. */
     void onRelearn(NodeId from, Relearn relearn) {
         if (!replica.participates()) {
             return;
@@ -176,7 +176,7 @@
         effects.append(List.of(vote), () -> effects.send(from, answer));
     }
 
-    /** Tells a proposer that the epoch it proposes for is decided. */
+    /** Informs a proposer that the epoch it proposes for is already decided. */
     private void sendDecidedView(NodeId proposer) {
         effects.send(proposer, new Decided(replica.view()));
     }
--- a/src/main/java/ringspindle/consensus/ChainPath.java
+++ b/src/main/java/ringspindle/consensus/ChainPath.java
@@ -5,9 +5,9 @@
 import java.util.function.BiPredicate;
 import ringspindle.protocol.NodeId;
 
-/** Searches the longest chain over links that stand, within a bound on its steps. */
+/** Finds the longest chain of pairwise connected nodes with a depth-first search of bounded size. */
 final class ChainPath {
-    /** Steps that the search for a chain over broken links may take. */
+    /** Bounds the search, which is exponential in the worst case when many links are broken. */
     private static final int MAX_SEARCH_STEPS = 4000;
 
     private final BiPredicate<NodeId, NodeId> connected;
@@ -17,7 +17,7 @@
         this.connected = connected;
     }
 
-    /** The longest path from the head over links that stand, or the best that the bounded search finds. */
+    /** Returns the longest path from the head over connected members, or the best that the bounded search finds. */
     static List<NodeId> longest(NodeId head, List<NodeId> members, BiPredicate<NodeId, NodeId> connected) {
         return new ChainPath(connected).longestFrom(head, members);
     }
--- a/src/main/java/ringspindle/consensus/Connectivity.java
+++ b/src/main/java/ringspindle/consensus/Connectivity.java
@@ -3,25 +3,25 @@
 import java.util.Collection;
 import ringspindle.protocol.NodeId;
 
-/** Who is in touch with whom, as this node knows it at one moment. */
+/** A snapshot of the connectivity between nodes, as this node knows it. */
 public interface Connectivity {
-    /** True while both sides heard each other lately. */
+    /** Whether both nodes have recently heard from each other. */
     boolean connected(NodeId one, NodeId other);
 
-    /** Control nodes that this node is in touch with. */
+    /** The control nodes that this node is connected to. */
     Collection<NodeId> liveNodes();
 
-    /** The failure domain of a node, so that a chain crosses few long links; equal names are near each other. */
+    /** The failure domain of a node; nodes of equal domains are close, so that a chain can cross few long links. */
     default String failureDomain(NodeId node) {
         return "";
     }
 
-    /** True for a node, this one or another, that has said that it is about to end. */
+    /** Whether the node, this one or another, has announced that it is shutting down. */
     default boolean leaving(NodeId node) {
         return false;
     }
 
-    /** True for a peer that lost its disk and has not relearned yet what was promised: it can neither vote nor hold state. */
+    /** Whether the peer lost its disk and has not relearned its promises yet; it can neither vote nor hold state. */
     default boolean relearning(NodeId node) {
         return false;
     }
--- a/src/main/java/ringspindle/consensus/Effects.java
+++ b/src/main/java/ringspindle/consensus/Effects.java
@@ -4,18 +4,18 @@
 import ringspindle.protocol.Message;
 import ringspindle.protocol.NodeId;
 
-/** What the agreement on views asks of the node it runs on. Calls return at once; nothing is sent or written in them. */
+/** The side effects that view consensus requests from its node. Calls only queue the effect and return immediately. */
 public interface Effects {
-    /** Sends the message; one to this node itself is taken in behind the input at hand. */
+    /** Sends a message; one to this node itself is processed after the current input. */
     void send(NodeId to, Message message);
 
     /**
-     * Appends the records to the disk and syncs them.
+     * Appends the records to the log on disk and syncs them.
      *
-     * @param whenSynced runs once they are synced; never if the process ends before
+     * @param whenSynced runs once the records are synced; never if the process ends first
      */
     void append(List<Message> records, Runnable whenSynced);
 
-    /** A number that this process has not used for another write or question. */
+    /** Returns an id that is unique among the writes and requests of this process. */
     long nextId();
 }
--- a/src/main/java/ringspindle/consensus/LocalState.java
+++ b/src/main/java/ringspindle/consensus/LocalState.java
@@ -3,20 +3,22 @@
 import ringspindle.protocol.Message.Position;
 import ringspindle.protocol.Message.View;
 
-/** The copy of the control state on this node, as far as the agreement on views has to know of it and to tell it. */
+/** The node's copy of the control state, as seen by view consensus. */
 public interface LocalState {
-    /** How far the copy has come, on disk or not; {@link Position#NONE} or one before every state if there is nothing. */
+    /**
+     * The newest position, synced or not; {@link Position#NONE} or a position before any state if there is no state.
+     */
     Position position();
 
-    /** True if the copy stems from the view in force. */
+    /** Whether the state belongs to the current view. */
     boolean belongsToCurrentView();
 
-    /** True while entries have waited for longer than that, in milliseconds, to be committed. */
+    /** Whether entries have been waiting for commit for longer than the given time in milliseconds. */
     boolean stalledFor(long ms);
 
-    /** Another view is in force from now on. */
+    /** Called when a new view takes effect. */
     void onViewStarted(View view);
 
-    /** A node without memory has relearned what was promised, and may vote from now on; its copy starts anew. */
+    /** Called when this node has relearned the promises and may vote; its state starts empty. */
     void onRelearned(View view);
 }
--- a/src/main/java/ringspindle/consensus/MemberState.java
+++ b/src/main/java/ringspindle/consensus/MemberState.java
@@ -3,18 +3,18 @@
 import ringspindle.protocol.Message.View;
 
 /**
- * Whether this node remembers what it promised. {@link ReplicaContext} owns all transitions.
+ * Whether this node knows its earlier promises. {@link ReplicaContext} owns all transitions.
  *
- * <p>Invariants: a process that participates never goes back to relearning; the epoch of {@link #view} never falls.
+ * <p>Invariants: a participating process never returns to relearning; the epoch of {@link #view} never decreases.
  */
 sealed interface MemberState {
-    /** The newest view, null if unknown. */
+    /** The newest known view, or null. */
     View view();
 
-    /** The same state under a newer view. */
+    /** Returns this state with a newer view. */
     MemberState withView(View newer);
 
-    /** The node may have forgotten what it promised, and so takes no part; it may have heard of a view all the same. */
+    /** The node may have lost its promises and does not participate; it may know of a view nevertheless. */
     record Relearning(View view) implements MemberState {
         @Override
         public MemberState withView(View newer) {
@@ -22,7 +22,7 @@
         }
     }
 
-    /** The node votes and holds state wherever the view, which is known, asks it to. */
+    /** The node votes and holds state as assigned by the view, which is known. */
     record Participating(View view) implements MemberState {
         @Override
         public MemberState withView(View newer) {
--- a/src/main/java/ringspindle/consensus/ProposalId.java
+++ b/src/main/java/ringspindle/consensus/ProposalId.java
@@ -1,8 +1,8 @@
 package ringspindle.consensus;
 
-/** What a proposal is for, and under which ballot; answers to another one count for nothing. */
+/** Identifies a proposal by epoch and ballot; replies to any other proposal are ignored. */
 record ProposalId(long epoch, Ballot ballot) {
-    /** True for the epoch and ballot of a message that belongs to this proposal. */
+    /** Whether a message with this epoch and ballot belongs to this proposal. */
     boolean matches(long messageEpoch, long messageBallot) {
         return epoch == messageEpoch && ballot.number() == messageBallot;
     }
--- a/src/main/java/ringspindle/consensus/ProposalPhase.java
+++ b/src/main/java/ringspindle/consensus/ProposalPhase.java
@@ -9,35 +9,38 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * How far this node's proposal of the next view is. {@link Proposer} owns all transitions: idle, then collecting promises, then
- * collecting acceptances of one value; back to idle from either when it is outbid, too old, or a view came into force.
+ * The phase of this node's proposal for the next view. {@link Proposer} owns all transitions: idle, collecting
+ * promises, collecting acceptances of one value. A proposal returns to idle when a voter has promised a higher ballot,
+ * when it times out, and when a view takes effect.
  *
- * <p>Invariants: a node has one proposal at a time; once a value is chosen for a ballot it never changes; answers count only
- * for the proposal that they name.
+ * <p>Invariants: a node has at most one open proposal; the value of a ballot never changes once it is chosen; replies
+ * count only for the proposal that they name.
  */
 sealed interface ProposalPhase {
     /**
-     * No proposal is under way.
+     * No proposal is open.
      *
-     * @param notBeforeMs none is begun before this time
+     * @param notBeforeMs the earliest time for the next proposal
      */
     record Idle(long notBeforeMs) implements ProposalPhase {}
 
-    /** A proposal that is under way. */
+    /** An open proposal. */
     sealed interface Open extends ProposalPhase {
         ProposalId id();
 
-        /** When the proposal was begun. */
+        /** When the proposal was started. */
         long sinceMs();
     }
 
-    /** Voters are asked to promise; what is proposed depends on what they have accepted before. */
+    /** Phase one: collects promises. The proposed value depends on what the voters have accepted before. */
     record CollectingPromises(ProposalId id, long sinceMs, Map<NodeId, Pledge> promises) implements Open {
         CollectingPromises(ProposalId id, long sinceMs) {
             this(id, sinceMs, new TreeMap<>());
         }
 
-        /** The view accepted under the highest ballot, which may have been decided already; null if none was accepted. */
+        /**
+         * Returns the view accepted under the highest ballot, which may already be decided; null if none was accepted.
+         */
         View highestAccepted() {
             View value = null;
             Ballot highest = Ballot.NONE;
@@ -56,6 +59,6 @@
         }
     }
 
-    /** Voters are asked to accept the value. */
+    /** Phase two: collects acceptances of the value. */
     record CollectingAcceptances(ProposalId id, long sinceMs, View value, Set<NodeId> accepts) implements Open {}
 }
--- a/src/main/java/ringspindle/consensus/Proposer.java
+++ b/src/main/java/ringspindle/consensus/Proposer.java
@@ -17,18 +17,18 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * The proposing side of the agreement on the next view: single-decree agreement among the voters of the view in force. A
- * proposal is begun in a tick only, so links are known throughout.
+ * The proposer side of view consensus: single-decree Paxos among the voters of the current view. Proposals start only
+ * in a tick, so connectivity is always known.
  */
 final class Proposer {
-    /** A proposal older than this is given up, also by a node that was paused meanwhile. */
+    /** Proposals older than this are abandoned, including after a pause of this node. */
     private static final long PROPOSAL_TIMEOUT_MS = 700;
-    /** How long a majority waits for the promises of others that seem to be there. */
+    /** How long to wait for promises of further connected voters once a majority has promised. */
     private static final long PROMISE_WAIT_MS = 250;
 
     private static final long BACKOFF_MS = 150;
     private static final int BACKOFF_JITTER_MS = 400;
-    /** For how long after a view came into force the next one is not proposed. */
+    /** The minimum time between a view taking effect and the next proposal. */
     private static final long VIEW_COOLDOWN_MS = 300;
 
     private final ReplicaContext replica;
@@ -38,12 +38,12 @@
     private final ViewPlanner planner;
     private final Consumer<View> onDecided;
     private ProposalPhase phase = new Idle(0);
-    /** The highest round that this node has proposed in or was outbid by. */
+    /** The highest round that this node has used or seen in a rejection. */
     private long round;
 
     /**
-     * @param random spreads the pauses after a proposal that came to nothing
-     * @param onDecided hears of the view that was decided
+     * @param random adds jitter to the backoff after a failed proposal
+     * @param onDecided receives the decided view
      */
     Proposer(
             ReplicaContext replica,
@@ -70,7 +70,7 @@
         return phase instanceof Idle idle && replica.nowMs() >= idle.notBeforeMs();
     }
 
-    /** A new view is in force; the next one is not proposed at once. */
+    /** Ends any open proposal when a view takes effect and delays the next one. */
     void startView() {
         phase = new Idle(replica.nowMs() + VIEW_COOLDOWN_MS);
     }
@@ -79,7 +79,7 @@
         phase = new Idle(replica.nowMs() + BACKOFF_MS + random.nextInt(BACKOFF_JITTER_MS));
     }
 
-    /** A voter has promised a higher ballot: the next proposal has to be above that. */
+    /** Abandons the proposal since a voter has promised a higher ballot; the next proposal must exceed it. */
     private void onHigherBallot(long promised) {
         round = Math.max(round, new Ballot(promised).round());
         abandon();
@@ -104,7 +104,10 @@
         }
     }
 
-    /** A promise from before a pause of this node may be of a voter that has lost its disk since. */
+    /**
+     * Whether the proposal timed out: after a pause of this node, a promise may stem from a voter that lost its disk
+     * since.
+     */
     private boolean expired(Open proposal) {
         return replica.nowMs() - proposal.sinceMs() > PROPOSAL_TIMEOUT_MS;
     }
@@ -126,7 +129,7 @@
         }
     }
 
-    /** Goes on once a majority promised; waits a little for the others that seem to be there. */
+    /** Starts phase two once a majority has promised, after a short wait for the other connected voters. */
     private void proposeValueIfPromised(CollectingPromises collecting) {
         if (collecting.promises().size() < replica.view().majority()
                 || expired(collecting)
@@ -175,7 +178,7 @@
     private void announceDecision(View view) {
         Set<NodeId> recipients = new TreeSet<>(replica.view().voters());
         recipients.addAll(view.voters());
-        // nodes without a vote, too, pass calls on to the head
+        // nodes without a vote need the view as well, to forward calls to the head
         recipients.addAll(replica.connectivity().liveNodes());
         recipients.remove(replica.self());
         recipients.forEach(node -> effects.send(node, new Decided(view)));
--- a/src/main/java/ringspindle/consensus/Relearning.java
+++ b/src/main/java/ringspindle/consensus/Relearning.java
@@ -12,9 +12,9 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * How a node without memory, new or with a lost disk, becomes fit to vote. It may have promised something before it lost its
- * disk. Any majority that such a promise was part of meets each majority of the others, so the highest that a majority tells
- * is at least as high as what was forgotten.
+ * Restores the voter state of a node that is new or lost its disk. The node may have made promises before the loss. Any
+ * majority that contained such a promise intersects every majority of the other voters, so the highest promise reported
+ * by a majority is at least as high as the lost one.
  */
 final class Relearning {
     private static final long RELEARN_INTERVAL_MS = 300;
@@ -27,7 +27,7 @@
     private long nextRequestMs;
 
     /**
-     * @param random chooses whom a learner asks
+     * @param random chooses the peer that a learner asks
      */
     Relearning(ReplicaContext replica, Effects effects, Random random) {
         this.replica = replica;
@@ -39,7 +39,7 @@
         effects.send(peer, new Relearn(effects.nextId()));
     }
 
-    /** While this node relearns: asks all that may know. */
+    /** Asks all peers that may know the voter state; called while this node relearns. */
     void requestFromAll() {
         if (replica.nowMs() < nextRequestMs) {
             return;
@@ -54,7 +54,7 @@
         peers.forEach(this::sendRelearn);
     }
 
-    /** A node that does not vote may have missed a view: it asks one that may know better. */
+    /** Asks one random peer for the newest view, since a node without a vote may have missed one. */
     void requestFromOne() {
         if (replica.votes()
                 || replica.nowMs() < nextRequestMs
@@ -66,7 +66,10 @@
         sendRelearn(liveNodes[random.nextInt(liveNodes.length)]);
     }
 
-    /** Takes an answer; what was promised, once a majority of the newest view's voters has answered, else null. */
+    /**
+     * Records an answer; returns the relearned state once a majority of the newest view's voters has answered, else
+     * null.
+     */
     VoterState onRelearned(NodeId from, Relearned answer) {
         answers.put(from, answer);
         View newest = newestView();
@@ -92,7 +95,7 @@
         return newest;
     }
 
-    /** The highest promise for an epoch from the decided one on, and what was accepted under the highest ballot for it. */
+    /** Returns the highest promise since the decided epoch, and the value accepted under the highest ballot for it. */
     private static VoterState highestPromise(List<Relearned> voterAnswers, long decidedEpoch) {
         long epoch = decidedEpoch;
         long ballot = 0;
--- a/src/main/java/ringspindle/consensus/ReplicaContext.java
+++ b/src/main/java/ringspindle/consensus/ReplicaContext.java
@@ -6,11 +6,14 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * This node as a member of the control side: who it is, the view in force, its place there, and the time and links of the
- * input at hand. Other packages read it; only the agreement on views changes the view.
+ * The node's identity, current view and role in it, and the time and connectivity of the current input. Other packages
+ * only read it; view consensus alone changes the view.
  */
 public final class ReplicaContext {
-    /** A gap between two ticks that is taken for a pause of this node; after it links are given time to show. */
+    /**
+     * A longer gap between two ticks counts as a pause of this process; connectivity needs as long to become known
+     * again.
+     */
     private static final long PAUSE_THRESHOLD_MS = 500;
 
     private static final long NEVER = -1;
@@ -37,19 +40,19 @@
         return seeds;
     }
 
-    // ---- the input at hand
+    // ---- the current input
 
-    /** Sets the time of the input at hand, in milliseconds of the node's steady clock. */
+    /** Sets the time of the current input, in milliseconds of the node's monotonic clock. */
     public void advanceTo(long nowMs) {
         this.nowMs = nowMs;
     }
 
-    /** The time of the input at hand, in milliseconds of the node's steady clock. */
+    /** The time of the current input, in milliseconds of the node's monotonic clock. */
     public long nowMs() {
         return nowMs;
     }
 
-    /** A tick; true if this node was paused before it, so that it cannot tell how long the others were silent. */
+    /** Processes a tick; returns true after a pause of this node, which makes earlier silence of peers meaningless. */
     boolean tick(long nowMs, Connectivity connectivity) {
         advanceTo(nowMs);
         this.connectivity = connectivity;
@@ -65,19 +68,19 @@
         return nowMs - lastPauseMs < PAUSE_THRESHOLD_MS;
     }
 
-    // ---- links, as of the last tick
+    // ---- connectivity as of the last tick
 
-    /** Links as of the last tick, null before the first. */
+    /** The connectivity as of the last tick, null before the first one. */
     Connectivity connectivity() {
         return connectivity;
     }
 
-    /** False before the first tick: nothing is known of any link yet. */
+    /** Whether connectivity is known, which it is from the first tick on. */
     public boolean connectivityKnown() {
         return connectivity != null;
     }
 
-    /** True while this node and the peer heard each other lately, as of the last tick. */
+    /** Whether this node and the peer had recently heard from each other as of the last tick. */
     public boolean connectedTo(NodeId peer) {
         return connectivity != null && connectivity.connected(self, peer);
     }
@@ -88,60 +91,60 @@
 
     // ---- the view
 
-    /** The newest view, null if unknown. */
+    /** The newest known view, or null. */
     public View view() {
         return state.view();
     }
 
-    /** The node takes this newer view for the one in force. */
+    /** Makes a newer view the current one. */
     void adoptView(View newer) {
         state = state.withView(newer);
     }
 
-    /** The node remembers what it promised, or has relearned it. */
+    /** Starts participating, with promises that were read from disk or relearned. */
     void participate(View currentView) {
         state = new MemberState.Participating(currentView);
     }
 
-    /** Epoch of the newest view, which must be known. */
+    /** The epoch of the newest view, which must be known. */
     public long epoch() {
         return view().epoch();
     }
 
-    /** False while this node may have forgotten what it promised, and so takes no part; if true, the view is known. */
+    /** Whether this node knows its promises and participates; if so, the view is known. */
     public boolean participates() {
         return state instanceof MemberState.Participating;
     }
 
-    /** True if this node votes on the next view. */
+    /** Whether this node votes on the next view. */
     public boolean votes() {
         return view().voters().contains(self);
     }
 
-    /** True if this node is a member of the chain. */
+    /** Whether this node is a member of the chain. */
     public boolean inChain() {
         return view().chain().contains(self);
     }
 
-    /** True if this node is first in the chain. */
+    /** Whether this node is the head of the chain. */
     public boolean isHead() {
         return view().head().equals(self);
     }
 
-    /** The next member of the chain, null if there is none. */
+    /** The next member of the chain, or null. */
     public NodeId successor() {
         List<NodeId> chain = view().chain();
         int index = chain.indexOf(self);
         return index < 0 || index + 1 >= chain.size() ? null : chain.get(index + 1);
     }
 
-    /** The member before this one, null if there is none. */
+    /** The previous member of the chain, or null. */
     public NodeId predecessor() {
         int index = view().chain().indexOf(self);
         return index <= 0 ? null : view().chain().get(index - 1);
     }
 
-    /** The voters of the view, members of the chain first and in its order. */
+    /** The voters of the view: chain members first, in chain order, then the others. */
     List<NodeId> votersInChainOrder() {
         List<NodeId> order = new ArrayList<>(view().chain());
         view().voters().stream().filter(voter -> !order.contains(voter)).forEach(order::add);
--- a/src/main/java/ringspindle/consensus/ViewConsensus.java
+++ b/src/main/java/ringspindle/consensus/ViewConsensus.java
@@ -18,14 +18,16 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * The agreement on views on one node. A view is decided by single-decree agreement of a majority of the previous view's
- * voters; a voter that promised the next epoch refuses the entries of the old one. This class hands each input to the part
- * whose job it is, and is the one place where a view comes into force.
+ * View consensus on one node. Each view is decided by single-decree consensus among a majority of the previous view's
+ * voters; a voter that promised the next epoch rejects entries of the old one. This class dispatches each input to the
+ * component responsible, and is the only place where a view takes effect.
  */
 public final class ViewConsensus {
-    /** More voters bear no loss that is asked for, and each of them is one more sync and hop for every order. */
+    /**
+     * More voters are not needed for any supported number of losses, and each adds a sync and a hop to every command.
+     */
     public static final int MAX_VOTERS = 9;
-    /** How long nobody may have heard of a voter before its seat is given away, in milliseconds. */
+    /** How long a voter may go unheard by every connected node before it loses its vote, in milliseconds. */
     public static final long VOTER_SILENCE_TIMEOUT_MS = 2000;
 
     private final ReplicaContext replica;
@@ -37,20 +39,20 @@
     private final ViewMonitor monitor;
 
     /**
-     * Settings of the agreement on one node.
+     * Settings of view consensus on one node.
      *
      * @param self this node
-     * @param seeds nodes that are known from the settings
-     * @param bootstrap true for the first start of a system: its seeds are the first voters
-     * @param minVoters as many voters as remain at least: 2f + 1 for the loss of f disks
+     * @param seeds nodes known from the settings
+     * @param bootstrap true for the first start of a system: its seeds become the first voters
+     * @param minVoters the number of voters to retain at least: 2f + 1 to tolerate the loss of f disks
      */
     public record Settings(NodeId self, List<NodeId> seeds, boolean bootstrap, int minVoters) {}
 
     /**
-     * A node without memory: until {@link #restore}, {@link #bootstrap} or the answers of a majority give it one, it neither
-     * votes nor holds state.
+     * Creates a node without durable state: until {@link #restore}, {@link #bootstrap} or the answers of a majority
+     * provide it, the node neither votes nor holds state.
      *
-     * @param localState is first called in an input, not in this constructor
+     * @param localState is first called while an input is processed, not in this constructor
      */
     public ViewConsensus(Settings settings, Random random, Effects effects, LocalState localState) {
         this.effects = effects;
@@ -63,14 +65,14 @@
         relearning = new Relearning(replica, effects, random);
     }
 
-    /** This node, its view and its place there. */
+    /** The node's identity, current view and role in it. */
     public ReplicaContext replica() {
         return replica;
     }
 
-    // ---- the start
+    // ---- startup
 
-    /** Takes over what was found on disk; a vote without a view is one of a node that had not relearned anything yet. */
+    /** Restores the vote read from disk; one without a view was written before this node had relearned its promises. */
     public void restore(Vote vote) {
         if (vote.view() != null) {
             replica.participate(vote.view());
@@ -78,46 +80,51 @@
         acceptor.restore(VoterState.of(vote.promisedEpoch(), vote.promised(), vote.acceptedBallot(), vote.accepted()));
     }
 
-    /** The first start of a system: these nodes are the first voters and the first chain. */
+    /** Bootstraps a new system with these nodes as the first voters and the first chain. */
     public void bootstrap(List<NodeId> initialVoters) {
         replica.participate(new View(1, List.copyOf(initialVoters), List.copyOf(initialVoters), new Position(1, 0)));
     }
 
-    // ---- what others see
+    // ---- queries
 
-    /** The record of all that this voter must not forget. */
+    /** The voter's durable record. */
     public Vote vote() {
         return acceptor.vote();
     }
 
-    /** True while this node has promised a newer view: it neither takes entries of the view in force nor confirms it. */
+    /**
+     * Whether this node has promised a newer view: if so, it neither accepts entries of the current view nor confirms
+     * it.
+     */
     public boolean fenced() {
         return acceptor.fenced();
     }
 
-    /** True if this node has been fenced for at least so many milliseconds. */
+    /** Whether this node has been fenced for at least the given time in milliseconds. */
     public boolean fencedFor(long ms) {
         return acceptor.fencedFor(ms);
     }
 
-    /** True if contact with a majority of the voters dates from so lately that this node hears of all that is committed. */
+    /**
+     * Whether this node was connected to a majority of the voters so recently that it learns of everything committed.
+     */
     public boolean hasRecentQuorum(long nowMs) {
         return monitor.hasRecentQuorum(nowMs);
     }
 
-    /** True while a start with too few voters waits for nodes that may still join. */
+    /** Whether a system that starts with too few voters is still waiting for further nodes to join. */
     public boolean awaitingVoters(long nowMs) {
         return monitor.awaitingVoters(nowMs);
     }
 
-    /** True if the view in force, which must be known, has as many voters as any view may have. */
+    /** Whether the current view, which must be known, has the maximum number of voters. */
     public boolean hasMaxVoters() {
         return replica.view().voters().size() >= MAX_VOTERS;
     }
 
     // ---- inputs
 
-    /** Takes a message on views; false if it is one of another kind. */
+    /** Processes a message of view consensus; returns false for any other message. */
     public boolean receive(NodeId from, Message message) {
         if (message instanceof Prepare prepare) {
             learn(prepare.view());
@@ -143,7 +150,7 @@
         return true;
     }
 
-    /** A new connection to that node stands: whichever of the two missed a view learns it. */
+    /** Called for a new connection to the peer: whichever of the two missed a view learns it. */
     public void onConnectionOpened(NodeId peer) {
         if (replica.participates()) {
             effects.send(peer, new Decided(replica.view()));
@@ -152,7 +159,7 @@
         }
     }
 
-    /** Time went on; the first of the three steps of a tick: notes with whom this node is in touch. */
+    /** First step of a tick: updates the connectivity. */
     public void observe(long nowMs, Connectivity connectivity) {
         if (replica.tick(nowMs, connectivity)) {
             monitor.onPause();
@@ -160,7 +167,10 @@
         monitor.tick();
     }
 
-    /** The second step of a tick: asks peers for what this node may have forgotten or missed. */
+    /**
+     * Second step of a tick: asks peers for promises that this node may have lost, or for a view that it may have
+     * missed.
+     */
     public void requestMissingState() {
         if (replica.participates()) {
             relearning.requestFromOne();
@@ -169,7 +179,7 @@
         }
     }
 
-    /** The third step of a tick: goes on with a proposal, or begins one if the view in force no longer serves. */
+    /** Third step of a tick: continues an open proposal, or starts one if the current view has a defect. */
     public void proposeIfDue() {
         if (!replica.participates()) {
             return;
@@ -183,7 +193,7 @@
 
     // ---- views
 
-    /** True while this node knows of no newer view, decided or promised. */
+    /** Whether this node knows of no newer view, neither decided nor promised. */
     private boolean confirms(long epoch) {
         return replica.participates() && replica.epoch() == epoch && !acceptor.fenced();
     }
@@ -194,7 +204,7 @@
         }
         replica.adoptView(view);
         if (!replica.participates()) {
-            // a node without memory must not act in any view before it has relearned
+            // a relearning node must not act in any view
             return;
         }
         acceptor.onViewStarted(view);
--- a/src/main/java/ringspindle/consensus/ViewDefect.java
+++ b/src/main/java/ringspindle/consensus/ViewDefect.java
@@ -1,18 +1,18 @@
 package ringspindle.consensus;
 
-/** What may be wrong with the view in force, so that another one is to be proposed. The first that applies counts. */
+/** A defect of the current view that calls for a new one. The first that applies, in this order, is used. */
 enum ViewDefect {
-    /** This voter has promised a newer view that has not come about. */
+    /** This voter has promised a newer view that has not been decided. */
     FENCED,
-    /** Two neighbours in the chain are not in touch. */
+    /** Two adjacent chain members are not connected. */
     CHAIN_BROKEN,
-    /** A member of the chain says that it ends, and enough others stay. */
+    /** A chain member has announced its shutdown, and enough others stay. */
     MEMBER_LEAVES,
-    /** Entries wait for too long at the head. */
+    /** Entries at the head have been waiting too long for commit. */
     STALLED,
-    /** The head holds no state of this view, or has lost its memory. */
+    /** The head holds no state of this view, or is relearning. */
     HEAD_WITHOUT_STATE,
-    /** A voter outside the chain could be a member again. */
+    /** A voter outside the chain could rejoin it. */
     VOTER_TO_ADD,
     /** Another set of voters would be better. */
     VOTERS_TO_CHANGE
--- a/src/main/java/ringspindle/consensus/ViewMonitor.java
+++ b/src/main/java/ringspindle/consensus/ViewMonitor.java
@@ -4,32 +4,34 @@
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
 
-/** Judges whether the view in force still serves, and when this node is to propose another one. */
+/** Detects defects of the current view and decides when this node is to propose a new one. */
 final class ViewMonitor {
     private static final long UNSET = -1;
     private static final long FENCED_GRACE_MS = 500;
     private static final long BROKEN_CHAIN_GRACE_MS = 200;
     private static final long COMMIT_STALL_TIMEOUT_MS = 1200;
-    /** Voters propose in turn, so that they do not compete. */
+    /** Added per rank, so that voters propose one after the other and do not compete. */
     private static final long PROPOSER_RANK_DELAY_MS = 350;
-    /** A voter that is back is taken into the chain after so long; longer, up to the bound, if that keeps failing. */
+    /**
+     * The delay before a recovered voter rejoins the chain; it doubles up to the maximum while rejoining keeps failing.
+     */
     private static final long CHAIN_REJOIN_DELAY_MS = 300;
 
     private static final long MAX_CHAIN_REJOIN_DELAY_MS = 1200;
-    /** How long a node that may join is waited for before the voters change. */
+    /** How long to wait for further nodes that may join before the voters change. */
     private static final long VOTER_CHANGE_DELAY_MS = 300;
 
     private static final long STARTUP_VOTER_CHANGE_DELAY_MS = 600;
-    /** How long a start with too few voters waits for nodes that it has not heard of yet. */
+    /** How long a system that starts with too few voters waits for nodes that it has not heard of yet. */
     private static final long BOOTSTRAP_VOTER_WAIT_MS = 8000;
 
     private static final long RESTART_VOTER_WAIT_MS = 3000;
-    /** After so long nothing is waited for: a node that never joins must not hold up orders for good. */
+    /** The bound on any such wait: a node that never joins must not block commands forever. */
     private static final long MAX_VOTER_WAIT_MS = 30_000;
-    /** For so long after the last proof of contact this node may take it that it hears of all that is committed. */
+    /** How long after the last contact with a quorum this node may assume that it learns of everything committed. */
     private static final long QUORUM_CONTACT_VALIDITY_MS = 1200;
 
-    /** Whether the view in force serves, or since when it has not; what is wrong with it may change meanwhile. */
+    /** The state of the current view. The kind of defect may change while the view stays defective. */
     private sealed interface ViewHealth {
         ViewHealth HEALTHY = new Healthy();
 
@@ -65,7 +67,7 @@
         selection.resetSilence();
     }
 
-    /** Time went on; notes with whom this node is in touch. */
+    /** Records connectivity to a quorum and to each voter. */
     void tick() {
         if (startedMs < 0) {
             startedMs = replica.nowMs();
@@ -91,7 +93,10 @@
         return nowMs - lastQuorumContactMs < QUORUM_CONTACT_VALIDITY_MS;
     }
 
-    /** Too few voters to bear the losses asked for: orders wait for nodes that may still join. */
+    /**
+     * Whether there are too few voters to tolerate the configured losses, so that commands wait for nodes that may
+     * join.
+     */
     boolean awaitingVoters(long nowMs) {
         if (replica.view() != null && replica.view().voters().size() >= selection.minVoters()) {
             return false;
@@ -110,7 +115,7 @@
                         .anyMatch(node -> !replica.view().voters().contains(node) && !replica.leaving(node));
     }
 
-    /** True if this node is to propose another view now. */
+    /** Whether this node is to propose a new view now. */
     boolean proposalDue(LocalState localState, Acceptor acceptor) {
         boolean mayPropose = replica.votes() && connectedToQuorum() && !replica.recentlyPaused();
         ViewDefect defect = mayPropose ? findDefect(localState, acceptor) : null;
@@ -125,7 +130,9 @@
         return defectAgeMs >= gracePeriodMs(defect) + proposerRank() * PROPOSER_RANK_DELAY_MS;
     }
 
-    /** How many voters in touch propose before this one: those before it in the chain, then the others. */
+    /**
+     * The number of connected voters that propose before this one: chain members ahead of it, then the other voters.
+     */
     private long proposerRank() {
         List<NodeId> order = replica.votersInChainOrder();
         return order.subList(0, order.indexOf(replica.self())).stream()
@@ -133,7 +140,7 @@
                 .count();
     }
 
-    /** What is wrong with the view in force, null if nothing is. */
+    /** Returns the first defect of the current view, or null. */
     private ViewDefect findDefect(LocalState localState, Acceptor acceptor) {
         View view = replica.view();
         if (acceptor.fenced()) {
@@ -158,7 +165,7 @@
         return selection.changeDue(view, replica.connectivity(), replica.nowMs()) ? ViewDefect.VOTERS_TO_CHANGE : null;
     }
 
-    /** How long to bear what is wrong with the view. */
+    /** How long a defect must persist before a new view is proposed. */
     private long gracePeriodMs(ViewDefect defect) {
         return switch (defect) {
             case FENCED -> FENCED_GRACE_MS;
@@ -186,7 +193,7 @@
         return staying < view.chain().size() && staying >= view.majority();
     }
 
-    /** True if a voter outside the chain could be a member: in touch here and with a member in touch. */
+    /** Whether a voter outside the chain could join it: connected to this node and to a connected member. */
     private boolean voterToAdd(View view) {
         return view.voters().stream().anyMatch(voter -> mayJoinChain(voter, view) && hasConnectedMember(voter, view));
     }
--- a/src/main/java/ringspindle/consensus/ViewPlanner.java
+++ b/src/main/java/ringspindle/consensus/ViewPlanner.java
@@ -11,8 +11,8 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * Makes the next view out of what a majority of voters promised: its head is a promiser with the newest copy, its chain a path
- * over links that stand, through a majority of its voters. Asked only once links are known.
+ * Plans the next view from the promises of a majority of voters. The head is a promising voter with the newest state,
+ * and the chain is a path of connected nodes through a majority of the voters. Used only once connectivity is known.
  */
 final class ViewPlanner {
     private final ReplicaContext replica;
@@ -23,7 +23,7 @@
         this.selection = selection;
     }
 
-    /** The next view, null if these promises do not allow one. */
+    /** Returns the next view, or null if the promises do not allow one. */
     View plan(long epoch, Map<NodeId, Pledge> promises) {
         Pledge newest = newest(promises.values());
         if (!holdsAllAcknowledged(newest, promises)) {
@@ -35,23 +35,24 @@
                 selection.nextVoters(view, promises.keySet(), head, replica.connectivity(), replica.nowMs());
         List<NodeId> chain = planChain(head, voters, promises.keySet());
         if (chain == null && !voters.equals(view.voters())) {
-            // with other voters there is no chain over a majority of them: leave them as they are for now
+            // with the new voters there is no chain over a majority of them: keep the current ones for now
             voters = view.voters();
             chain = planChain(head, voters, promises.keySet());
         }
         return chain == null ? null : new View(epoch, List.copyOf(voters), List.copyOf(chain), safeBase(promises));
     }
 
-    // ---- which copies may lead
+    // ---- choosing the head
 
     private static Pledge newest(Collection<Pledge> promises) {
         return promises.stream().max(Comparator.comparing(Pledge::position)).orElse(null);
     }
 
     /**
-     * True if the newest copy surely holds all that was acknowledged. A member of the last chain that kept its disk has to be
-     * among the promisers: it tells what the last view acknowledged. And the copy has to hold the last view's base: a member
-     * that was stale when that view was decided, and got nothing since, does not tell what was acknowledged before it.
+     * Whether the newest state is certain to hold everything that was acknowledged. A member of the previous chain that
+     * kept its disk must be among the promising voters, since it shows what the previous view acknowledged. The state
+     * must also have reached that view's base: a member that was stale when that view was decided, and received nothing
+     * since, does not show what was acknowledged before it.
      */
     private boolean holdsAllAcknowledged(Pledge newest, Map<NodeId, Pledge> promises) {
         return newest != null
@@ -65,8 +66,9 @@
     }
 
     /**
-     * A position from which on every state holds all that was acknowledged so far. What this view acknowledged, every member
-     * of its chain has on disk; a member that kept its disk and holds nothing of this view shows that it acknowledged nothing.
+     * Returns a position such that every state at or after it holds everything acknowledged so far. Every chain member
+     * has on disk what this view acknowledged; a member that kept its disk and holds nothing of this view shows that
+     * nothing was acknowledged in it.
      */
     private Position safeBase(Map<NodeId, Pledge> promises) {
         View view = replica.view();
@@ -79,7 +81,10 @@
         return lowest != null && lowest.lineage() == view.epoch() ? lowest : view.base();
     }
 
-    /** The first promiser with the newest copy, in the order of the chain; one that leaves only if no other holds as much. */
+    /**
+     * Returns the first promising voter with the newest state, in chain order; a node that shuts down is chosen only if
+     * no other holds as much.
+     */
     private NodeId chooseHead(Pledge newest, Map<NodeId, Pledge> promises) {
         List<NodeId> candidates = replica.votersInChainOrder();
         candidates.removeIf(node ->
@@ -92,7 +97,7 @@
 
     // ---- the chain
 
-    /** A chain from the head through a majority of the voters, null if the links allow none. */
+    /** Returns a chain from the head through a majority of the voters, or null if connectivity allows none. */
     private List<NodeId> planChain(NodeId head, List<NodeId> voters, Collection<NodeId> promisingVoters) {
         int majority = voters.size() / 2 + 1;
         List<NodeId> members = new ArrayList<>(voters);
@@ -107,7 +112,7 @@
         return path.size() < majority ? null : path;
     }
 
-    /** Orders members by failure domain, the head's first, so that the chain crosses each long link once. */
+    /** Sorts members by failure domain, the head's first, so that the chain crosses each long link once. */
     private void sortByFailureDomain(NodeId head, List<NodeId> members) {
         Connectivity connectivity = replica.connectivity();
         List<String> domains = new ArrayList<>(List.of(connectivity.failureDomain(head)));
--- a/src/main/java/ringspindle/consensus/VoterSelection.java
+++ b/src/main/java/ringspindle/consensus/VoterSelection.java
@@ -11,9 +11,9 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * Chooses the voters of the next view. Nodes that join take a seat; a voter that leaves or stays silent loses its seat, one
- * voter a view, as long as enough voters remain for the losses that have to be borne. A voter that was only cut off or
- * frozen joins again like any other node.
+ * Selects the voters of the next view. Joining nodes become voters; a voter that shuts down or stays silent is removed,
+ * one per view, as long as enough voters remain to tolerate the configured losses. A voter that was only partitioned or
+ * paused joins again like any other node.
  */
 final class VoterSelection {
     private final NodeId self;
@@ -21,7 +21,7 @@
     private final Map<NodeId, Long> silentSinceMs = new TreeMap<>();
 
     /**
-     * @param minVoters as many voters as remain at least: 2f + 1 for the loss of f disks
+     * @param minVoters the number of voters to retain at least: 2f + 1 to tolerate the loss of f disks
      */
     VoterSelection(NodeId self, int minVoters) {
         this.self = self;
@@ -32,7 +32,7 @@
         return minVoters;
     }
 
-    /** Notes which voters nobody in touch hears of. */
+    /** Records which voters are unheard by every connected voter. */
     void observe(View view, Connectivity connectivity, long nowMs) {
         silentSinceMs.keySet().retainAll(view.voters());
         for (NodeId voter : view.voters()) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** After a pause of this node it cannot tell how long the others were silent. */
+    /** Discards the record of silent voters, since a paused node cannot tell how long they were silent. */
     void resetSilence() {
         silentSinceMs.clear();
     }
@@ -63,16 +63,16 @@
         return false;
     }
 
-    /** True while another set of voters would be better than the one in force. */
+    /** Whether another set of voters would be better than the current one. */
     boolean changeDue(View view, Connectivity connectivity, long nowMs) {
         return !nextVoters(view, Set.of(), null, connectivity, nowMs).equals(view.voters());
     }
 
     /**
-     * The voters of the next view, those of the present one in their order and joiners behind them.
+     * Returns the voters of the next view: those of the current one in their order, followed by joining nodes.
      *
      * @param promised voters that have just promised, and so are not silent
-     * @param keep a voter that must stay since nobody else holds as much, null if there is none
+     * @param keep a voter that must stay since no other holds as much, null if there is none
      */
     List<NodeId> nextVoters(
             View view, Collection<NodeId> promised, NodeId keep, Connectivity connectivity, long nowMs) {
@@ -90,7 +90,9 @@
         return voters;
     }
 
-    /** The voter whose seat is given up next: one that leaves, else the one silent for longest; null if there is none. */
+    /**
+     * Returns the voter to remove next: one that shuts down, else the one silent for longest; null if there is none.
+     */
     private NodeId voterToRemove(
             View view, Collection<NodeId> promised, NodeId keep, Connectivity connectivity, long nowMs) {
         for (NodeId voter : view.voters()) {
@@ -106,7 +108,9 @@
                 .orElse(null);
     }
 
-    /** Nodes that may vote: in touch, not leaving, with memory of what was promised, and heard by most voters. */
+    /**
+     * Returns the nodes that may become voters: connected, not shutting down, not relearning, and heard by most voters.
+     */
     private List<NodeId> findJoiners(View view, Connectivity connectivity) {
         List<NodeId> joiners = new ArrayList<>();
         for (NodeId node : connectivity.liveNodes()) {
--- a/src/main/java/ringspindle/consensus/VoterState.java
+++ b/src/main/java/ringspindle/consensus/VoterState.java
@@ -4,14 +4,14 @@
 import ringspindle.protocol.Message.Vote;
 
 /**
- * What a voter must not forget of the agreement on the next view. {@link Acceptor} owns all transitions.
+ * The durable state of a voter in view consensus. {@link Acceptor} owns all transitions.
  *
- * <p>Invariants: epochs never fall, and within an epoch the promised ballot never falls. A view is accepted under a ballot no
- * higher than the one promised. A voter whose epoch is above that of the view in force is fenced: it takes no entry of that
- * view.
+ * <p>Invariants: the epoch never decreases, and within an epoch the promised ballot never decreases. A view is accepted
+ * under a ballot no higher than the one promised. A voter whose epoch is above that of the current view is fenced: it
+ * accepts no entry of that view.
  */
 sealed interface VoterState {
-    /** The newest epoch that anything was promised for, 0 if none was. */
+    /** The newest epoch with a promise, 0 if there is none. */
     long epoch();
 
     /** The highest ballot promised for that epoch. */
@@ -22,17 +22,17 @@
         return Ballot.NONE;
     }
 
-    /** The view that was accepted, null if none was. */
+    /** The accepted view, or null. */
     default View accepted() {
         return null;
     }
 
-    /** The state after a promise of that ballot: what was accepted for the same epoch stays accepted. */
+    /** Returns the state after a promise of the ballot; a view accepted for the same epoch stays accepted. */
     default VoterState withPromise(ProposalId proposal) {
         return new Promised(proposal.epoch(), proposal.ballot());
     }
 
-    /** Nothing is promised; whatever was, for epochs up to this one, is decided. */
+    /** Nothing is promised: all epochs up to this one are decided. */
     record Unpromised(long epoch) implements VoterState {
         @Override
         public Ballot promised() {
@@ -40,10 +40,10 @@
         }
     }
 
-    /** A ballot is promised, and no view accepted. */
+    /** A ballot is promised and no view accepted. */
     record Promised(long epoch, Ballot promised) implements VoterState {}
 
-    /** A view is accepted; it may be decided. A higher ballot may have been promised since. */
+    /** A view is accepted and may be decided. A higher ballot may have been promised since. */
     record Accepting(long epoch, Ballot promised, Ballot acceptedBallot, View accepted) implements VoterState {
         @Override
         public VoterState withPromise(ProposalId proposal) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** The state that these values, as in {@link Vote}, stand for; 0 and null stand for nothing. */
+    /** Returns the state for the values of a {@link Vote}; 0 and null mean none. */
     static VoterState of(long epoch, long promised, long acceptedBallot, View accepted) {
         if (accepted != null) {
             return new Accepting(epoch, new Ballot(promised), new Ballot(acceptedBallot), accepted);
@@ -61,7 +61,7 @@
         return promised == 0 ? new Unpromised(epoch) : new Promised(epoch, new Ballot(promised));
     }
 
-    /** The record for the disk, with the view in force, null if that is unknown. */
+    /** Returns the durable record, with the current view or null if that is unknown. */
     default Vote toVote(View currentView) {
         return new Vote(epoch(), promised().number(), acceptedBallot().number(), accepted(), currentView);
     }
--- a/src/test/java/ringspindle/consensus/ChainPathTest.java
+++ b/src/test/java/ringspindle/consensus/ChainPathTest.java
@@ -6,25 +6,25 @@
 import org.junit.jupiter.api.Test;
 import ringspindle.protocol.NodeId;
 
-/** Chains over links of which some are broken. */
+/** The longest chain when some links are broken. */
 class ChainPathTest {
     private static final NodeId A = NodeId.of("10.0.0.1:7000");
     private static final NodeId B = NodeId.of("10.0.0.2:7000");
     private static final NodeId C = NodeId.of("10.0.0.3:7000");
 
     @Test
-    void keepsTheOrderWhereAllLinksStand() {
+    void keepsTheGivenOrderWhenAllAreConnected() {
         assertEquals(List.of(A, B, C), ChainPath.longest(A, List.of(B, C), (one, other) -> true));
     }
 
     @Test
-    void goesAroundABrokenLink() {
+    void reordersAroundABrokenLink() {
         List<NodeId> path = ChainPath.longest(A, List.of(B, C), (one, other) -> !(one.equals(A) && other.equals(B)));
         assertEquals(List.of(A, C, B), path);
     }
 
     @Test
-    void leavesOutWhomNobodyReaches() {
+    void omitsAnUnreachableMember() {
         List<NodeId> path = ChainPath.longest(A, List.of(B, C), (one, other) -> !other.equals(B));
         assertEquals(List.of(A, C), path);
     }
--- a/src/test/java/ringspindle/consensus/VoterStateTest.java
+++ b/src/test/java/ringspindle/consensus/VoterStateTest.java
@@ -11,7 +11,7 @@
 import ringspindle.protocol.Message.Vote;
 import ringspindle.protocol.NodeId;
 
-/** What a voter keeps from one promise to the next, and how it stands on disk. */
+/** Transitions of the voter state and its durable record. */
 class VoterStateTest {
     private static final NodeId A = NodeId.of("10.0.0.1:7000");
     private static final View NEXT = new View(2, List.of(A), List.of(A));
@@ -25,25 +25,26 @@
         assertFalse(Ballot.of(1, 0).isHigherThan(Ballot.of(1, 0)));
         assertTrue(Ballot.of(1, 0).isHigherThan(Ballot.NONE));
         assertEquals(7, Ballot.of(7, 8).round());
-        assertEquals(1 << 10 | 1, Ballot.of(1, 0).number(), "the number in messages and on disk stays as it was");
+        assertEquals(
+                1 << 10 | 1, Ballot.of(1, 0).number(), "the encoded number in messages and on disk must not change");
     }
 
     @Test
-    void aHigherPromiseForTheSameEpochKeepsWhatWasAccepted() {
+    void aHigherPromiseForTheSameEpochKeepsTheAcceptedView() {
         VoterState accepted = new VoterState.Accepting(2, LOW, LOW, NEXT);
         VoterState after = accepted.withPromise(new ProposalId(2, HIGH));
         assertEquals(new VoterState.Accepting(2, HIGH, LOW, NEXT), after);
     }
 
     @Test
-    void aPromiseForALaterEpochForgetsWhatWasAcceptedForTheOneBefore() {
+    void aPromiseForALaterEpochDiscardsTheAcceptedView() {
         VoterState accepted = new VoterState.Accepting(2, LOW, LOW, NEXT);
         assertEquals(new VoterState.Promised(3, LOW), accepted.withPromise(new ProposalId(3, LOW)));
         assertNull(accepted.withPromise(new ProposalId(3, LOW)).accepted());
     }
 
     @Test
-    void eachStateComesBackFromItsRecord() {
+    void eachStateRoundTripsThroughItsRecord() {
         List<VoterState> states = List.of(
                 new VoterState.Unpromised(0),
                 new VoterState.Unpromised(4),
@@ -51,9 +52,9 @@
                 new VoterState.Accepting(2, HIGH, LOW, NEXT));
         for (VoterState state : states) {
             Vote vote = state.toVote(NEXT);
-            VoterState found =
+            VoterState restored =
                     VoterState.of(vote.promisedEpoch(), vote.promised(), vote.acceptedBallot(), vote.accepted());
-            assertEquals(state, found);
+            assertEquals(state, restored);
         }
     }
 }
