--- a/src/main/java/ringspindle/replication/CallId.java
+++ b/src/main/java/ringspindle/replication/CallId.java
@@ -3,9 +3,9 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * Which call: the node that took it from a caller, and its number there.
+ * Identifies a call by the node that received it from a client, and its number there.
  *
- * @param origin the node that tells the caller
+ * @param origin the node that answers the client
  * @param number unique among the origin's calls
  */
 record CallId(NodeId origin, long number) {}
--- a/src/main/java/ringspindle/replication/CallPipeline.java
+++ b/src/main/java/ringspindle/replication/CallPipeline.java
@@ -13,11 +13,12 @@
 import ringspindle.replication.OutstandingCalls.OutstandingCall;
 
 /**
- * Orders and readings on their way: held by the node that took them from a caller, passed to the head or tail of the view,
- * decided there, and answered. A node that took a call passes it on again in the next view; a caller gets one answer.
+ * Processes commands and reads. The node that received a call from a client keeps it and forwards it to the head or
+ * tail of the view, where it is decided and answered. That node forwards the call again in the next view; the client
+ * gets one answer.
  */
 final class CallPipeline implements ChainMember.Listener, ViewConfirmations.AnswerHandler {
-    /** How long an order is held before its caller is told that nothing is clear. */
+    /** How long a call is kept before its client gets the answer that the outcome is unclear. */
     private static final long CALL_TIMEOUT_MS = 950;
 
     private static final long CONFIGURATION_CALL_TIMEOUT_MS = 2500;
@@ -32,8 +33,8 @@
     private final ViewConfirmations confirmations;
 
     /**
-     * @param firstConfirmationId from chance, as {@link ViewConfirmations} needs it
-     * @param acceptsCommands false while too few voters could keep what would be acknowledged
+     * @param firstConfirmationId a random number, as {@link ViewConfirmations} requires
+     * @param acceptsCommands false while there are too few voters to preserve what would be acknowledged
      */
     CallPipeline(
             ReplicaContext replica,
@@ -48,14 +49,14 @@
         confirmations = new ViewConfirmations(replica, outputs, member, this, firstConfirmationId);
     }
 
-    // ---- calls come in
+    // ---- incoming calls
 
-    /** A caller's own call. */
+    /** Accepts a call from a client of this node. */
     void submit(Call call) {
         enqueue(replica.self(), call.since(knownVersion(call)));
     }
 
-    /** How new what a caller's order may replace is, as far as this node knows; orders on revisions name theirs. */
+    /** Returns the newest version known here of what the command may replace; commands on revisions name theirs. */
     private long knownVersion(Call call) {
         Mark mark =
                 switch (CallKind.of(call.kind())) {
@@ -66,7 +67,10 @@
         return mark == null ? call.base() : Math.max(call.base(), mark.version());
     }
 
-    /** A call that another node took; whoever passes it on asks the next view's head anew, so it must not wait here for that. */
+    /**
+     * Accepts a call from another node. It must not wait here for a later view, since the sender asks the next view's
+     * head again.
+     */
     void onCall(NodeId from, Call call) {
         if (replica.view() != null && target(call).equals(replica.self())) {
             enqueue(from, call);
@@ -84,16 +88,16 @@
         process();
     }
 
-    /** A new view: others ask anew; what was decided and not answered is decided anew. */
+    /** Starts a new view: other nodes ask again, and what was decided but not answered is decided again. */
     void startView() {
         confirmations.startView();
-        // an answer is final: what was refused here must not be passed on and acted on there
+        // an answer is final: a call that was rejected here must not be forwarded and then take effect elsewhere
         outstanding.removeAnswered();
         outstanding.retainOrigin(replica.self());
         process();
     }
 
-    /** A connection stands anew: what was passed on over an older one may be lost. */
+    /** Called for a new connection to a peer; calls forwarded on an older one may be lost. */
     void onConnectionOpened(NodeId peer) {
         if (replica.view() == null) {
             return;
@@ -106,13 +110,14 @@
         process();
     }
 
-    /** Passes on or decides what has not been in this view. */
+    /** Forwards or decides all calls that have not been processed in this view. */
     void process() {
         if (outstanding.isEmpty() || !replica.participates()) {
             return;
         }
         outstanding.forEach(call -> {
-            // whoever asked before a pause of this node has long asked elsewhere, and may have gone on from there
+            // after a pause of this node, the sender has long asked elsewhere, and its client may have acted on that
+            // answer
             if (!call.dispatchedIn(replica.epoch()) && !timedOut(call)) {
                 dispatch(call);
             }
@@ -159,7 +164,7 @@
                 >= (call.kind().changesConfiguration() ? CONFIGURATION_CALL_TIMEOUT_MS : CALL_TIMEOUT_MS);
     }
 
-    /** Gives up what was held for too long: its caller is told that nothing is clear. */
+    /** Drops calls that timed out; the clients of this node get the answer that the outcome is unclear. */
     void tick() {
         outstanding.removeIf(call -> {
             boolean expired = timedOut(call);
@@ -217,7 +222,7 @@
         }
     }
 
-    /** The answer of the head or tail to a call that was taken here. */
+    /** Processes the reply of the head or tail to a call that this node received. */
     void onReply(Reply reply) {
         boolean known = reply.outcome() >= 0 && reply.outcome() < Outcome.values().length;
         if (known && outstanding.remove(new CallId(replica.self(), reply.id()))) {
--- a/src/main/java/ringspindle/replication/ChainMember.java
+++ b/src/main/java/ringspindle/replication/ChainMember.java
@@ -14,29 +14,29 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * This node as a member of the chain, with its copy of the control state: a snapshot and entries come from the predecessor,
- * are synced here, and only then go on to the successor; what the tail has synced is committed, and the word of it goes back
- * up the chain.
+ * The node's role in the replication chain, with its copy of the control state. A snapshot and entries arrive from the
+ * predecessor, are synced here, and only then are forwarded to the successor. What the tail has synced is committed,
+ * and the acknowledgement travels back up the chain.
  *
- * <p>Invariants: the committed state is never newer than what is synced here; a copy of an older view is neither passed on nor
- * committed; while this node is fenced it takes no entry and commits nothing by itself.
+ * <p>Invariants: the committed state is never newer than what is synced here; state of an older view is neither
+ * forwarded nor committed; while this node is fenced it accepts no entries and commits nothing by itself.
  */
 final class ChainMember {
     private static final long NO_SEQ = -1;
 
-    /** Hears of what is committed. */
+    /** Receives commit notifications. */
     interface Listener {
-        /** An order of that caller is on the disks of the whole chain. */
+        /** The command of that call is synced on every chain member. */
         void acknowledged(CallId call);
 
-        /** All up to that sequence number is committed. */
+        /** Everything up to the sequence number is committed. */
         void committed(long seq);
     }
 
     /**
-     * An entry that is not committed yet, and the state after it.
+     * An entry that is not committed yet, with the state after it.
      *
-     * @param call what it is the answer to, null where another node decided the order
+     * @param call the call that the entry answers, null where another node decided the command
      */
     private record Uncommitted(State state, byte[] op, CallId call) {
         long seq() {
@@ -62,14 +62,14 @@
         this.listener = listener;
     }
 
-    // ---- what it holds
+    // ---- the state held here
 
-    /** The newest state here, committed or not. */
+    /** The newest state, committed or not. */
     State latest() {
         return latest;
     }
 
-    /** The committed state, null while unknown. */
+    /** The committed state, or null while unknown. */
     State committed() {
         return committed;
     }
@@ -78,17 +78,17 @@
         return new Position(latest.lineage(), latest.seq());
     }
 
-    /** True while this node takes part in the chain of the view in force, with a copy that belongs to it. */
+    /** Whether this node replicates in the chain of the current view, with state that belongs to it. */
     boolean active() {
         return replica.participates() && !consensus.fenced() && belongsToCurrentView() && replica.inChain();
     }
 
-    /** True while, besides, it is known here what is committed in this view. */
+    /** Whether this node is active and knows the committed state of this view. */
     boolean hasCommittedInView() {
         return active() && committedInThisView();
     }
 
-    /** True if the copy held here belongs to the view in force. */
+    /** Whether the state held here belongs to the current view. */
     boolean belongsToCurrentView() {
         return latest.lineage() == replica.epoch();
     }
@@ -101,28 +101,28 @@
         return committed == null ? NO_SEQ : committed.seq();
     }
 
-    /** True while entries have waited for longer than that, in milliseconds, to be committed. */
+    /** Whether entries have been waiting for commit for longer than the given time in milliseconds. */
     boolean stalledFor(long ms) {
         return latest.seq() > committedSeq() && replica.nowMs() - uncommittedSinceMs > ms;
     }
 
-    // ---- a start, a lost disk, a new view
+    // ---- startup, disk loss, view changes
 
-    /** Takes over a state found on disk. */
+    /** Restores a state read from disk. */
     void restore(State state) {
         latest = state;
         uncommitted.clear();
         syncProgress.restore(state);
     }
 
-    /** Applies an entry found on disk behind that state; others are left alone. */
+    /** Applies an entry read from disk if it directly follows the state; ignores any other. */
     void restore(Entry entry) {
         if (entry.epoch() == latest.lineage() && entry.seq() == latest.seq() + 1) {
             restore(ControlState.apply(latest, (Op) Codec.decode(entry.op())));
         }
     }
 
-    /** Writes what was found or founded before anything else is said; the head of a view goes on from it. */
+    /** Persists the restored or initial state before any message is sent; the head continues from it. */
     void persistInitialState() {
         uncommittedSinceMs = replica.nowMs();
         State first = latest;
@@ -134,13 +134,15 @@
         });
     }
 
-    /** Starts anew with nothing, and with a vote that was relearned. */
+    /** Restarts with an empty state and a relearned vote. */
     void resetAfterRelearning() {
         restore(ControlState.empty());
         writeSnapshot(latest, () -> {});
     }
 
-    /** A new view is in force. Its head turns the copy it holds into the first of the view; others wait for a snapshot. */
+    /**
+     * Starts a new view. Its head turns its state into the first one of the view; other members wait for a snapshot.
+     */
     void startView() {
         syncProgress.restart();
         successor.startView();
@@ -159,9 +161,9 @@
         outputs.replaceAll(List.of(consensus.vote(), state), whenSynced);
     }
 
-    // ---- down the chain
+    // ---- replication down the chain
 
-    /** The head appends an order; the listener hears when it is committed. */
+    /** Appends a command at the head; the listener is notified once it is committed. */
     void append(Op op, CallId call) {
         append(Codec.encode(op), call);
     }
@@ -176,7 +178,7 @@
         outputs.append(List.of(new Entry(replica.epoch(), state.seq(), op)), () -> onSyncedLocally(state));
     }
 
-    /** A state of some view is on this disk. */
+    /** Called when a state, possibly of an older view, is synced to this disk. */
     private void onSyncedLocally(State state) {
         if (replica.view() == null || state.lineage() != replica.epoch()) {
             return;
@@ -185,7 +187,7 @@
         forward();
     }
 
-    /** Commits at the tail, else passes on what is synced. */
+    /** Commits what is synced if this node is the tail, and forwards it otherwise. */
     private void forward() {
         if (consensus.fenced()) {
             return;
@@ -197,7 +199,7 @@
         }
     }
 
-    /** The connection to a peer stands anew: what went over an older one may be lost. */
+    /** Called for a new connection to a peer; messages sent on an older one may be lost. */
     void onConnectionOpened(NodeId peer) {
         if (replica.view() != null && peer.equals(replica.successor())) {
             successor.onReconnected();
@@ -205,7 +207,7 @@
         }
     }
 
-    /** Sends again what the successor does not confirm. */
+    /** Resends what the successor has not acknowledged. */
     void tick() {
         NodeId next = active() ? replica.successor() : null;
         if (next == null || !replica.connectedTo(next)) {
@@ -233,7 +235,7 @@
         }
     }
 
-    /** A snapshot as of what is synced here; false while nothing of this view is. */
+    /** Sends a snapshot of what is synced here; returns false while nothing of this view is. */
     private boolean sendSnapshot(NodeId next) {
         State synced = syncProgress.newest();
         if (synced.lineage() != replica.epoch()) {
@@ -274,9 +276,9 @@
         }
     }
 
-    // ---- up the chain
+    // ---- acknowledgements up the chain
 
-    /** Says again what is committed, to a predecessor that seems not to have heard it. */
+    /** Repeats the acknowledgement to a predecessor that seems to have missed it. */
     private void resendSynced() {
         if (committedInThisView() && replica.predecessor() != null) {
             outputs.send(replica.predecessor(), new Synced(replica.epoch(), committed.seq()));
@@ -307,7 +309,7 @@
             newest = latest;
         } else if (syncProgress.hasStateAtOrBefore(replica.epoch(), seq)
                 && (newest == null || newest.seq() < syncProgress.newest().seq())) {
-            // a snapshot that is on disk, while a newer one that replaced it is not yet
+            // an older snapshot is on disk, and the newer one that replaced it is not synced yet
             newest = syncProgress.newest();
         }
         if (newest != null && newerThanCommitted(newest)) {
--- a/src/main/java/ringspindle/replication/ChainReplicatedState.java
+++ b/src/main/java/ringspindle/replication/ChainReplicatedState.java
@@ -20,11 +20,11 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * Chain replication under agreed views. The head of a new view is the promiser with the newest state, so that nothing
- * acknowledged is lost. This class hands each input to the part whose job it is.
+ * Chain replication under views decided by consensus. The head of a new view is the promising voter with the newest
+ * state, so that nothing acknowledged is lost. This class dispatches each input to the component responsible.
  */
 final class ChainReplicatedState implements ReplicatedState {
-    /** A node that has promised another view may answer for the old one no longer than this. */
+    /** How long a node that promised another view may still answer for the old one. */
     private static final long MAX_FENCED_MS = 1500;
 
     private final ViewConsensus consensus;
@@ -63,13 +63,13 @@
         }
     }
 
-    /** The first start of a system: its seeds are the first voters. */
+    /** Bootstraps a new system with its seeds as the first voters. */
     private void bootstrap(List<NodeId> seeds) {
         consensus.bootstrap(seeds);
         member.restore(ControlState.initial());
     }
 
-    // ---- what others see
+    // ---- queries
 
     @Override
     public View view() {
@@ -87,7 +87,8 @@
             return false;
         }
         if (!replica.votes()) {
-            // beyond the bound a node learns: it passes calls on, and hears what is committed as facts
+            // a node beyond the maximum number of voters is a learner: it forwards calls and receives the committed
+            // state as facts
             return consensus.hasMaxVoters() && replica.participates();
         }
         return committed() != null
@@ -111,7 +112,7 @@
         return List.of(consensus.vote(), member.latest());
     }
 
-    /** Where it stands, for tests and logs. */
+    /** A description of the internal state, for tests and logs. */
     String describe() {
         View view = replica.view();
         return "view " + (view == null ? null : view.epoch() + " " + view.chain()) + " " + consensus + " " + member
@@ -174,7 +175,7 @@
         return outputs.drain();
     }
 
-    /** The first view and state go to disk before anything else is said or written. */
+    /** Persists the first view and state before anything else is sent or written. */
     private void persistInitialState() {
         if (initialStatePersisted || !replica.participates()) {
             return;
@@ -203,7 +204,7 @@
         }
     }
 
-    /** Passes on what the chain commits to the orders that wait for it. */
+    /** Notifies pending calls of what the chain commits. */
     private final class CommitListener implements ChainMember.Listener {
         @Override
         public void acknowledged(CallId call) {
@@ -216,7 +217,7 @@
         }
     }
 
-    /** What the agreement on views sees and tells of the copy held here. */
+    /** Gives view consensus access to the state held here. */
     private final class LocalStateAdapter implements LocalState {
         @Override
         public Position position() {
--- a/src/main/java/ringspindle/replication/CommandDecider.java
+++ b/src/main/java/ringspindle/replication/CommandDecider.java
@@ -5,11 +5,11 @@
 import ringspindle.protocol.Message.Mark;
 import ringspindle.protocol.Message.State;
 
-/** Decides orders at the head of the chain: a function of the state and the order. */
+/** Decides commands at the head of the chain, as a function of the state and the command. */
 final class CommandDecider {
     private final ConfigurationCommands configurations = new ConfigurationCommands();
 
-    /** What the order comes to on that state; readings are not decided here. */
+    /** Returns the decision on the command for the state; reads are not decided here. */
     Decision decide(State state, Call command) {
         return switch (CallKind.of(command.kind())) {
             case PUT -> configurations.put(state, command);
@@ -28,7 +28,7 @@
         };
     }
 
-    /** Written also if it is so already: the newer mark fences an opposite order that is still on its way. */
+    /** Commits a mark even if nothing changes: the newer mark fences an opposite command that is still in transit. */
     private static Decision decideEvacuation(State state, Call command, boolean evacuate) {
         Mark mark = ControlState.findMark(state, MarkKind.EVACUATED, command.arg());
         boolean evacuated = mark != null && mark.value().equals(ControlState.ON);
@@ -44,7 +44,9 @@
         return unchanged ? Decision.answer(Outcome.TAKEN) : Decision.commit(command, command.body());
     }
 
-    /** True if what the order would replace is newer than what was known when it was taken: it was held up on its way. */
+    /**
+     * Whether the mark to replace is newer than what was known when the command was received, so that it was delayed.
+     */
     static boolean isStale(Call command, Mark replaced) {
         return replaced != null && replaced.version() > command.base();
     }
--- a/src/main/java/ringspindle/replication/CommandHistory.java
+++ b/src/main/java/ringspindle/replication/CommandHistory.java
@@ -8,20 +8,21 @@
 import ringspindle.protocol.Message.TakenOrder;
 
 /**
- * Orders on configurations and serving rules that the control state remembers, so that one that is sent again is known.
- * {@link State#past} holds them, oldest first.
+ * Recent commands on configurations and serving rules, kept in the control state to detect duplicates. {@link
+ * State#past} holds them, oldest first.
  */
 final class CommandHistory {
-    /** So many orders are known again when they are sent again. */
+    /** How many commands are kept for duplicate detection. */
     static final int MAX_COMMANDS = 1024;
-    /** In place of a revision: the order was on serving rules. */
+    /** In place of a revision for commands on serving rules. */
     static final long NO_REVISION = -1;
 
     private CommandHistory() {}
 
     /**
-     * An order's identity: 64 bits of SHA-256 over kind, base and body as sent. Two of the {@link #MAX_COMMANDS} kept and a new one meet
-     * by chance less than once in 10^16 orders; callers are trusted not to look for a collision.
+     * Returns the identity of a command: 64 bits of SHA-256 over kind, base and body as sent. A new command collides by
+     * chance with one of the {@link #MAX_COMMANDS} kept less than once in 10^16 commands; clients are trusted not to
+     * search for collisions.
      */
     static long digest(Call command) {
         return Hashing.sha256()
@@ -33,7 +34,7 @@
                 .asLong();
     }
 
-    /** True if an order of that digest was taken and is remembered. */
+    /** Whether a command of that digest was accepted and is still kept. */
     static boolean contains(State state, long digest) {
         for (TakenOrder command : state.past()) {
             if (command.digest() == digest) {
@@ -43,7 +44,7 @@
         return false;
     }
 
-    /** True if an order on that base may have been taken so long ago that it was forgotten. */
+    /** Whether a command on that base may have been accepted so long ago that it is no longer kept. */
     static boolean mayHaveDropped(State state, long base) {
         return state.past().size() >= MAX_COMMANDS && base < oldestRevision(state);
     }
@@ -57,7 +58,7 @@
         return state.revision();
     }
 
-    /** What is remembered after one more order. */
+    /** Returns the history with one more command. */
     static List<TakenOrder> append(List<TakenOrder> past, long revision, long digest) {
         List<TakenOrder> commands = new ArrayList<>(past);
         commands.add(new TakenOrder(revision, digest));
--- a/src/main/java/ringspindle/replication/ConfigurationCommands.java
+++ b/src/main/java/ringspindle/replication/ConfigurationCommands.java
@@ -15,9 +15,12 @@
 import ringspindle.routing.ServingRules;
 import ringspindle.routing.ServingRulesValidator;
 
-/** Orders on the configuration and on serving rules: documents with a revision, each made for the revision it replaces. */
+/**
+ * Commands on the configuration and on serving rules. Both are documents with a revision, and each command names the
+ * revision that it replaces.
+ */
 final class ConfigurationCommands {
-    /** The configuration parsed last, kept as long as its revision is in force. */
+    /** The configuration parsed last, valid while its revision is current. */
     private FleetConfig cachedConfiguration;
 
     Decision put(State state, Call command) {
@@ -57,13 +60,16 @@
         return Decision.commit(command, next.revision(), digest, next.packed());
     }
 
-    /** A stale base is refused only while it is certain that the order was not taken long ago and then forgotten. */
+    /**
+     * Rejects a stale base, but only if it is certain that the command was not accepted earlier and dropped from the
+     * history.
+     */
     private static Decision rejectStaleBase(State state, Call command) {
         return Decision.answer(
                 CommandHistory.mayHaveDropped(state, command.base()) ? Outcome.UNCLEAR : Outcome.OTHER_VERSION);
     }
 
-    /** Serving rules on top of the revision they were made for; checked against the configuration in force. */
+    /** Decides new serving rules on top of a revision; they are validated against the current configuration. */
     Decision rules(State state, Call command) {
         Validated<ServingRules> checked = ServingRules.read(command.body());
         if (checked instanceof Validated.Invalid<ServingRules> invalid) {
@@ -89,7 +95,7 @@
                 : Decision.invalid(errors);
     }
 
-    /** Null if there are none. */
+    /** Returns the current serving rules, or null. */
     private static ServingRules currentRules(State state) {
         Mark mark = ControlState.findMark(state, MarkKind.RULES, ControlState.RULES_KEY);
         return mark == null ? null : validValue(ServingRules.read(mark.value().getBytes(UTF_8)));
@@ -102,7 +108,7 @@
         return cachedConfiguration;
     }
 
-    /** What is known to be valid: checked just before, or when it was taken into the state. */
+    /** Unwraps a result known to be valid: validated just before, or when it entered the state. */
     private static <T> T validValue(Validated<T> checked) {
         return ((Validated.Valid<T>) checked).value();
     }
--- a/src/main/java/ringspindle/replication/ControlState.java
+++ b/src/main/java/ringspindle/replication/ControlState.java
@@ -10,7 +10,10 @@
 import ringspindle.protocol.Message.State;
 import ringspindle.protocol.Message.TakenOrder;
 
-/** What the control state holds, and how a committed operation changes it. Pure: the same on every member. */
+/**
+ * The content of the control state, and the state transition of each committed operation. Pure: the same on every
+ * member.
+ */
 final class ControlState {
     /** Values of a {@link MarkKind#EVACUATED} mark. */
     static final String ON = "on";
@@ -20,34 +23,34 @@
     static final String DRAINING = "draining";
 
     static final String GONE = "gone";
-    /** Key of the mark that holds the serving rules. */
+    /** The key of the mark that holds the serving rules. */
     static final String RULES_KEY = "";
 
-    /** So many engines that leave are remembered. */
+    /** The maximum number of marks of leaving engines. */
     private static final int MAX_LEAVING_ENGINES = 400;
 
     private static final byte[] NO_CONFIGURATION = {};
 
     private ControlState() {}
 
-    /** What a node holds that has nothing. */
+    /** The state of a node that holds nothing. */
     static State empty() {
         return new State(Position.NONE.lineage(), Position.NONE.seq(), 0, List.of(), List.of(), NO_CONFIGURATION);
     }
 
-    /** What the first view of a system begins with. */
+    /** The state at the start of a system's first view. */
     static State initial() {
         return new State(1, 0, 0, List.of(), List.of(), NO_CONFIGURATION);
     }
 
-    /** The same content, as a state of that view. */
+    /** Returns the same content as a state of the view. */
     static State inView(State state, long epoch) {
         return state.lineage() == epoch
                 ? state
                 : new State(epoch, state.seq(), state.revision(), state.past(), state.marks(), state.config());
     }
 
-    /** The mark of that kind and key, null if there is none. */
+    /** Returns the mark with the kind and key, or null. */
     static Mark findMark(State state, MarkKind kind, String key) {
         for (Mark mark : state.marks()) {
             if (kind.matches(mark) && mark.key().equals(key)) {
@@ -57,7 +60,7 @@
         return null;
     }
 
-    /** The state after an operation. One of a kind that this program does not know counts, and changes nothing else. */
+    /** Returns the state after an operation. An operation of an unknown kind only advances the sequence number. */
     static State apply(State state, Op op) {
         return switch (CallKind.of(op.kind())) {
             case PUT, PATCH -> applyConfiguration(state, op);
@@ -96,7 +99,7 @@
         return advance(state, state.past(), replaceMark(state.marks(), mark));
     }
 
-    /** The marks with one set; where too many engines leave, the oldest of these marks are dropped. */
+    /** Returns the marks with one set; if too many engines are leaving, their oldest marks are dropped. */
     private static List<Mark> replaceMark(List<Mark> marks, Mark set) {
         List<Mark> kept = new ArrayList<>(marks.size() + 1);
         int leaving = 0;
--- a/src/main/java/ringspindle/replication/Decision.java
+++ b/src/main/java/ringspindle/replication/Decision.java
@@ -9,20 +9,20 @@
 import ringspindle.protocol.Message.Call;
 import ringspindle.protocol.Message.Op;
 
-/** What an order comes to on the state that it was decided on. */
+/** The decision on a command for a given state. */
 sealed interface Decision {
-    /** It changes the state: the operation has to be committed before it is acknowledged. */
+    /** The command changes the state: the operation must be committed before it is acknowledged. */
     record Commit(Op op) implements Decision {}
 
-    /** It changes nothing: it is refused, or already so. */
+    /** The command changes nothing: it is rejected, or already in effect. */
     record Answer(Outcome outcome, byte[] body) implements Decision {}
 
-    /** An order that changes the state, known by no digest. */
+    /** Returns a commit of a command without a digest. */
     static Decision commit(Call command, byte[] body) {
         return commit(command, 0, 0, body);
     }
 
-    /** An order that brings the state to a revision; {@code digest} tells it from others when it is sent again. */
+    /** Returns a commit that leads to a revision; {@code digest} identifies the command if it is sent again. */
     static Decision commit(Call command, long revision, long digest, byte[] body) {
         return new Commit(new Op(command.kind(), command.base(), revision, digest, command.arg(), body));
     }
--- a/src/main/java/ringspindle/replication/ExperimentCommands.java
+++ b/src/main/java/ringspindle/replication/ExperimentCommands.java
@@ -20,14 +20,14 @@
 import ringspindle.protocol.Message.Mark;
 import ringspindle.protocol.Message.State;
 
-/** One order on an experiment, and what it makes of the control state: an operator's, or one of the judge in charge. */
+/** Decides one command on an experiment, from an operator or from the current judge. */
 final class ExperimentCommands {
     private static final double MIN_RAMP = 0.001;
 
     private final State state;
     private final Call command;
     private final JsonObject fields;
-    /** The experiment of that name as it stands, null if there is none. */
+    /** The experiment of that name, or null. */
     private final Experiment current;
 
     private ExperimentCommands(State state, Call command, JsonObject fields, Experiment current) {
@@ -37,7 +37,7 @@
         this.current = current;
     }
 
-    /** What the order, a JSON object about the experiment that the call names, comes to on that state. */
+    /** Returns the decision on the command, a JSON object about the experiment that the call names. */
     static Decision decide(State state, Call command) {
         return JsonCommand.decide(state, command, MarkKind.EXPERIMENT, (fields, mark) -> {
             Experiment current = mark == null ? null : Experiment.read(mark.value());
@@ -64,7 +64,7 @@
         };
     }
 
-    // ---- operators' orders
+    // ---- operators' commands
 
     private Decision start() {
         Validated<ExperimentDocument.Started> read = ExperimentDocument.read(
@@ -97,7 +97,10 @@
                 : commit(Experiment.start(plan, started.ramp(), state.seq() + 1));
     }
 
-    /** A route takes part in one open experiment at most, and follows one promoted policy; a salt is used once. */
+    /**
+     * Finds a conflict: a route takes part in at most one open experiment and follows at most one promoted policy, and
+     * a salt is used once.
+     */
     private Optional<String> findConflict(Plan plan) {
         for (Mark mark : state.marks()) {
             if (!MarkKind.EXPERIMENT.matches(mark)) {
@@ -139,7 +142,9 @@
         return current.state() == from ? commit(current.with(to, "", "")) : Decision.answer(Outcome.CLASH);
     }
 
-    /** Written also if it is over: the newer mark fences a start that is still on its way. */
+    /**
+     * Ends the experiment. Commits a mark even if it has already ended: the newer mark fences a start still in transit.
+     */
     private Decision finish(Standing finalState, String survivor) {
         if (!survivor.isEmpty() && current.side(survivor).isEmpty()) {
             return unknownSide(survivor);
@@ -159,7 +164,7 @@
         return Decision.invalid(List.of(new ConfigError.UnknownName("side", name)));
     }
 
-    // ---- orders of the judge in charge; whoever holds an older epoch is refused
+    // ---- commands of the current judge; one with an older epoch is rejected
 
     private Decision decideJudgeCommand(String name) {
         boolean fromCurrentJudge = fields.getJsonNumber(JsonCommand.EPOCH).longValue() == state.lineage()
@@ -178,7 +183,7 @@
         };
     }
 
-    /** Each look has a number of its own, so that its part of the error rate is spent once, whoever looks. */
+    /** Numbers each look, so that its share of the error rate is spent once, whichever node looks. */
     private Decision recordLook() {
         int number = fields.getInt("look");
         return number == current.progress().looks() + 1
--- a/src/main/java/ringspindle/replication/JsonCommand.java
+++ b/src/main/java/ringspindle/replication/JsonCommand.java
@@ -8,25 +8,28 @@
 import ringspindle.protocol.Message.Mark;
 import ringspindle.protocol.Message.State;
 
-/** An order whose body is a JSON object about a mark that the call names, from an operator or from whoever is in charge. */
+/**
+ * A command whose body is a JSON object about the mark that the call names, from an operator or from the controller in
+ * charge.
+ */
 final class JsonCommand {
-    /** What makes an order one of whoever is in charge: the epoch of the view that put it there. */
+    /** The epoch of the view that put a controller in charge; only controllers' commands have this field. */
     static final String EPOCH = "epoch";
 
-    /** Decides an order on one kind of mark. */
+    /** Decides a command on one kind of mark. */
     @FunctionalInterface
     interface Rule {
         /**
-         * What the order comes to.
+         * Returns the decision on the command.
          *
-         * @param mark the mark as it stands, null if there is none
+         * @param mark the current mark, or null
          */
         Decision decide(JsonObject fields, Mark mark);
     }
 
     private JsonCommand() {}
 
-    /** What the order comes to on that state: refused if its body or a field of it cannot be read. */
+    /** Returns the decision on the command; a body or field that cannot be read is rejected. */
     static Decision decide(State state, Call command, MarkKind kind, Rule rule) {
         if (!(FleetConfig.json(command.body()) instanceof Validated.Valid<JsonObject> valid)) {
             return Decision.invalid("not a whole JSON object");
@@ -35,7 +38,7 @@
         JsonObject fields = valid.value();
         try {
             Decision decision = rule.decide(fields, mark);
-            // an operator's order that was held up must not undo a newer one; whoever is in charge names its epoch
+            // a delayed operator's command must not undo a newer one; commands of a controller name their epoch
             boolean fromOperator = !fields.containsKey(EPOCH);
             return fromOperator && decision instanceof Decision.Commit && CommandDecider.isStale(command, mark)
                     ? Decision.answer(Outcome.UNCLEAR)
--- a/src/main/java/ringspindle/replication/MeteredWindow.java
+++ b/src/main/java/ringspindle/replication/MeteredWindow.java
@@ -15,12 +15,13 @@
 import ringspindle.protocol.Message.State;
 
 /**
- * What is reported of a window of usage: decided once, by a majority, before it is first sent anywhere.
+ * The reported usage of a window. It is decided once, by a majority, before it is first sent anywhere.
  *
+ * @param window the number of the window
  * @param counts requests by tenant
  */
 public record MeteredWindow(long window, Map<String, Long> counts) {
-    /** The key of the mark that holds the last one. */
+    /** The key of the mark that holds the last decided window. */
     public static final String KEY = "";
 
     private static final JsonProvider JSON = JsonProvider.provider();
@@ -28,12 +29,12 @@
     private static final String REPORTED_WINDOW = "windowNumber";
     private static final String COUNTS = "counts";
 
-    /** As JSON; {@code MeteredWindow.read(window.write()).equals(window)}. */
+    /** Returns the JSON form; {@code MeteredWindow.read(window.write()).equals(window)}. */
     public String write() {
         return fields(WINDOW).build().toString();
     }
 
-    /** As the platform wants it. */
+    /** Returns the JSON form of the report to the platform. */
     public String report() {
         return fields(REPORTED_WINDOW).build().toString();
     }
@@ -59,15 +60,15 @@
     }
 
     /**
-     * The body of the order to decide on it.
+     * Returns the body of the command that decides this window.
      *
-     * @param epoch of the view whose head gives the order
+     * @param epoch the epoch of the view whose head sends the command
      */
     public byte[] command(long epoch) {
         return fields(WINDOW).add(JsonCommand.EPOCH, epoch).build().toString().getBytes(UTF_8);
     }
 
-    /** Windows are decided in order, each once, by the head of the view alone. */
+    /** Decides a window. Windows are decided in order, each once, and only by the head of the view. */
     static Decision decide(State state, Call command) {
         return JsonCommand.decide(state, command, MarkKind.METERING, (fields, mark) -> {
             MeteredWindow next = read(fields);
--- a/src/main/java/ringspindle/replication/OutputQueue.java
+++ b/src/main/java/ringspindle/replication/OutputQueue.java
@@ -9,7 +9,7 @@
 import ringspindle.protocol.Message;
 import ringspindle.protocol.NodeId;
 
-/** What the input at hand leads to: messages, writes, answers; and what goes on once a write is synced. */
+/** The outputs of the current input (messages, writes, answers), and the actions to run once a write is synced. */
 final class OutputQueue implements Effects {
     private final NodeId self;
     private final Long2ObjectMap<Runnable> afterSync = new Long2ObjectOpenHashMap<>();
@@ -35,7 +35,7 @@
         store(records, false, whenSynced);
     }
 
-    /** Writes and syncs the records in place of all that was written before. */
+    /** Writes and syncs the records in place of everything written before. */
     void replaceAll(List<Message> records, Runnable whenSynced) {
         store(records, true, whenSynced);
     }
@@ -46,7 +46,7 @@
         outputs.add(new ReplicatedState.Output.Store(token, records, snapshot));
     }
 
-    /** The records of that token are synced; a token that is not known is let pass. */
+    /** Called when the records of the token are synced; unknown tokens are ignored. */
     void synced(long token) {
         Runnable whenSynced = afterSync.remove(token);
         if (whenSynced != null) {
@@ -63,12 +63,12 @@
         outputs.add(output);
     }
 
-    /** The next message of this node to itself, null if there is none. */
+    /** The next message of this node to itself, or null. */
     Message pollSelf() {
         return toSelf.poll();
     }
 
-    /** What has come together since the last call. */
+    /** Returns the outputs since the last call. */
     List<ReplicatedState.Output> drain() {
         List<ReplicatedState.Output> taken = outputs;
         outputs = new ArrayList<>();
--- a/src/main/java/ringspindle/replication/OutstandingCalls.java
+++ b/src/main/java/ringspindle/replication/OutstandingCalls.java
@@ -9,16 +9,19 @@
 import ringspindle.protocol.Message.Call;
 import ringspindle.protocol.NodeId;
 
-/** Calls that are not answered yet, in the order of the nodes that took them and of their numbers there. */
+/** Calls that are not answered yet, sorted by the node that received them and their number there. */
 final class OutstandingCalls {
-    /** How far a call is in the view in force. */
+    /** The progress of a call in the current view. */
     private sealed interface Progress {
         Progress WAITING = new Waiting();
 
-        /** Neither passed on nor decided. */
+        /** Neither forwarded nor decided. */
         record Waiting() implements Progress {}
 
-        /** Passed on to the head or tail of that epoch's view, or decided here as such; in another view it waits again. */
+        /**
+         * Forwarded to the head or tail of that epoch's view, or decided here in that role; in another view the call
+         * waits again.
+         */
         record Dispatched(long epoch) implements Progress {}
     }
 
@@ -59,17 +62,17 @@
             progress = new Progress.Dispatched(epoch);
         }
 
-        /** What was passed on may be lost. */
+        /** Makes the call wait again, since the forwarded message may be lost. */
         void markWaiting() {
             progress = Progress.WAITING;
         }
     }
 
     private final Map<NodeId, Map<Long, OutstandingCall>> byOrigin = new TreeMap<>();
-    /** Answered, and to be forgotten once no walk over the calls is under way. */
+    /** Answered calls, removed once no iteration over the calls is in progress. */
     private final List<CallId> answered = new ArrayList<>();
 
-    /** Holds a call; one of the same origin and number is replaced. */
+    /** Adds a call; it replaces one of the same origin and number. */
     void add(NodeId origin, Call call, long nowMs) {
         CallId id = new CallId(origin, call.id());
         byOrigin.computeIfAbsent(origin, key -> new TreeMap<>()).put(call.id(), new OutstandingCall(id, call, nowMs));
@@ -83,7 +86,7 @@
         return byOrigin.values().stream().mapToInt(Map::size).sum();
     }
 
-    /** Calls that the node took itself from callers. */
+    /** The calls that the node received from clients. */
     Iterable<OutstandingCall> from(NodeId origin) {
         return byOrigin.getOrDefault(origin, Map.of()).values();
     }
@@ -100,7 +103,7 @@
         byOrigin.keySet().removeIf(other -> !other.equals(origin));
     }
 
-    /** Forgets a call at once; false if it is not held. */
+    /** Removes a call immediately; returns false if there is no such call. */
     boolean remove(CallId id) {
         Map<Long, OutstandingCall> calls = byOrigin.get(id.origin());
         return calls != null && calls.remove(id.number()) != null;
@@ -111,12 +114,12 @@
         return calls != null && calls.containsKey(id.number());
     }
 
-    /** The call is answered; it is forgotten by the next {@link #removeAnswered}. */
+    /** Marks a call as answered; the next {@link #removeAnswered} removes it. */
     void markAnswered(CallId id) {
         answered.add(id);
     }
 
-    /** The same, if the call is still held here. */
+    /** Marks a call as answered if it is still outstanding here. */
     void markAnsweredIfOutstanding(CallId id) {
         if (contains(id)) {
             markAnswered(id);
--- a/src/main/java/ringspindle/replication/ReplicatedState.java
+++ b/src/main/java/ringspindle/replication/ReplicatedState.java
@@ -10,12 +10,13 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * The replicated control state of one node: a state machine without clock, socket, disk or chance. Its owner tells it what
- * happens, one input at a time, and carries out the outputs in their order. Times are milliseconds of the node's steady clock.
+ * The replicated control state of one node: a deterministic state machine without clock, socket, disk or randomness of
+ * its own. Its owner passes it one input at a time and carries out the outputs in order. Times are milliseconds of the
+ * node's monotonic clock.
  */
 public interface ReplicatedState {
 
-    /** What the owner is to do. */
+    /** An output for the owner to carry out. */
     sealed interface Output {
         /** Send the message to the node. */
         record Send(NodeId to, Message message) implements Output {}
@@ -23,67 +24,69 @@
         /**
          * Write and sync the records in order, then call {@link ReplicatedState#recordsSynced}.
          *
-         * @param snapshot true if the records take the place of all that was written before
+         * @param token identifies the write
+         * @param snapshot true if the records replace everything written before
          */
         record Store(long token, List<Message> records, boolean snapshot) implements Output {}
 
-        /** The answer to a call that came in at this node. */
+        /** The answer to a call received by this node. */
         record Answer(long call, Outcome outcome, byte[] body) implements Output {}
 
-        /** The committed state moved. */
+        /** The committed state changed. */
         record Committed(State state) implements Output {}
 
-        /** The node works under this view from now on. */
+        /** A view took effect on this node. */
         record ViewChanged(View view) implements Output {}
     }
 
     // ---- inputs
 
-    /** A message came. */
+    /** Processes a message. */
     List<Output> receive(NodeId from, Message message, long nowMs);
 
-    /** A new connection to that node stands; what was sent on an older one may be lost. */
+    /** Called for a new connection to the peer; what was sent on an older one may be lost. */
     List<Output> connectionOpened(NodeId peer, long nowMs);
 
-    /** Time went on. */
+    /** Processes a tick. */
     List<Output> tick(long nowMs, Connectivity connectivity);
 
-    /** A call came in at this node; the answer comes as {@link Output.Answer} with its id. */
+    /** Submits a call received by this node; the answer follows as {@link Output.Answer} with its id. */
     List<Output> call(Call call, long nowMs);
 
-    /** The records of that token are synced. */
+    /** Called when the records of the token are synced. */
     List<Output> recordsSynced(long token, long nowMs);
 
-    // ---- what it holds
+    // ---- queries
 
-    /** The newest view, null if unknown. */
+    /** The newest known view, or null. */
     View view();
 
-    /** The committed state, null while unknown. */
+    /** The committed state, or null while unknown. */
     State committed();
 
-    /** True while this node hears of all that is committed. */
+    /** Whether this node learns of everything committed. */
     boolean upToDate(long nowMs);
 
-    /** True while a first start waits for more voters before it takes an order; {@code status} shows it. */
+    /** Whether a system that starts is waiting for more voters before it accepts commands; {@code status} shows it. */
     boolean awaitingVoters(long nowMs);
 
-    /** True while this node has not relearned what was promised; it can neither vote nor hold state. */
+    /** Whether this node is still relearning its promises; it can neither vote nor hold state. */
     boolean relearning();
 
-    /** All that must not be forgotten, for a snapshot on disk. */
+    /** The durable state, as records for a snapshot on disk. */
     List<Message> durableRecords();
 
     /**
-     * {@code ReplicatedState.create(self, seeds, true, disk.load(), 7, 5)}: the first start of a system that must bear the loss
-     * of two disks at once, so that five have to vote before anything is acknowledged.
+     * Creates the state machine of a node. {@code ReplicatedState.create(self, seeds, true, disk.load(), 7, 5)} is the
+     * first start of a system that must tolerate the loss of two disks at once, so that five nodes have to vote before
+     * anything is acknowledged.
      *
      * @param self this node
-     * @param seeds nodes that are known from the settings
-     * @param bootstrap true for the first start of a system; does not count if records were found
+     * @param seeds nodes known from the settings
+     * @param bootstrap true for the first start of a system; ignored if records were found
      * @param records the records found on disk, in the order in which they were written
-     * @param randomSeed seeds the pauses between attempts and the numbers of confirmations; differs from start to start
-     * @param minVoters as many voters as remain at least: 2f + 1 for the loss of f disks
+     * @param randomSeed seeds the backoff jitter and the confirmation ids; differs from start to start
+     * @param minVoters the number of voters to retain at least: 2f + 1 to tolerate the loss of f disks
      */
     static ReplicatedState create(
             NodeId self, List<NodeId> seeds, boolean bootstrap, List<Message> records, long randomSeed, int minVoters) {
--- a/src/main/java/ringspindle/replication/Rollout.java
+++ b/src/main/java/ringspindle/replication/Rollout.java
@@ -8,17 +8,17 @@
 import java.util.List;
 
 /**
- * A roll-out of a checkpoint over the engines of a service, as it stands in the control state.
+ * The rollout of a checkpoint to the engines of a service, as stored in the control state.
  *
- * @param service whose engines take the checkpoint
- * @param targetWeights the weights' revision that all are to have
- * @param previousWeights the one they had, -1 if unknown
- * @param maxUnavailable how many may be out of service for it at a time
+ * @param service the service whose engines get the checkpoint
+ * @param targetWeights the revision of the weights that all engines are to run
+ * @param previousWeights the revision they ran before, -1 if unknown
+ * @param maxUnavailable how many engines may be out of service for the swap at a time
  * @param minInServiceShare the share of a region's engines that stays in service, from 0 to below 1
- * @param swapTimeoutS how long a swap may take before the roll-out pauses, in seconds
- * @param cause why it paused, empty otherwise
- * @param epoch the view in which it was started
- * @param swapping engines whose turn it is: they get no new requests
+ * @param swapTimeoutS how long a swap may take before the rollout pauses, in seconds
+ * @param cause why the rollout paused, empty otherwise
+ * @param epoch the epoch of the view in which it was started
+ * @param swapping engines that are swapping; they get no new requests
  * @param swapped engines that have swapped
  */
 public record Rollout(
@@ -35,19 +35,19 @@
         List<String> swapped) {
     private static final JsonProvider JSON = JsonProvider.provider();
 
-    /** How far it is. */
+    /** The status of a rollout. */
     public enum Status {
-        /** Engines take their turns. */
+        /** Engines swap, some at a time. */
         RUNNING,
-        /** Nothing goes on until an operator resumes or ends it. */
+        /** Stopped until an operator resumes or ends it. */
         PAUSED,
-        /** All engines have the target. */
+        /** All engines run the target weights. */
         DONE,
-        /** An operator has given it up. */
+        /** An operator has aborted it. */
         ABORTED
     }
 
-    /** The same roll-out, so far; lists are copied. */
+    /** Returns this rollout with another status and progress; lists are copied. */
     Rollout with(Status newStatus, String newCause, List<String> newSwapping, List<String> newSwapped) {
         return new Rollout(
                 service,
@@ -63,7 +63,7 @@
                 List.copyOf(newSwapped));
     }
 
-    /** As JSON; {@code Rollout.read(rollout.write()).equals(rollout)}. */
+    /** Returns the JSON form; {@code Rollout.read(rollout.write()).equals(rollout)}. */
     public String write() {
         return JSON.createObjectBuilder()
                 .add("service", service)
--- a/src/main/java/ringspindle/replication/RolloutCommands.java
+++ b/src/main/java/ringspindle/replication/RolloutCommands.java
@@ -14,7 +14,7 @@
 import ringspindle.protocol.Message.State;
 import ringspindle.replication.Rollout.Status;
 
-/** One order on a roll-out, and what it makes of the control state: an operator's, or a step of the controller in charge. */
+/** Decides one command on a rollout, from an operator or from the current controller. */
 final class RolloutCommands {
     private static final int DEFAULT_MAX_UNAVAILABLE = 1;
     private static final double DEFAULT_MIN_IN_SERVICE_SHARE = 0.5;
@@ -24,7 +24,7 @@
     private final State state;
     private final Call command;
     private final JsonObject fields;
-    /** The service's roll-out as it stands, null if there is none. */
+    /** The service's rollout, or null. */
     private final Rollout current;
 
     private RolloutCommands(State state, Call command, JsonObject fields, Rollout current) {
@@ -34,7 +34,7 @@
         this.current = current;
     }
 
-    /** What the order, a JSON object about the service that the call names, comes to on that state. */
+    /** Returns the decision on the command, a JSON object about the service that the call names. */
     static Decision decide(State state, Call command) {
         return JsonCommand.decide(state, command, MarkKind.ROLLOUT, (fields, mark) -> {
             Rollout current = mark == null ? null : Rollout.read(mark.value());
@@ -53,7 +53,7 @@
         };
     }
 
-    // ---- operators' orders
+    // ---- operators' commands
 
     private Decision start() {
         long targetWeights = fields.getJsonNumber("target").longValueExact();
@@ -108,7 +108,7 @@
         if (current == null) {
             return Decision.answer(Outcome.NO_SUCH);
         }
-        // written also if it is over: the newer mark fences a start that is still on its way
+        // commit a mark even if it has already ended: the newer mark fences a start still in transit
         return commit(isOpen() ? current.with(Status.ABORTED, "", List.of(), current.swapped()) : current);
     }
 
@@ -143,7 +143,7 @@
                 && config.value().service(command.arg()) != null;
     }
 
-    // ---- steps of the controller in charge; whoever holds an older epoch is refused
+    // ---- commands of the current controller; one with an older epoch is rejected
 
     private Decision decideControllerStep(String name) {
         if (current == null) {
--- a/src/main/java/ringspindle/replication/ShardCommands.java
+++ b/src/main/java/ringspindle/replication/ShardCommands.java
@@ -10,7 +10,10 @@
 import ringspindle.protocol.Message.State;
 import ringspindle.shard.ShardAssignment;
 
-/** Orders on shards of batch jobs: assignments by the head of the view, and operators' orders to empty a storage node. */
+/**
+ * Commands on shards of batch jobs: assignments by the head of the view, and operators' commands to empty a storage
+ * node.
+ */
 public final class ShardCommands {
     private static final JsonProvider JSON = JsonProvider.provider();
     private static final String ASSIGNMENT = "assignment";
@@ -18,9 +21,9 @@
     private ShardCommands() {}
 
     /**
-     * The body of an order to assign a shard.
+     * Returns the body of the command that assigns a shard.
      *
-     * @param epoch of the view whose head gives it; another head's order is refused
+     * @param epoch the epoch of the view whose head sends it; commands of another head are rejected
      */
     public static byte[] assignCommand(ShardAssignment assignment, long epoch) {
         return JSON.createObjectBuilder()
@@ -31,7 +34,7 @@
                 .getBytes(UTF_8);
     }
 
-    /** An assignment takes the place of the one before it and of no other. */
+    /** Decides an assignment, which replaces only its immediate predecessor. */
     static Decision decideAssignment(State state, Call command) {
         return JsonCommand.decide(state, command, MarkKind.SHARD, (fields, mark) -> {
             ShardAssignment next = ShardAssignment.read(fields.getString(ASSIGNMENT));
@@ -50,7 +53,7 @@
         return mark == null ? 0 : ShardAssignment.read(mark.value()).epoch();
     }
 
-    /** An order to empty a node holds for good; one that is given again changes nothing. */
+    /** Decides a command to empty a storage node. It is permanent; a repeated one changes nothing. */
     static Decision decideRetirement(State state, Call command) {
         Mark mark = ControlState.findMark(state, MarkKind.RETIREMENT, command.arg());
         return mark == null ? Decision.commit(command, command.body()) : Decision.answer(Outcome.TAKEN);
--- a/src/main/java/ringspindle/replication/SuccessorLink.java
+++ b/src/main/java/ringspindle/replication/SuccessorLink.java
@@ -1,23 +1,24 @@
 package ringspindle.replication;
 
 /**
- * How far the successor in the chain has been sent this member's copy, and has confirmed it.
+ * Tracks what the successor in the chain has been sent and has acknowledged.
  *
- * <p>Invariants: entries follow a snapshot, in order and without a gap; what was confirmed in a view stays confirmed.
+ * <p>Invariants: entries follow a snapshot, in order and without a gap; the acknowledged position never decreases
+ * within a view.
  */
 final class SuccessorLink {
-    /** What is not confirmed by the successor is sent again after so long, then after twice as long. */
+    /** The delay before unacknowledged data is sent again; it doubles with each attempt up to the maximum. */
     private static final long RESEND_DELAY_MS = 400;
 
     private static final long MAX_RESEND_DELAY_MS = 6400;
     private static final long NO_SEQ = -1;
 
-    /** What the successor is sent next. */
+    /** What to send to the successor next. */
     private sealed interface Transfer {
-        /** A snapshot: the first of the view, or of a new connection, or since nothing was confirmed. */
+        /** A snapshot, at the start of a view or a connection, or because acknowledgements are missing. */
         record SnapshotDue() implements Transfer {}
 
-        /** Entries behind what was sent last. */
+        /** Entries after the last one sent. */
         record Streaming(long sentSeq, long sentMs) implements Transfer {}
     }
 
@@ -25,19 +26,19 @@
     private long acknowledgedSeq = NO_SEQ;
     private long resendDelayMs = RESEND_DELAY_MS;
 
-    /** A new view: nothing of it has been sent to its successor. */
+    /** Starts a new view, in which nothing has been sent yet. */
     void startView() {
         onReconnected();
         acknowledgedSeq = NO_SEQ;
     }
 
-    /** The connection stands anew: what went over an older one may be lost. */
+    /** Called for a new connection; what was sent on an older one may be lost. */
     void onReconnected() {
         requireSnapshot();
         resendDelayMs = RESEND_DELAY_MS;
     }
 
-    /** A snapshot is due, of a copy that was replaced or since the successor seems to lack one. */
+    /** Makes a snapshot due, because the state was replaced or the successor seems to lack one. */
     void requireSnapshot() {
         transfer = new Transfer.SnapshotDue();
     }
@@ -46,12 +47,12 @@
         return transfer instanceof Transfer.SnapshotDue;
     }
 
-    /** The sequence number that was sent last, -1 if a snapshot is due. */
+    /** The last sequence number sent, -1 if a snapshot is due. */
     long sentSeq() {
         return transfer instanceof Transfer.Streaming streaming ? streaming.sentSeq() : NO_SEQ;
     }
 
-    /** A snapshot or an entry goes out. */
+    /** Called when a snapshot or an entry is sent. */
     void sent(long seq, long nowMs) {
         transfer = new Transfer.Streaming(seq, nowMs);
     }
@@ -61,12 +62,12 @@
         resendDelayMs = RESEND_DELAY_MS;
     }
 
-    /** Starts over if the successor has not confirmed all up to that number for too long. */
+    /** Makes a snapshot due if the successor has not acknowledged everything up to the number in time. */
     void tick(long newestSeq, long nowMs) {
         if (transfer instanceof Transfer.Streaming streaming
                 && acknowledgedSeq < newestSeq
                 && nowMs - streaming.sentMs() > resendDelayMs) {
-            // a large snapshot over a slow link takes its time: sending it ever more often would never end
+            // a large snapshot over a slow link takes long: resending at a fixed interval would never let it complete
             resendDelayMs = Math.min(resendDelayMs * 2, MAX_RESEND_DELAY_MS);
             requireSnapshot();
         }
--- a/src/main/java/ringspindle/replication/SyncProgress.java
+++ b/src/main/java/ringspindle/replication/SyncProgress.java
@@ -3,10 +3,10 @@
 import ringspindle.protocol.Message.State;
 
 /**
- * What of this member's copy is on its disk.
+ * Tracks how much of this member's state is synced to its disk.
  *
- * <p>Invariant: {@link #newest} is on disk and only ever replaced by a newer state of the copy; {@link #seq} counts from the
- * last {@link #restart}, as syncs of the copy before that one prove nothing of it.
+ * <p>Invariant: {@link #newest} is on disk and only ever replaced by a newer state; {@link #seq} restarts with {@link
+ * #restart}, since syncs of the previous state prove nothing about the new one.
  */
 final class SyncProgress {
     private static final long NO_SEQ = -1;
@@ -14,35 +14,35 @@
     private long seq = NO_SEQ;
     private State newest = ControlState.empty();
 
-    /** A copy begins of which nothing is on disk yet. */
+    /** Starts a state of which nothing is on disk yet. */
     void restart() {
         seq = NO_SEQ;
     }
 
-    /** The copy was found on disk as it is. */
+    /** Restores a state that was read from disk. */
     void restore(State state) {
         seq = state.seq();
         newest = state;
     }
 
-    /** A state of the copy is on disk. */
+    /** Called when a state is synced. */
     void synced(State state) {
         if (state.seq() >= seq) {
             restore(state);
         }
     }
 
-    /** The last sequence number of the copy that is on disk, -1 if nothing of it is. */
+    /** The last synced sequence number, -1 if nothing is synced. */
     long seq() {
         return seq;
     }
 
-    /** The newest state on disk; it may be one of an older view. */
+    /** The newest state on disk; it may belong to an older view. */
     State newest() {
         return newest;
     }
 
-    /** True if the newest state on disk belongs to that view and is no newer than that sequence number. */
+    /** Whether the newest state on disk belongs to the view and is no newer than the sequence number. */
     boolean hasStateAtOrBefore(long epoch, long upToSeq) {
         return newest.lineage() == epoch && newest.seq() <= upToSeq;
     }
--- a/src/main/java/ringspindle/replication/VersionRollout.java
+++ b/src/main/java/ringspindle/replication/VersionRollout.java
@@ -14,10 +14,12 @@
 import ringspindle.protocol.Message.State;
 
 /**
- * The roll-out of a version of a service's software, whose engines run beside those of the version before.
+ * The rollout of a version of a service's software, whose engines run beside those of the previous version.
  *
+ * @param service the service that is updated
  * @param targetRevision the version
- * @param durationS seconds in which the operator wants it decided
+ * @param durationS the time in which the operator wants the rollout decided, in seconds
+ * @param status the status of the rollout
  */
 public record VersionRollout(String service, String targetRevision, int durationS, Status status) {
     private static final JsonProvider JSON = JsonProvider.provider();
@@ -26,22 +28,22 @@
     private static final String DURATION = "durationS";
     private static final String STATE = "state";
 
-    /** How far it is; operators read these names, in lower case. */
+    /** The status of a version rollout; operators read these names in lower case. */
     public enum Status {
-        /** It is being judged. */
+        /** The version is being evaluated. */
         ACTIVE,
-        /** The version serves. */
+        /** The version receives requests. */
         COMPLETED,
-        /** The version gets nothing. */
+        /** The version receives no requests. */
         REVERTED;
 
-        /** The name for operators. */
+        /** The name shown to operators. */
         public String externalName() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
-    /** As JSON; {@code VersionRollout.read(rollout.write()).equals(rollout)}. */
+    /** Returns the JSON form; {@code VersionRollout.read(rollout.write()).equals(rollout)}. */
     public String write() {
         return JSON.createObjectBuilder()
                 .add(SERVICE, service)
@@ -65,9 +67,9 @@
     }
 
     /**
-     * The body of the order that ends a roll-out.
+     * Returns the body of the command that ends a rollout.
      *
-     * @param epoch of the view whose head gives the order
+     * @param epoch the epoch of the view whose head sends the command
      */
     public static byte[] endCommand(Status finalStatus, long epoch) {
         return JSON.createObjectBuilder()
@@ -78,7 +80,7 @@
                 .getBytes(UTF_8);
     }
 
-    /** An operator's order to start one, or the end that the head of the view gives it. */
+    /** Decides an operator's command to start a rollout, or the command of the view's head to end it. */
     static Decision decide(State state, Call command) {
         return JsonCommand.decide(state, command, MarkKind.VERSION, (fields, mark) -> {
             VersionRollout current = mark == null ? null : read(mark.value());
--- a/src/main/java/ringspindle/replication/ViewConfirmations.java
+++ b/src/main/java/ringspindle/replication/ViewConfirmations.java
@@ -13,26 +13,26 @@
 import ringspindle.replication.OutstandingCalls.OutstandingCall;
 
 /**
- * Answers that change nothing and so rest on this node's state alone: a reading, a refusal, or "already so". One goes out only
- * after a majority of voters confirmed, later than the call came, that the view is still the newest, and once all that it
- * rests on is committed.
+ * Confirms answers that depend only on this node's state: reads, rejections, and commands already in effect. An answer
+ * is delivered only after a majority of voters has confirmed, later than the call arrived, that the view is still the
+ * newest, and once everything that the answer depends on is committed.
  */
 final class ViewConfirmations {
-    /** An answer is no longer asked about after so long. */
+    /** How long a confirmation may take before the answer is dropped. */
     private static final long CONFIRMATION_TIMEOUT_MS = 2500;
 
-    /** An answer that is not given yet. */
+    /** An answer that has not been delivered yet. */
     sealed interface PendingAnswer {
         OutstandingCall call();
     }
 
-    /** A reading: made of the committed state, once it is confirmed. */
+    /** A read, answered from the committed state once it is confirmed. */
     record Read(OutstandingCall call) implements PendingAnswer {}
 
-    /** An order's answer, decided on the state of that sequence number. */
+    /** The answer to a command, decided on the state of the sequence number. */
     record DecidedAnswer(OutstandingCall call, Decision.Answer answer, long seq) implements PendingAnswer {}
 
-    /** Gives the answers to the callers. */
+    /** Delivers confirmed answers to the clients. */
     interface AnswerHandler {
         void deliver(Read read);
 
@@ -46,13 +46,14 @@
     private final ChainMember member;
     private final AnswerHandler answerHandler;
     private final Long2ObjectMap<PendingConfirmation> pending = new Long2ObjectLinkedOpenHashMap<>();
-    /** Confirmed, and waiting until all that they rest on is committed. */
+    /** Confirmed answers that wait until everything they depend on is committed. */
     private final List<DecidedAnswer> uncommitted = new ArrayList<>();
 
     private long nextId;
 
     /**
-     * @param firstId from chance, so that numbers of an earlier life of this node are not taken for this one's
+     * @param firstId a random number, so that replies to an earlier incarnation of this node are not mistaken for its
+     *     own
      */
     ViewConfirmations(
             ReplicaContext replica,
@@ -67,7 +68,7 @@
         nextId = firstId;
     }
 
-    /** Asks the voters whether this view is still the newest, before an answer that rests on the state held here. */
+    /** Asks the voters whether this view is still the newest, before an answer that depends on the state held here. */
     void request(PendingAnswer answer) {
         long id = nextId++;
         pending.put(id, new PendingConfirmation(answer, replica.nowMs(), new TreeSet<>()));
@@ -107,7 +108,7 @@
         }
     }
 
-    /** All up to that sequence number is committed. */
+    /** Delivers the confirmed answers that depend on nothing newer than the sequence number. */
     void committed(long seq) {
         uncommitted.removeIf(decided -> {
             boolean due = decided.seq() <= seq;
@@ -118,7 +119,7 @@
         });
     }
 
-    /** A new view: what was decided and not answered is decided anew. */
+    /** Starts a new view, in which whatever was decided but not answered is decided again. */
     void startView() {
         pending.clear();
         uncommitted.clear();
