--- a/src/main/java/ringspindle/consensus/Acceptor.java
+++ b/src/main/java/ringspindle/consensus/Acceptor.java
@@ -23,7 +23,7 @@
     private final Effects effects;
     private final Supplier<Position> position;
     private VoterState state = new VoterState.Unpromised(0);
-    /** When the newest epoch was promised, as far as this process knows. */
+    /** When the newest epoch was promised, or when that promise was restored in this process. */
     private long promisedSinceMs;
 
     /**
--- a/src/main/java/ringspindle/consensus/ViewMonitor.java
+++ b/src/main/java/ringspindle/consensus/ViewMonitor.java
@@ -13,7 +13,8 @@
     /** Added per rank, so that voters propose one after the other and do not compete. */
     private static final long PROPOSER_RANK_DELAY_MS = 350;
     /**
-     * The delay before a recovered voter rejoins the chain; it doubles up to the maximum while rejoining keeps failing.
+     * The delay before a voter rejoins the chain; it doubles up to the maximum while views start without the whole set
+     * of voters.
      */
     private static final long CHAIN_REJOIN_DELAY_MS = 300;
 
--- a/src/main/java/ringspindle/replication/ConfigurationCommands.java
+++ b/src/main/java/ringspindle/replication/ConfigurationCommands.java
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Rejects a stale base, but only if it is certain that the command was not accepted earlier and dropped from the
-     * history.
+     * Rejects a command on a stale base. The outcome is unclear if the command may have been accepted earlier and since
+     * dropped from the history.
      */
     private static Decision rejectStaleBase(State state, Call command) {
         return Decision.answer(
--- a/src/main/java/ringspindle/replication/ControlState.java
+++ b/src/main/java/ringspindle/replication/ControlState.java
@@ -26,7 +26,7 @@
     /** The key of the mark that holds the serving rules. */
     static final String RULES_KEY = "";
 
-    /** The maximum number of marks of leaving engines. */
+    /** The maximum number of marks of leaving engines; beyond it the oldest are dropped. */
     private static final int MAX_LEAVING_ENGINES = 400;
 
     private static final byte[] NO_CONFIGURATION = {};
