--- a/src/main/java/ringspindle/controlplane/CommittedFacts.java
+++ b/src/main/java/ringspindle/controlplane/CommittedFactPublisher.java
@@ -13,21 +13,22 @@
 import ringspindle.replication.MarkKind;
 
 /**
- * Turns committed state into facts and has them spread. The lock of the {@link ReplicationDriver} is held when a state is
- * announced, so merging is left to a thread of the pool; states may then be merged in any order, as the newer fact wins.
+ * Converts committed state to facts and disseminates them. {@link #committed} is called with the lock of the {@link
+ * ReplicationDriver} held, so a pool thread does the merging. States may be merged in any order because the newer
+ * version of a fact wins.
  */
-final class CommittedFacts implements ReplicationDriver.CommitListener {
-    private static final byte[] NO_VALUE = {};
+final class CommittedFactPublisher implements ReplicationDriver.CommitListener {
+    private static final byte[] EMPTY_VALUE = {};
 
     private final Executor pool;
     private final FleetState fleet;
     private final ServingState serving;
-    /** Written with the replication lock held. */
-    private volatile State newest;
-    /** The sequence number of the newest state whose facts are merged; guarded by the fleet's lock. */
+    /** The latest committed state; written with the lock of the {@link ReplicationDriver} held. */
+    private volatile State latestState;
+    /** Sequence number of the latest state whose facts have been merged; guarded by the fleet lock. */
     private long mergedSequence = -1;
 
-    CommittedFacts(Executor pool, FleetState fleet, ServingState serving) {
+    CommittedFactPublisher(Executor pool, FleetState fleet, ServingState serving) {
         this.pool = pool;
         this.fleet = fleet;
         this.serving = serving;
@@ -35,7 +36,7 @@
 
     @Override
     public void committed(State state) {
-        newest = state;
+        latestState = state;
         pool.execute(() -> merge(state));
     }
 
@@ -44,13 +45,13 @@
         synchronized (fleet.lock) {
             fleet.facts().merge(facts);
             mergedSequence = Math.max(mergedSequence, state.seq());
-            spread();
+            disseminate();
         }
     }
 
-    /** Passes on to peers what they have not been sent; the fleet's lock is held. */
-    void spread() {
-        State state = newest;
+    /** Sends peers the facts that they have not been sent yet. The caller holds the fleet lock. */
+    void disseminate() {
+        State state = latestState;
         fleet.dissemination().push(serving.quorate(), state == null || mergedSequence >= state.seq());
     }
 
@@ -61,14 +62,14 @@
         }
         for (Mark mark : state.marks()) {
             if (MarkKind.METERING.marks(mark)) {
-                // of use to the head alone, which has the state
+                // only the head uses these, and it reads them from the committed state
                 continue;
             }
             facts.add(new Fact(
                     factKind(mark), mark.key(), 0, mark.version(), mark.value().getBytes(UTF_8)));
         }
-        // behind all others: whoever holds it holds these
-        facts.add(new Fact(FactKind.COMMITTED, "", 0, state.seq(), NO_VALUE));
+        // last: a node that holds this fact also holds all facts before it
+        facts.add(new Fact(FactKind.COMMITTED, "", 0, state.seq(), EMPTY_VALUE));
         return facts;
     }
 
--- a/src/main/java/ringspindle/controlplane/ControlNode.java
+++ b/src/main/java/ringspindle/controlplane/ControlNode.java
@@ -14,27 +14,29 @@
 import ringspindle.transport.NodeEnvironment;
 
 /**
- * Wires the parts of a control node and starts them.
+ * Creates the components of a control node and starts them.
  *
- * <p>Who owns which state, and what guards it:
+ * <p>State ownership and locking:
  *
  * <ul>
- *   <li>{@link ReplicationDriver}: the replicated state and calls to it; a lock of its own.
- *   <li>{@link CounterDriver}: the replicated counters and calls to them; a lock of its own, under which no other is taken.
- *   <li>{@link FleetState}: sessions, facts, load, leases and reports; {@link FleetState#lock}.
- *   <li>{@link QuorumTracker} and {@link ServingState}: whether this node may serve; written by the tick, read without a lock.
- *   <li>{@link ControlNodeTasks}: the periodic work; one thread.
+ *   <li>{@link ReplicationDriver}: the replicated state and calls to it; has its own lock.
+ *   <li>{@link CounterDriver}: the replicated counters and calls to them; has its own lock and acquires no other while
+ *       holding it.
+ *   <li>{@link FleetState}: sessions, facts, load, leases and reports; guarded by {@link FleetState#lock}.
+ *   <li>{@link QuorumTracker} and {@link ServingState}: whether this node may serve; written by the tick thread, read
+ *       without a lock.
+ *   <li>{@link ControlNodeTasks}: periodic work; confined to one thread.
  * </ul>
  *
- * <p>The lock of the driver comes before that of the fleet: whoever holds the fleet's lock takes no other. Messages come
- * in through {@link MessageDispatcher}, calls from outside through {@link ControlApiHandler}.
+ * <p>The lock of {@link ReplicationDriver} is acquired before the fleet lock; no other lock is acquired while the fleet
+ * lock is held. Messages arrive through {@link MessageDispatcher}, API calls through {@link ControlApiHandler}.
  */
 public final class ControlNode {
-    /** Milliseconds between two ticks. */
+    /** Interval between ticks, in milliseconds. */
     public static final int TICK_MS = 100;
 
-    /** Set in the number of every store of counters, so that none is 0. */
-    private static final long STORE_BIT = 1;
+    /** Set in every counter store id so that none is 0. */
+    private static final long NONZERO_STORE_ID_BIT = 1;
 
     private volatile NodeConfig config;
     private final Storage storage;
@@ -52,10 +54,10 @@
     private final UsageLedger usage = new UsageLedger();
 
     /**
-     * Reads what the storage holds and opens nothing yet.
+     * Loads the stored state; {@link #start} opens the storage and the mesh.
      *
-     * @param reports asks engines what they still run, while a roll-out goes on
-     * @param platform calls the platform, while this node has a duty there
+     * @param reports asks engines for their active requests during a rollout
+     * @param platform calls the platform while this node is responsible for reporting to it
      */
     public ControlNode(
             NodeConfig config,
@@ -66,52 +68,47 @@
             throws Exception {
         this.config = config;
         this.storage = storage;
-        NodeId me = NodeId.of(config.ip() + ":" + config.innerPort());
-        Hello self = greeting(me, config, environment.incarnation());
-        PendingCalls calls = new PendingCalls(
+        NodeId nodeId = NodeId.of(config.ip() + ":" + config.innerPort());
+        Hello localHello = createHello(nodeId, config, environment.incarnation());
+        PendingCalls pendingCalls = new PendingCalls(
                 environment.clock(), environment.pool(), environment.random().getAsLong());
         context = new NodeContext(
-                me, this::config, environment.clock(), environment.meshFactory().apply(self), environment.pool());
+                nodeId,
+                this::config,
+                environment.clock(),
+                environment.meshFactory().apply(localHello),
+                environment.pool());
         serving = new ServingState(context.clock(), quorum);
-        fleet = new FleetState(context, self);
-        CommittedFacts committedFacts = new CommittedFacts(context.pool(), fleet, serving);
-        List<Message> found = storage.replication().load();
-        ReplicatedState state = replicatedState(me, environment, found);
-        replication = new ReplicationDriver(context, state, calls, storage.replication(), quorum, committedFacts);
+        fleet = new FleetState(context, localHello);
+        CommittedFactPublisher factPublisher = new CommittedFactPublisher(context.pool(), fleet, serving);
+        List<Message> loadedRecords = storage.replication().load();
+        ReplicatedState state = replicatedState(nodeId, environment, loadedRecords);
+        replication = new ReplicationDriver(context, state, pendingCalls, storage.replication(), quorum, factPublisher);
         counters = new CounterDriver(
-                context, storage.counters(), environment.random().getAsLong() | STORE_BIT);
+                context, storage.counters(), environment.random().getAsLong() | NONZERO_STORE_ID_BIT);
         engines = new EngineRegistry(fleet, serving, replication);
         queries = new FleetQueries(context, fleet, quorum);
         HeartbeatExchange heartbeats = new HeartbeatExchange(context, fleet, replication, serving);
-        quotas = new QuotaHandler(context, replication, serving, config.bootstrap() && found.isEmpty());
+        quotas = new QuotaHandler(context, replication, serving, config.bootstrap() && loadedRecords.isEmpty());
         dispatcher = dispatcher(heartbeats);
-        HeadDuties headDuties = new HeadDuties(
-                new RolloutTask(me, fleet, engines, replication, reports),
+        HeadTasks headTasks = new HeadTasks(
+                new RolloutTask(nodeId, fleet, engines, replication, reports),
                 new ExperimentTask(context, environment.incarnation(), fleet, replication),
-                new ShardTask(me, replication, storageNodes(), config.lossesBorne()),
+                new ShardTask(nodeId, replication, storageNodes(), config.lossesBorne()),
                 new MeteringTask(context, replication, serving, usage, platform),
-                new VersionRolloutTask(me, fleet, replication));
+                new VersionRolloutTask(nodeId, fleet, replication));
         tasks = new ControlNodeTasks(
-                context,
-                storage,
-                fleet,
-                replication,
-                counters,
-                quorum,
-                serving,
-                heartbeats,
-                committedFacts,
-                headDuties);
+                context, storage, fleet, replication, counters, quorum, serving, heartbeats, factPublisher, headTasks);
     }
 
-    private ReplicatedState replicatedState(NodeId me, NodeEnvironment environment, List<Message> found) {
+    private ReplicatedState replicatedState(NodeId nodeId, NodeEnvironment environment, List<Message> loadedRecords) {
         return ReplicatedState.create(
-                me,
+                nodeId,
                 seeds(config),
                 config.bootstrap(),
-                found,
+                loadedRecords,
                 environment.random().getAsLong(),
-                ReplicationDriver.votersWanted(config.lossesBorne()));
+                ReplicationDriver.requiredVoters(config.lossesBorne()));
     }
 
     private MessageDispatcher dispatcher(HeartbeatExchange heartbeats) {
@@ -127,9 +124,9 @@
                 new UsageHandler(context, replication, usage));
     }
 
-    private static Hello greeting(NodeId me, NodeConfig settings, long incarnation) {
+    private static Hello createHello(NodeId nodeId, NodeConfig settings, long incarnation) {
         return new Hello(
-                me,
+                nodeId,
                 incarnation,
                 NodeKind.CONTROL,
                 settings.control().orElseThrow().bits(),
@@ -145,7 +142,7 @@
                 .toList();
     }
 
-    /** Opens disk and mesh; whoever starts it calls {@link #tick} every {@link #TICK_MS}. */
+    /** Opens the storage and the mesh. The caller must then call {@link #tick} every {@link #TICK_MS}. */
     public void start() throws Exception {
         synchronized (fleet.lock) {
             fleet.facts().merge(storage.cachedEngines());
@@ -155,87 +152,87 @@
         context.mesh().open(dispatcher);
     }
 
-    /** Does the periodic work that is due; called by one thread at a time. */
+    /** Runs the periodic work that is due. Must be called by one thread at a time. */
     public void tick() {
         tasks.tick();
         quotas.tick();
     }
 
-    /** Settings changed while running. */
-    public void applySettings(NodeConfig changed) {
-        config = changed;
-        fleet.settings(changed);
+    /** Applies settings that were reloaded while the node is running. */
+    public void applySettings(NodeConfig newSettings) {
+        config = newSettings;
+        fleet.settings(newSettings);
     }
 
-    /** Says that this node leaves; {@link #handedOver} tells when it may end. */
+    /** Announces that this node is shutting down; {@link #handedOver} tells when it may stop. */
     public void leave() {
         serving.leave();
         counters.leave();
     }
 
-    /** True once the others go on without this node and hold all that is committed here. */
+    /** Returns true once the other nodes run without this node and hold everything that is committed here. */
     public boolean handedOver() {
         ReplicationDriver.Status status = replication.status();
-        return ShutdownHandover.done(context.me(), status.view(), status.sequence(), queries.peerStates());
+        return ShutdownHandover.isComplete(context.me(), status.view(), status.sequence(), queries.peerStates());
     }
 
-    /** What this node waits for before it serves. */
+    /** Returns the first prerequisite for serving that this node does not meet. */
     public ServingState.Prerequisite missingPrerequisite() {
         long nowMs = context.nowMs();
         return serving.missingPrerequisite(replication.phase(nowMs), nowMs);
     }
 
-    /** True while a first start still waits for voters. */
+    /** Returns true while the first start of a fleet is still waiting for voters. */
     public boolean bootstrapping() {
         return replication.bootstrapping(context.nowMs());
     }
 
-    /** Steady time of this node, in ms. */
+    /** Returns the monotonic time of this node, in milliseconds. */
     public long nowMs() {
         return context.nowMs();
     }
 
-    /** The settings in force. */
+    /** Returns the current settings. */
     public NodeConfig config() {
         return config;
     }
 
-    /** This node's identity among nodes. */
+    /** Returns the identity of this node. */
     public NodeId nodeId() {
         return context.me();
     }
 
-    /** Whether this node may serve. */
+    /** Returns the component that determines whether this node may serve. */
     public ServingState serving() {
         return serving;
     }
 
-    /** The replicated state and calls to it. */
+    /** Returns the driver of the replicated state. */
     public ReplicationDriver replication() {
         return replication;
     }
 
-    /** The replicated counters and calls to them. */
+    /** Returns the driver of the replicated counters. */
     public CounterDriver counters() {
         return counters;
     }
 
-    /** What this node knows of the fleet. */
+    /** Returns the state that this node has gathered about the fleet. */
     public FleetState fleet() {
         return fleet;
     }
 
-    /** Engines that register here. */
+    /** Returns the registry of the engines. */
     public EngineRegistry engines() {
         return engines;
     }
 
-    /** Questions about storage nodes. */
+    /** Returns the queries about storage nodes. */
     public StorageNodes storageNodes() {
         return new StorageNodes(context, fleet);
     }
 
-    /** Questions about the fleet. */
+    /** Returns the queries about the fleet. */
     public FleetQueries queries() {
         return queries;
     }
--- a/src/main/java/ringspindle/controlplane/ControlNodeTasks.java
+++ b/src/main/java/ringspindle/controlplane/ControlNodeTasks.java
@@ -17,26 +17,26 @@
 import ringspindle.protocol.NodeKind;
 
 /**
- * The periodic work of a control node, one step after the other on every tick. Owns the count of ticks and whom this node
- * dials; called by one thread at a time.
+ * Runs the periodic work of a control node, sequentially on every tick. Owns the tick counter and the choice of peers
+ * to dial. Called by one thread at a time.
  */
 final class ControlNodeTasks {
-    private static final int DATA_HEARTBEAT_TICKS = 4;
-    private static final int CONTROL_HEARTBEAT_TICKS = 2;
+    private static final int DATA_NODE_HEARTBEAT_TICKS = 4;
+    private static final int CONTROL_NODE_HEARTBEAT_TICKS = 2;
     private static final int DIAL_TICKS = 2;
     private static final int LOAD_TICKS = 5;
     private static final int ENGINE_CACHE_TICKS = 20;
-    /** So many of their heartbeats engines get to be heard after this node was out of touch. */
-    private static final int ENGINE_HEARTBEATS = 4;
+    /** Heartbeat intervals granted to engines to report again after this node was disconnected from a majority. */
+    private static final int ENGINE_SETTLING_HEARTBEATS = 4;
 
     /**
-     * What sessions say at the start of a tick.
+     * State of the sessions at the start of a tick.
      *
-     * @param live control nodes in touch
-     * @param heard control nodes that peers hear
-     * @param heartbeatTo whose heartbeat is due
+     * @param live control nodes with a live link to this node
+     * @param reportedByPeers control nodes that peers report receiving heartbeats from
+     * @param heartbeatRecipients peers that are due a heartbeat
      */
-    private record Survey(Set<NodeId> live, Set<NodeId> heard, List<NodeId> heartbeatTo) {}
+    private record SessionSummary(Set<NodeId> live, Set<NodeId> reportedByPeers, List<NodeId> heartbeatRecipients) {}
 
     private final NodeContext context;
     private final Storage storage;
@@ -46,8 +46,8 @@
     private final QuorumTracker quorum;
     private final ServingState serving;
     private final HeartbeatExchange heartbeats;
-    private final CommittedFacts committedFacts;
-    private final HeadDuties headDuties;
+    private final CommittedFactPublisher factPublisher;
+    private final HeadTasks headTasks;
     private final ControlPeerDialer dialer;
     private long ticks;
 
@@ -60,8 +60,8 @@
             QuorumTracker quorum,
             ServingState serving,
             HeartbeatExchange heartbeats,
-            CommittedFacts committedFacts,
-            HeadDuties headDuties) {
+            CommittedFactPublisher factPublisher,
+            HeadTasks headTasks) {
         this.context = context;
         this.storage = storage;
         this.fleet = fleet;
@@ -70,26 +70,26 @@
         this.quorum = quorum;
         this.serving = serving;
         this.heartbeats = heartbeats;
-        this.committedFacts = committedFacts;
-        this.headDuties = headDuties;
+        this.factPublisher = factPublisher;
+        this.headTasks = headTasks;
         dialer = new ControlPeerDialer(context.me());
     }
 
-    /** Runs what is due. */
+    /** Runs the work that is due. */
     void tick() {
         long nowMs = context.nowMs();
         ticks++;
-        Survey survey = survey(nowMs);
-        View view = replicate(survey.live(), nowMs);
-        counters.tick(survey.live(), view, nowMs);
-        dial(survey.heard(), view);
-        survey.heartbeatTo().forEach(heartbeats::send);
-        headDuties.tick(view, serving.quorate(), hearsEngines(nowMs), ticks, nowMs);
+        SessionSummary sessions = summarizeSessions(nowMs);
+        View view = tickReplication(sessions.live(), nowMs);
+        counters.tick(sessions.live(), view, nowMs);
+        dial(sessions.reportedByPeers(), view);
+        sessions.heartbeatRecipients().forEach(heartbeats::send);
+        headTasks.tick(view, serving.quorate(), engineHeartbeatsReceived(nowMs), ticks, nowMs);
         synchronized (fleet.lock) {
             fleet.dataNodes().tick(nowMs);
             fleet.leases().tick(view, serving.quorate(), ticks, nowMs);
-            exchangeLoad(nowMs);
-            committedFacts.spread();
+            reportLoad(nowMs);
+            factPublisher.disseminate();
             if (due(ENGINE_CACHE_TICKS)) {
                 storage.cacheEngines(fleet.facts().store().all(FactKind.ENGINE));
             }
@@ -100,11 +100,11 @@
         return ticks % periodTicks == 0;
     }
 
-    /** Drops silent peers and looks through the sessions. */
-    private Survey survey(long nowMs) {
+    /** Drops silent peers and summarizes the remaining sessions. */
+    private SessionSummary summarizeSessions(long nowMs) {
         Set<NodeId> live = new TreeSet<>();
-        Set<NodeId> heard = new TreeSet<>();
-        List<NodeId> heartbeatTo = new ArrayList<>();
+        Set<NodeId> reportedByPeers = new TreeSet<>();
+        List<NodeId> heartbeatRecipients = new ArrayList<>();
         synchronized (fleet.lock) {
             for (NodeId silent : fleet.sessions().peersToDrop(nowMs)) {
                 context.pool().execute(() -> context.mesh().drop(silent));
@@ -116,41 +116,44 @@
                     if (peer.linked()) {
                         live.add(node);
                     }
-                    heard.addAll(peer.heartbeat().heard());
+                    reportedByPeers.addAll(peer.heartbeat().heard());
                 }
-                int periodTicks = kind == NodeKind.CONTROL ? CONTROL_HEARTBEAT_TICKS : DATA_HEARTBEAT_TICKS;
+                int periodTicks = kind == NodeKind.CONTROL ? CONTROL_NODE_HEARTBEAT_TICKS : DATA_NODE_HEARTBEAT_TICKS;
                 if (due(periodTicks) || serving.leaving()) {
-                    heartbeatTo.add(node);
+                    heartbeatRecipients.add(node);
                 }
             }
         }
-        return new Survey(live, heard, heartbeatTo);
+        return new SessionSummary(live, reportedByPeers, heartbeatRecipients);
     }
 
-    /** Lets time go on for the replicated state, then renews the proof of a quorum; returns the newest view or null. */
-    private View replicate(Set<NodeId> live, long nowMs) {
+    /** Advances the replicated state, then renews the quorum proof. Returns the latest view, or null without one. */
+    private View tickReplication(Set<NodeId> live, long nowMs) {
         ReplicationDriver.TickResult result =
                 replication.tick(nowMs, new PeerConnectivity(context, fleet, serving, live));
-        serving.hearsCommits(result.current());
+        serving.setReceivesCommits(result.current());
         synchronized (fleet.lock) {
-            quorum.renew(nowMs, context.me(), result.blank() ? null : result.view(), this::contact);
+            quorum.renew(nowMs, context.me(), result.relearning() ? null : result.view(), this::contact);
         }
         return result.view();
     }
 
-    /** What a control node's newest heartbeat proves, null if there is no session; the fleet's lock is held. */
-    private QuorumTracker.Contact contact(NodeId node) {
+    /**
+     * Returns what the latest heartbeat of a control node proves, null without a session. The caller holds the fleet
+     * lock.
+     */
+    private QuorumTracker.VoterContact contact(NodeId node) {
         SessionTable.Peer peer = fleet.sessions().peer(node);
         if (peer == null) {
             return null;
         }
         Heartbeat newest = peer.heartbeat();
-        boolean blank = newest.flags().has(NodeFlags.RELEARNING);
-        return new QuorumTracker.Contact(peer.contactMs(), newest.epoch(), blank);
+        boolean relearning = newest.flags().has(NodeFlags.RELEARNING);
+        return new QuorumTracker.VoterContact(peer.contactMs(), newest.epoch(), relearning);
     }
 
-    /** Dials whom {@link ControlPeerDialer} names. */
-    private void dial(Set<NodeId> heard, View view) {
+    /** Dials the nodes selected by {@link ControlPeerDialer}. */
+    private void dial(Set<NodeId> reportedByPeers, View view) {
         if (!due(DIAL_TICKS)) {
             return;
         }
@@ -161,24 +164,27 @@
         List<NodeId> voters = view == null ? List.of() : view.voters();
         long nowMs = context.nowMs();
         ControlPeerDialer.Roster roster =
-                new ControlPeerDialer.Roster(seeds, voters, heard, quorum.majorityReachable(nowMs));
+                new ControlPeerDialer.Roster(seeds, voters, reportedByPeers, quorum.majorityReachable(nowMs));
         dialer.due(roster, context.mesh()::connected, nowMs).forEach(context.mesh()::dial);
     }
 
-    /** Judges engines and passes load on; the fleet's lock is held. */
-    private void exchangeLoad(long nowMs) {
+    /** Evaluates the state of engines and sends load reports. The caller holds the fleet lock. */
+    private void reportLoad(long nowMs) {
         if (!due(LOAD_TICKS)) {
             return;
         }
-        if (hearsEngines(nowMs)) {
+        if (engineHeartbeatsReceived(nowMs)) {
             fleet.facts().judgeEngines(nowMs);
         }
         fleet.loads().send(nowMs);
     }
 
-    /** True once engines had the time to be heard here: a node that was out of touch refused their heartbeats. */
-    private boolean hearsEngines(long nowMs) {
-        return quorum.heldMs(nowMs)
-                >= (long) ENGINE_HEARTBEATS * context.config().engineBeatMs();
+    /**
+     * Returns true once engines have had time to report here. A node that cannot reach a majority rejects their
+     * heartbeats, so missing heartbeats say nothing about an engine until then.
+     */
+    private boolean engineHeartbeatsReceived(long nowMs) {
+        return quorum.upToDateForMs(nowMs)
+                >= (long) ENGINE_SETTLING_HEARTBEATS * context.config().engineBeatMs();
     }
 }
--- a/src/main/java/ringspindle/controlplane/CounterDriver.java
+++ b/src/main/java/ringspindle/controlplane/CounterDriver.java
@@ -22,106 +22,106 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * Feeds the replicated counters with events and carries out what they order. Thread safe.
+ * Passes events to the replicated counters and executes their outputs. Thread safe.
  *
- * <p>Owns the {@link CounterReplica} and the callers that wait, guarded by {@link #lock}. While the lock is held only messages,
- * writes and tasks are queued, and no other lock is taken.
+ * <p>Owns the {@link CounterReplica} and the pending callbacks, both guarded by {@link #lock}. While the lock is held,
+ * messages, writes and tasks are only queued and no other lock is acquired.
  */
 public final class CounterDriver {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
 
     private final Object lock = new Object();
     private final NodeContext context;
-    private final RecordLog records;
+    private final RecordLog recordLog;
     private final CounterReplica replica;
-    private final Map<Long, Consumer<Outcome>> callers = new HashMap<>();
-    private long lastCall;
+    private final Map<Long, Consumer<Outcome>> callbacks = new HashMap<>();
+    private long lastCallId;
     private boolean isolated;
-    private boolean joined;
+    private boolean totalsAvailable;
 
     /**
-     * Reads the counters that were kept.
+     * Loads the stored counters.
      *
-     * @param newStore the number of this node's store if nothing was kept; from chance, and not 0
-     * @throws IOException if what was kept cannot be read
+     * @param newStoreId the random, nonzero id of this node's store if nothing is stored yet
+     * @throws IOException if the stored records cannot be read
      */
-    CounterDriver(NodeContext context, RecordLog records, long newStore) throws IOException {
+    CounterDriver(NodeContext context, RecordLog recordLog, long newStoreId) throws IOException {
         this.context = context;
-        this.records = records;
+        this.recordLog = recordLog;
         CounterSettings settings = CounterSettings.of(
                 context.config().lossesBorne(), context.config().bootstrap());
-        replica = new CounterReplica(context.me(), settings, records.load(), newStore, context.nowMs());
+        replica = new CounterReplica(context.me(), settings, recordLog.load(), newStoreId, context.nowMs());
     }
 
-    /** From now on records are written. */
+    /** Opens the record log; records are written from then on. */
     void open() {
-        records.open(this::stored, this::compact);
+        recordLog.open(this::onStored, this::compact);
         synchronized (lock) {
-            carryOut(replica.open(context.nowMs()));
+            execute(replica.open(context.nowMs()));
         }
     }
 
     /**
-     * Adds to a counter, once for the id.
+     * Adds an amount to a counter, at most once per instance id.
      *
-     * @param caller told the outcome, once, from a thread of the pool
+     * @param callback receives the outcome once, on a pool thread
      */
-    public void add(String counter, String instance, long amount, Consumer<Outcome> caller) {
+    public void add(String counter, String instance, long amount, Consumer<Outcome> callback) {
         synchronized (lock) {
-            long call = ++lastCall;
-            callers.put(call, caller);
-            carryOut(replica.add(call, counter, instance, amount, context.nowMs()));
+            long callId = ++lastCallId;
+            callbacks.put(callId, callback);
+            execute(replica.add(callId, counter, instance, amount, context.nowMs()));
         }
     }
 
-    /** The total of a counter, 0 for a new name; empty while this node cannot tell. */
+    /** Returns the total of a counter, 0 for an unknown name; empty while this node does not know the totals. */
     public Optional<BigInteger> total(String counter) {
         synchronized (lock) {
             return replica.total(counter);
         }
     }
 
-    /** Totals of all counters as this node knows them. */
+    /** Returns the totals of all counters known to this node. */
     public Map<String, BigInteger> totals() {
         synchronized (lock) {
             return replica.totals();
         }
     }
 
-    /** How the counters of this node are. */
+    /** Returns the status of the counters on this node. */
     public CounterStatus status() {
         synchronized (lock) {
             return replica.status(context.nowMs());
         }
     }
 
-    /** A connection to a control node stands. */
+    /** Handles a new connection to a control node. */
     void connected(NodeId peer) {
         synchronized (lock) {
             replica.connected(peer);
         }
     }
 
-    /** A control node's heartbeat says that it holds counters too. */
-    void introduced(NodeId peer, long nowMs) {
+    /** Handles a heartbeat of a control node that announces a counter replica. */
+    void peerReplicaDiscovered(NodeId peer, long nowMs) {
         synchronized (lock) {
-            carryOut(replica.introduced(peer, nowMs));
+            execute(replica.introduced(peer, nowMs));
         }
     }
 
-    /** A message about counters came. */
+    /** Handles a counter message. */
     void received(NodeId from, Message message, long nowMs) {
         synchronized (lock) {
-            carryOut(replica.receive(from, message, nowMs));
+            execute(replica.receive(from, message, nowMs));
         }
     }
 
-    /** Lets time go on; the view may be null. */
+    /** Advances the time; the view may be null. */
     void tick(Set<NodeId> linked, View view, long nowMs) {
         Collection<NodeId> voters = view == null ? List.of() : view.voters();
         Set<NodeId> members = new TreeSet<>(voters);
         synchronized (lock) {
-            carryOut(replica.tick(linked, members, nowMs));
+            execute(replica.tick(linked, members, nowMs));
             logChanges(nowMs);
         }
     }
@@ -132,43 +132,46 @@
             isolated = status.isolated();
             LOG.atInfo()
                     .with(LogField.COUNT, status.notEverywhere())
-                    .log(isolated ? "counters: cut off, counting alone" : "counters: enough replicas in touch again");
+                    .log(
+                            isolated
+                                    ? "counters: isolated, counting locally"
+                                    : "counters: enough replicas reachable again");
         }
-        if (status.joined() && !joined) {
-            joined = true;
-            LOG.atInfo().with(LogField.COUNT, status.increments()).log("counters: totals are told");
+        if (status.joined() && !totalsAvailable) {
+            totalsAvailable = true;
+            LOG.atInfo().with(LogField.COUNT, status.increments()).log("counters: totals available");
         }
     }
 
-    /** This node ends soon: it takes nothing new. */
+    /** Stops accepting new increments because this node is shutting down. */
     void leave() {
         synchronized (lock) {
             replica.leave();
         }
     }
 
-    private void stored(long token) {
+    private void onStored(long token) {
         synchronized (lock) {
-            carryOut(replica.stored(token, context.nowMs()));
+            execute(replica.stored(token, context.nowMs()));
         }
     }
 
     private void compact() {
         synchronized (lock) {
-            records.write(new RecordLog.Write(RecordLog.COMPACTION, replica.durable(), true));
+            recordLog.write(new RecordLog.Write(RecordLog.COMPACTION, replica.durable(), true));
         }
     }
 
-    /** Called with the lock held; see the class comment. */
-    private void carryOut(List<CounterReplica.Out> commands) {
-        for (CounterReplica.Out command : commands) {
-            if (command instanceof CounterReplica.Out.Send send) {
+    /** Executes the outputs in order. The caller holds the lock; see the class comment. */
+    private void execute(List<CounterReplica.Out> outputs) {
+        for (CounterReplica.Out output : outputs) {
+            if (output instanceof CounterReplica.Out.Send send) {
                 context.mesh().send(send.to(), send.message());
-            } else if (command instanceof CounterReplica.Out.Store store) {
-                records.write(new RecordLog.Write(store.token(), store.records(), store.snapshot()));
-            } else if (command instanceof CounterReplica.Out.Answer answer) {
-                Consumer<Outcome> caller = callers.remove(answer.call());
-                context.pool().execute(() -> caller.accept(answer.outcome()));
+            } else if (output instanceof CounterReplica.Out.Store store) {
+                recordLog.write(new RecordLog.Write(store.token(), store.records(), store.snapshot()));
+            } else if (output instanceof CounterReplica.Out.Answer answer) {
+                Consumer<Outcome> callback = callbacks.remove(answer.call());
+                context.pool().execute(() -> callback.accept(answer.outcome()));
             }
         }
     }
--- a/src/main/java/ringspindle/controlplane/DiskRecordLog.java
+++ b/src/main/java/ringspindle/controlplane/DiskRecordLog.java
@@ -6,7 +6,7 @@
 import ringspindle.protocol.Message;
 import ringspindle.storage.Disk;
 
-/** Two slots and a log on disk, written by a thread of their own. */
+/** A record log on disk, two snapshot slots and a log file, written by a dedicated thread. */
 final class DiskRecordLog implements RecordLog {
     private final Disk disk;
     private final String threadName;
--- a/src/main/java/ringspindle/controlplane/DiskStorage.java
+++ b/src/main/java/ringspindle/controlplane/DiskStorage.java
@@ -17,34 +17,35 @@
 import ringspindle.storage.Disk;
 import ringspindle.storage.StorageFolder;
 
-/** A folder with the records of the control state, those of the counters in a folder below it, and the engines beside them. */
+/** Stores the control state and the engine cache in one folder, and the counters in a subfolder. */
 public final class DiskStorage implements Storage {
-    private static final String COUNTERS = "counters";
+    private static final String COUNTERS_FOLDER = "counters";
 
     private final RecordLog replication;
     private final RecordLog counters;
     private final EngineCacheFile engines;
 
-    /** Keeps data in that folder; engines are cached on a thread of that executor. */
+    /** Stores data in the folder; the engine cache is written on the executor. */
     public DiskStorage(Path folder, Executor pool) {
         this(folder, StorageFolder::of, pool);
     }
 
-    /** Keeps records in folders that are opened with {@code folders}. */
+    /** Stores records in folders that are opened with {@code folders}. */
     DiskStorage(Path folder, Function<Path, StorageFolder> folders, Executor pool) {
-        replication = new DiskRecordLog(Disk.open(folders.apply(folder), DiskStorage::isOfControlState), "disk");
+        replication = new DiskRecordLog(Disk.open(folders.apply(folder), DiskStorage::isControlStateRecord), "disk");
         counters = new DiskRecordLog(
-                Disk.open(folders.apply(folder.resolve(COUNTERS)), DiskStorage::isOfCounters), "disk-counters");
+                Disk.open(folders.apply(folder.resolve(COUNTERS_FOLDER)), DiskStorage::isCounterRecord),
+                "disk-counters");
         engines = new EngineCacheFile(folder.resolve("engines"), pool);
     }
 
-    private static boolean isOfControlState(Message record) {
+    private static boolean isControlStateRecord(Message record) {
         return record instanceof Vote
                 || record instanceof State
-                || record instanceof Entry e && Codec.decode(e.op()) instanceof Op;
+                || record instanceof Entry entry && Codec.decode(entry.op()) instanceof Op;
     }
 
-    private static boolean isOfCounters(Message record) {
+    private static boolean isCounterRecord(Message record) {
         return record instanceof CounterAdds || record instanceof CounterSnapshot;
     }
 
@@ -64,7 +65,7 @@
     }
 
     @Override
-    public void cacheEngines(Collection<Fact> now) {
-        engines.store(now);
+    public void cacheEngines(Collection<Fact> facts) {
+        engines.store(facts);
     }
 }
--- a/src/main/java/ringspindle/controlplane/EngineCacheFile.java
+++ b/src/main/java/ringspindle/controlplane/EngineCacheFile.java
@@ -21,19 +21,19 @@
 import ringspindle.protocol.Message.News;
 
 /**
- * The engines as last heard, cached in a file as a hint for the time right after a restart, when none has called yet. Nothing
- * is promised of it: it is not synced, a broken file counts as none, and heartbeats replace it. The file holds a CRC32C and
- * an encoded {@link News}.
+ * Caches the known engines in a file, as a hint for the time right after a restart when no engine has sent a heartbeat
+ * yet. The cache is best effort: it is not synced, a corrupt file is treated as missing, and heartbeats replace its
+ * contents. The file holds a CRC32C checksum followed by an encoded {@link News}.
  */
 final class EngineCacheFile {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private static final int FILE_MAX = 4 << 20;
-    private static final String NEXT_NAME = "engines.next";
+    private static final int MAX_FILE_BYTES = 4 << 20;
+    private static final String TEMP_FILE_NAME = "engines.next";
 
     private final Path file;
     private final Executor pool;
-    private final AtomicBoolean writing = new AtomicBoolean();
-    /** The engines of the last write; used by the caller of {@link #store} alone. */
+    private final AtomicBoolean writeInProgress = new AtomicBoolean();
+    /** Ids of the engines in the last write; accessed only by the caller of {@link #store}. */
     private Set<String> cachedIds = Set.of();
 
     EngineCacheFile(Path file, Executor pool) {
@@ -41,10 +41,10 @@
         this.pool = pool;
     }
 
-    /** The engines in the file, empty if there is none that can be read. */
+    /** Returns the engines in the file, empty if the file is missing or unreadable. */
     List<Fact> load() {
         try {
-            if (!Files.exists(file) || Files.size(file) > FILE_MAX) {
+            if (!Files.exists(file) || Files.size(file) > MAX_FILE_BYTES) {
                 return List.of();
             }
             ByteBuffer content = ByteBuffer.wrap(Files.readAllBytes(file));
@@ -54,15 +54,15 @@
             if (checksum(body) != checksum || !(Codec.decode(body) instanceof News news)) {
                 return List.of();
             }
-            return news.items().stream().allMatch(EngineCacheFile::isEngine) ? news.items() : List.of();
-        } catch (IOException | RuntimeException unreadable) {
-            LOG.atInfo().log("no engines kept: %s", unreadable);
+            return news.items().stream().allMatch(EngineCacheFile::isReadableEngine) ? news.items() : List.of();
+        } catch (IOException | RuntimeException failure) {
+            LOG.atInfo().log("cannot load the engine cache: %s", failure);
             return List.of();
         }
     }
 
-    /** Throws if it cannot be read, such as what another version wrote. */
-    private static boolean isEngine(Fact fact) {
+    /** Throws if the value cannot be decoded, for example because another version wrote it. */
+    private static boolean isReadableEngine(Fact fact) {
         return fact.kind() == FactKind.ENGINE && Codec.decode(fact.value()) instanceof Engine;
     }
 
@@ -72,11 +72,13 @@
         return (int) crc.getValue();
     }
 
-    /** Writes if other engines are there than last time; a disk that hangs holds up nobody else. */
+    /**
+     * Writes the file if the set of engines changed. Runs on the executor, so a hung disk does not block the caller.
+     */
     void store(Collection<Fact> engines) {
         Set<String> ids = new TreeSet<>();
         engines.forEach(engine -> ids.add(engine.key()));
-        if (ids.equals(cachedIds) || !writing.compareAndSet(false, true)) {
+        if (ids.equals(cachedIds) || !writeInProgress.compareAndSet(false, true)) {
             return;
         }
         cachedIds = ids;
@@ -84,10 +86,10 @@
         pool.execute(() -> {
             try {
                 write(body);
-            } catch (IOException notWritten) {
-                LOG.atInfo().log("engines not kept: %s", notWritten);
+            } catch (IOException failure) {
+                LOG.atInfo().log("cannot write the engine cache: %s", failure);
             } finally {
-                writing.set(false);
+                writeInProgress.set(false);
             }
         });
     }
@@ -97,8 +99,8 @@
                 .putInt(checksum(body))
                 .put(body)
                 .array();
-        Path next = file.resolveSibling(NEXT_NAME);
-        Files.write(next, content);
-        Files.move(next, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        Path tempFile = file.resolveSibling(TEMP_FILE_NAME);
+        Files.write(tempFile, content);
+        Files.move(tempFile, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 }
--- a/src/main/java/ringspindle/controlplane/EngineRegistry.java
+++ b/src/main/java/ringspindle/controlplane/EngineRegistry.java
@@ -12,7 +12,10 @@
 import ringspindle.protocol.Message.View;
 import ringspindle.rollout.RolloutPlanner;
 
-/** Engines as they register here and as facts of the fleet. Thread safe; without state of its own. */
+/**
+ * Handles engine registrations and answers queries about engines from the facts of the fleet. Thread safe and
+ * stateless.
+ */
 public final class EngineRegistry {
     private final FleetState fleet;
     private final ServingState serving;
@@ -25,10 +28,10 @@
     }
 
     /**
-     * Takes an engine's heartbeat, which is spread only if it says something new.
+     * Records an engine's heartbeat; it is disseminated only if it contains a change.
      *
-     * @param sequence the number of the heartbeat, which rises while the engine lives
-     * @return false if this node cannot vouch for it now
+     * @param sequence the heartbeat number, which increases over the lifetime of the engine process
+     * @return false if this node has no quorum and cannot accept heartbeats
      */
     public boolean heartbeat(String id, Engine engine, long sequence) {
         synchronized (fleet.lock) {
@@ -40,7 +43,7 @@
         }
     }
 
-    /** Notes how many requests an engine still runs or queues, for operators who follow a roll-out. */
+    /** Records how many requests an engine is still running or queueing, for operators who monitor a rollout. */
     public void recordReport(String id, int active, int queued) {
         View view = replication.view();
         if (view == null) {
@@ -58,14 +61,14 @@
         }
     }
 
-    /** The engines of a service, for roll-outs. */
+    /** Returns the engines of a service, for rollouts. */
     public List<RolloutPlanner.Member> members(String service) {
         synchronized (fleet.lock) {
             return fleet.facts().rolloutMembers(service);
         }
     }
 
-    /** An engine's address, null if it is not known. */
+    /** Returns the address of an engine, null if it is unknown. */
     String address(String id) {
         Fact fact = fleet.read(store -> store.get(FactKind.ENGINE, id));
         return fact == null ? null : ((Engine) Codec.decode(fact.value())).address();
--- a/src/main/java/ringspindle/controlplane/EngineReportClient.java
+++ b/src/main/java/ringspindle/controlplane/EngineReportClient.java
@@ -14,39 +14,39 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Asks engines how many requests they still run. The HTTP client is started when first needed, as most nodes never are.
- * Thread safe.
+ * Asks engines how many requests they are still running. The HTTP client is started lazily because most nodes never
+ * need it. Thread safe.
  */
 public final class EngineReportClient {
-    private static final String PATH = "/ringspindle/report";
+    private static final String REPORT_PATH = "/ringspindle/report";
     private static final int TIMEOUT_MS = 800;
-    private static final int BODY_MAX = 64 << 10;
+    private static final int MAX_BODY_BYTES = 64 << 10;
 
-    /** Where reports go. */
+    /** Receives the reports of engines. */
     @FunctionalInterface
     public interface Listener {
-        /** An engine said how many requests it runs and queues; called by threads of the pool. */
+        /** Called on a pool thread with the number of requests that an engine runs and queues. */
         void reported(String id, int active, int queued);
     }
 
     private final LazyHttpClient client;
     private volatile Listener listener = (id, active, queued) -> {};
 
-    /** Asks on those threads; nobody hears the answers until {@link #listener} is called. */
+    /** Creates a client that uses the given threads. Reports are discarded until {@link #listener} is called. */
     public EngineReportClient(Executor pool, Scheduler scheduler) {
         client = new LazyHttpClient(pool, scheduler, TIMEOUT_MS);
     }
 
-    /** Sets who hears of reports; {@code reports.listener(engines::reported)}. */
+    /** Sets the listener of reports, for example {@code reports.listener(engines::recordReport)}. */
     public EngineReportClient listener(Listener newListener) {
         listener = newListener;
         return this;
     }
 
     /**
-     * Asks an engine; without a proper answer the listener hears nothing.
+     * Requests a report from an engine. The listener is not called if the engine gives no valid response.
      *
-     * @param address the engine's address, null if it is not known: then nobody is asked
+     * @param address the engine's address, or null if it is unknown, in which case no request is sent
      */
     void request(String id, String address) {
         if (address == null) {
@@ -54,27 +54,27 @@
         }
         try {
             client.get()
-                    .newRequest(URI.create("http://" + address + PATH))
+                    .newRequest(URI.create("http://" + address + REPORT_PATH))
                     .timeout(TIMEOUT_MS, TimeUnit.MILLISECONDS)
-                    .send(new BufferingResponseListener(BODY_MAX) {
+                    .send(new BufferingResponseListener(MAX_BODY_BYTES) {
                         @Override
                         public void onComplete(Result result) {
                             if (result.isSucceeded() && result.getResponse().getStatus() == HttpStatus.OK_200) {
-                                read(id, getContentAsString());
+                                parseReport(id, getContentAsString());
                             }
                         }
                     });
-        } catch (Exception failed) {
-            // the roll-out asks again in a moment
+        } catch (Exception failure) {
+            // the rollout task will ask again
         }
     }
 
-    private void read(String id, String json) {
+    private void parseReport(String id, String json) {
         try (JsonReader reader = JsonProvider.provider().createReader(new StringReader(json))) {
             JsonObject report = reader.readObject();
             listener.reported(id, report.getInt("active", 0), report.getInt("queued", 0));
-        } catch (JsonException | ClassCastException noReport) {
-            // the roll-out asks again in a moment
+        } catch (JsonException | ClassCastException malformed) {
+            // the rollout task will ask again
         }
     }
 }
--- a/src/main/java/ringspindle/controlplane/ExperimentTask.java
+++ b/src/main/java/ringspindle/controlplane/ExperimentTask.java
@@ -26,21 +26,22 @@
 import ringspindle.replication.CallKind;
 
 /**
- * Passes outcomes of experiments on, and has the head of the view judge them, one order at a time under its epoch. Without an
- * open experiment it does nothing. Called by the tick alone.
+ * Distributes outcome summaries of experiments. On the head of the view it also evaluates the experiments and submits
+ * orders, one at a time and tagged with the epoch of the view. Does nothing without an open experiment. Called only by
+ * the tick.
  */
 final class ExperimentTask {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private static final int JUDGE_TICKS = 5;
-    private static final int SUM_TICKS = 10;
+    private static final int EVALUATION_PERIOD_TICKS = 5;
+    private static final int SUMMARY_PERIOD_TICKS = 10;
 
     private final NodeContext context;
     private final long incarnation;
     private final FleetState fleet;
     private final ReplicationDriver replication;
     private final Map<Long, ExperimentWatch> watches = new HashMap<>();
-    private long sequence;
-    /** Written by the tick, and by the thread that learns the outcome. */
+    private long summarySequence;
+    /** Written by the tick and by the thread that receives the outcome. */
     private volatile boolean orderPending;
 
     ExperimentTask(NodeContext context, long incarnation, FleetState fleet, ReplicationDriver replication) {
@@ -50,27 +51,27 @@
         this.replication = replication;
     }
 
-    /** Passes sums on, and gives the next order if this node leads. */
+    /** Sends summaries, and submits the next order if this node is the head of the view. */
     void tick(View view, boolean quorate, long ticks, long nowMs) {
-        if (ticks % JUDGE_TICKS != 0) {
+        if (ticks % EVALUATION_PERIOD_TICKS != 0) {
             return;
         }
         List<Experiment> open = openExperiments();
         Set<Long> ids = new HashSet<>();
         open.forEach(experiment -> ids.add(experiment.id()));
-        boolean leads = view != null && quorate && view.head().equals(context.me());
-        if (!leads) {
+        boolean isHead = view != null && quorate && view.head().equals(context.me());
+        if (!isHead) {
             watches.clear();
         }
         watches.keySet().retainAll(ids);
         synchronized (fleet.lock) {
             fleet.outcomes().retain(ids);
-            if (!open.isEmpty() && view != null && ticks % SUM_TICKS == 0) {
-                sendSums(view.head());
+            if (!open.isEmpty() && view != null && ticks % SUMMARY_PERIOD_TICKS == 0) {
+                sendSummaries(view.head());
             }
         }
-        if (leads && !orderPending) {
-            judge(open, view.epoch(), nowMs);
+        if (isHead && !orderPending) {
+            evaluate(open, view.epoch(), nowMs);
         }
     }
 
@@ -85,21 +86,24 @@
         return open;
     }
 
-    /** The head needs all sums; control nodes of the region drop what another has newer. The fleet's lock is held. */
-    private void sendSums(NodeId head) {
-        sequence++;
-        List<Outcomes> sums = fleet.outcomes().ownSums(incarnation, sequence);
+    /**
+     * Sends summaries to the head, which needs all of them, and to the control nodes of this region, which discard
+     * reports of which this node has a newer version. The caller holds the fleet lock.
+     */
+    private void sendSummaries(NodeId head) {
+        summarySequence++;
+        List<Outcomes> summaries = fleet.outcomes().ownSums(incarnation, summarySequence);
         for (SessionTable.Peer peer : fleet.sessions().peers()) {
-            boolean near = peer.hello().region().equals(context.config().region());
-            boolean wanted = peer.hello().kind() == NodeKind.CONTROL
-                    && (near || peer.hello().node().equals(head));
-            if (wanted) {
-                sums.forEach(sum -> context.mesh().send(peer.hello().node(), sum));
+            boolean sameRegion = peer.hello().region().equals(context.config().region());
+            boolean recipient = peer.hello().kind() == NodeKind.CONTROL
+                    && (sameRegion || peer.hello().node().equals(head));
+            if (recipient) {
+                summaries.forEach(summary -> context.mesh().send(peer.hello().node(), summary));
             }
         }
     }
 
-    private void judge(List<Experiment> open, long epoch, long nowMs) {
+    private void evaluate(List<Experiment> open, long epoch, long nowMs) {
         int regions = context.config().regions().size();
         for (Experiment experiment : open) {
             ExperimentWatch watch =
@@ -119,13 +123,13 @@
     private void submit(Experiment experiment, JudgeOrder order, long epoch) {
         LOG.atInfo()
                 .with(LogField.REASON, order)
-                .log("order on experiment %s", experiment.plan().name());
+                .log("submitting order for experiment %s", experiment.plan().name());
         orderPending = true;
         replication.call(
                 CallKind.EXPERIMENT,
                 0,
                 experiment.plan().name(),
                 order.body(epoch, experiment.id()),
-                (outcome, body) -> orderPending = false);
+                (outcome, reply) -> orderPending = false);
     }
 }
--- a/src/main/java/ringspindle/controlplane/FactHandler.java
+++ b/src/main/java/ringspindle/controlplane/FactHandler.java
@@ -9,7 +9,7 @@
 import ringspindle.protocol.Message.News;
 import ringspindle.protocol.NodeId;
 
-/** Handles the messages by which nodes spread facts. Thread safe; without state of its own. */
+/** Handles the messages that disseminate facts. Thread safe and stateless. */
 final class FactHandler {
     private final FleetState fleet;
     private final ServingState serving;
@@ -19,20 +19,20 @@
         this.serving = serving;
     }
 
-    /** Facts came; those that cannot be read are refused before the first is taken. */
+    /** Merges received facts. All are validated before the first is merged. */
     void received(NodeId from, News news) {
         FactValidator.check(news.items());
-        // what is committed a control node knows by itself, and not before it has merged it
-        List<Fact> told = news.items().stream()
+        // a control node derives COMMITTED from its own replicated state, once it has merged that state
+        List<Fact> accepted = news.items().stream()
                 .filter(fact -> fact.kind() != FactKind.COMMITTED)
                 .toList();
         synchronized (fleet.lock) {
-            fleet.facts().merge(told);
+            fleet.facts().merge(accepted);
             fleet.facts().store().markKnown(from, news.items());
         }
     }
 
-    /** A peer says what it knows: it is sent the facts that differ. */
+    /** Compares the digest of a peer with the local facts and sends the peer those that differ. */
     void received(NodeId from, Digest digest) {
         synchronized (fleet.lock) {
             fleet.dissemination().repair(from, digest, serving.quorate());
--- a/src/main/java/ringspindle/controlplane/FleetQueries.java
+++ b/src/main/java/ringspindle/controlplane/FleetQueries.java
@@ -20,14 +20,14 @@
 import ringspindle.protocol.NodeKind;
 import ringspindle.telemetry.LoadSummary;
 
-/** What engines, clients and operators ask of the fleet. Thread safe; without state of its own. */
+/** Answers queries of engines, clients and operators about the fleet. Thread safe and stateless. */
 public final class FleetQueries {
     /**
-     * A session, as operators see it.
+     * A session as shown to operators.
      *
-     * @param hello what the peer says of itself
-     * @param linked both sides heard each other lately
-     * @param ready the peer says that it takes requests
+     * @param hello the identity announced by the peer
+     * @param linked heartbeats were exchanged recently in both directions
+     * @param ready the peer announces that it accepts requests
      */
     public record Session(Hello hello, boolean linked, boolean ready) {}
 
@@ -42,29 +42,30 @@
     }
 
     /**
-     * Data nodes for a client, by {@link FrontendResolver}.
+     * Selects data nodes for a client with {@link FrontendResolver}.
      *
-     * @param host the host that the client asks for
+     * @param host the host that the client wants to connect to
      */
     public Resolution resolve(String host, String region, String zone) {
         synchronized (fleet.lock) {
             long nowMs = context.nowMs();
             fleet.sessions().advance(nowMs);
-            boolean inTouch = quorum.majorityReachable(nowMs);
+            boolean majorityReachable = quorum.majorityReachable(nowMs);
             Resolution resolution = fleet.frontends()
-                    .resolve(region, zone, () -> fleet.homeRegions().of(host), inTouch, nowMs);
-            fleet.resolutions().answered(region, resolution.scope(), () -> basis(host, inTouch, nowMs));
+                    .resolve(region, zone, () -> fleet.homeRegions().of(host), majorityReachable, nowMs);
+            fleet.resolutions()
+                    .answered(region, resolution.scope(), () -> describeBasis(host, majorityReachable, nowMs));
             return resolution;
         }
     }
 
-    /** What an answer of the directory rests on, for a log line. */
-    private String basis(String host, boolean inTouch, long nowMs) {
-        return (inTouch ? "in touch" : "cut off") + "; " + fleet.homeRegions().of(host) + "; "
-                + fleet.dataNodes().describe(inTouch, nowMs);
+    /** Describes the inputs of a resolution, for a log line. */
+    private String describeBasis(String host, boolean majorityReachable, long nowMs) {
+        return (majorityReachable ? "majority reachable" : "majority unreachable") + "; "
+                + fleet.homeRegions().of(host) + "; " + fleet.dataNodes().describe(majorityReachable, nowMs);
     }
 
-    /** How many answers of the directory this node has given, by scope. */
+    /** Returns the number of resolutions answered by this node, by scope. */
     public Map<String, Long> resolutionCounts() {
         synchronized (fleet.lock) {
             return fleet.resolutions().counts();
@@ -72,8 +73,8 @@
     }
 
     /**
-     * The address of the control node that an engine of a zone should call: one in its zone, else in its region; empty if
-     * this node will do.
+     * Returns the address of the control node that an engine of a zone should call: one in its zone, else one in its
+     * region. Empty if no other node is closer than this one.
      */
     public String nearestControlNode(String zone) {
         NodeConfig settings = context.config();
@@ -96,24 +97,24 @@
         return best == null ? "" : new NodeId(best.front()).toString();
     }
 
-    /** What control nodes in touch last said that they hold. */
+    /** Returns the state that linked control nodes reported in their latest heartbeats. */
     public List<ShutdownHandover.PeerState> peerStates() {
-        List<ShutdownHandover.PeerState> holders = new ArrayList<>();
+        List<ShutdownHandover.PeerState> peers = new ArrayList<>();
         synchronized (fleet.lock) {
             fleet.sessions().advance(context.nowMs());
             for (SessionTable.Peer peer : fleet.sessions().peers()) {
                 if (peer.hello().kind() == NodeKind.CONTROL && peer.linked()) {
                     Heartbeat newest = peer.heartbeat();
-                    boolean blank = newest.flags().has(NodeFlags.RELEARNING);
-                    holders.add(
-                            new ShutdownHandover.PeerState(peer.hello().node(), newest.epoch(), newest.seq(), blank));
+                    boolean relearning = newest.flags().has(NodeFlags.RELEARNING);
+                    peers.add(new ShutdownHandover.PeerState(
+                            peer.hello().node(), newest.epoch(), newest.seq(), relearning));
                 }
             }
         }
-        return holders;
+        return peers;
     }
 
-    /** All sessions of this node. */
+    /** Returns all sessions of this node. */
     public List<Session> sessions() {
         List<Session> sessions = new ArrayList<>();
         synchronized (fleet.lock) {
@@ -125,35 +126,35 @@
         return sessions;
     }
 
-    /** Data nodes as known here, and whether their facts still hold. */
+    /** Returns the known data nodes, and whether the facts about them are still valid. */
     public Map<DataNodeFact, Boolean> dataNodes() {
         synchronized (fleet.lock) {
             return fleet.dataNodes().all(context.nowMs());
         }
     }
 
-    /** How many data nodes take requests, as known here. */
+    /** Returns the number of known data nodes that accept requests. */
     public int readyDataNodes() {
         synchronized (fleet.lock) {
             return fleet.dataNodes().readyCount();
         }
     }
 
-    /** The newest request ledgers of the data nodes that report here, by node. */
+    /** Returns the latest request ledgers of the data nodes that report to this node, by node. */
     public Map<NodeId, List<LedgerReportStore.Entry>> ledgerReports() {
         synchronized (fleet.lock) {
             return fleet.ledgerReports().all();
         }
     }
 
-    /** The load as this node last summed it. */
+    /** Returns the total load as last computed by this node. */
     public LoadSummary load() {
         synchronized (fleet.lock) {
             return fleet.loads().total();
         }
     }
 
-    /** Milliseconds since a fact last changed, as this node saw it; of engines since they were last heard. */
+    /** Returns the milliseconds since this node saw a fact change; for engines, since their last heartbeat. */
     public long ageMs(FactKind kind, String key) {
         synchronized (fleet.lock) {
             return fleet.facts().ageMs(kind, key);
--- a/src/main/java/ringspindle/controlplane/GroupCommitWriter.java
+++ b/src/main/java/ringspindle/controlplane/GroupCommitWriter.java
@@ -15,32 +15,38 @@
 import ringspindle.transport.FatalErrors;
 
 /**
- * Writes records in order and in groups; a disk that hangs holds up only this thread. What a group wrote is told and never
- * written again, so a refused write does not repeat those before it.
+ * Writes records in order and in groups (group commit). A hung disk blocks only the thread of this writer. The records
+ * of a group are acknowledged once written and never written again, so a failed write does not repeat earlier ones.
  */
 final class GroupCommitWriter implements Runnable {
-    /** While the disk takes snapshots, the log is at most this long, and one record. */
-    static final long LOG_MAX = 4 << 20;
+    /** Maximum size of the log, which one record may exceed, as long as the disk accepts snapshots. */
+    static final long MAX_LOG_BYTES = 4 << 20;
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final long RETRY_MS = 200;
-    private static final int SMALL_RECORD = 512;
+    private static final int RECORD_OVERHEAD_BYTES = 512;
 
     private final Disk disk;
     private final BlockingQueue<RecordLog.Write> queue = new LinkedBlockingQueue<>();
     private final List<RecordLog.Write> backlog = new ArrayList<>();
-    private final LongConsumer stored;
-    private final Runnable compact;
-    private boolean compacting;
+    private final LongConsumer onStored;
+    private final Runnable requestCompaction;
+    private boolean compactionPending;
 
-    /** {@code compact} takes a snapshot of what counts, with token {@link RecordLog#COMPACTION}, in order with the other records. */
-    GroupCommitWriter(Disk disk, LongConsumer stored, Runnable compact) {
+    /**
+     * Creates a writer for the disk.
+     *
+     * @param onStored called with the token of each write that has been synced
+     * @param requestCompaction called when the log should be replaced; must add a snapshot of the current state with
+     *     token {@link RecordLog#COMPACTION}, in order with the other records
+     */
+    GroupCommitWriter(Disk disk, LongConsumer onStored, Runnable requestCompaction) {
         this.disk = disk;
-        this.stored = stored;
-        this.compact = compact;
+        this.onStored = onStored;
+        this.requestCompaction = requestCompaction;
     }
 
-    /** Queues records; never waits for the disk. */
+    /** Queues records without waiting for the disk. */
     void add(RecordLog.Write records) {
         queue.add(records);
     }
@@ -56,91 +62,94 @@
                     Thread.sleep(RETRY_MS);
                 }
             }
-        } catch (InterruptedException x) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-        } catch (Error e) {
-            FatalErrors.end("writing to disk", e);
+        } catch (Error error) {
+            FatalErrors.end("writing to disk", error);
         }
     }
 
-    /** Writes one group of what was taken; false if the disk refuses it, and it is to be tried again. */
+    /** Writes one group of the queued records; returns false if the write failed and must be retried. */
     boolean writeNext() {
         queue.drainTo(backlog);
-        int snapshot = lastSnapshot();
-        List<RecordLog.Write> group = List.copyOf(snapshot >= 0 ? backlog.subList(0, snapshot + 1) : appendable());
+        int snapshotIndex = lastSnapshotIndex();
+        List<RecordLog.Write> group =
+                List.copyOf(snapshotIndex >= 0 ? backlog.subList(0, snapshotIndex + 1) : appendableGroup());
         try {
-            if (snapshot >= 0) {
-                disk.snapshot(backlog.get(snapshot).records());
-                compacting = false;
+            if (snapshotIndex >= 0) {
+                disk.snapshot(backlog.get(snapshotIndex).records());
+                compactionPending = false;
             } else {
                 disk.append(group.stream()
                         .flatMap(write -> write.records().stream())
                         .toList());
             }
-        } catch (IOException refused) {
-            LOG.atWarning().log("disk refuses: %s", refused);
-            retryAfter(snapshot);
+        } catch (IOException failure) {
+            LOG.atWarning().log("disk write failed: %s", failure);
+            prepareRetry(snapshotIndex);
             return false;
         }
         backlog.subList(0, group.size()).clear();
         group.stream()
                 .filter(write -> write.token() != RecordLog.COMPACTION)
-                .forEach(write -> stored.accept(write.token()));
-        if (disk.logBytes() > LOG_MAX) {
+                .forEach(write -> onStored.accept(write.token()));
+        if (disk.logBytes() > MAX_LOG_BYTES) {
             compactOnce();
         }
         return true;
     }
 
-    private void retryAfter(int snapshot) {
-        if (snapshot < 0) {
-            // the log is full, or broken: a snapshot does without it
+    private void prepareRetry(int snapshotIndex) {
+        if (snapshotIndex < 0) {
+            // the log may be full or broken: a snapshot does not need it
             compactOnce();
-        } else if (backlog.get(snapshot).token() == RecordLog.COMPACTION) {
-            // perhaps there is room for the records themselves
-            backlog.remove(snapshot);
-            compacting = false;
+        } else if (backlog.get(snapshotIndex).token() == RecordLog.COMPACTION) {
+            // there may still be room for the records themselves
+            backlog.remove(snapshotIndex);
+            compactionPending = false;
         }
     }
 
     private void compactOnce() {
-        if (!compacting) {
-            compacting = true;
-            compact.run();
+        if (!compactionPending) {
+            compactionPending = true;
+            requestCompaction.run();
         }
     }
 
-    /** Index of the last snapshot: all before it need not be written. */
-    private int lastSnapshot() {
-        int last = backlog.size() - 1;
-        while (last >= 0 && !backlog.get(last).snapshot()) {
-            last--;
+    /** Returns the index of the last queued snapshot, -1 without one. Records before it need not be written. */
+    private int lastSnapshotIndex() {
+        int index = backlog.size() - 1;
+        while (index >= 0 && !backlog.get(index).snapshot()) {
+            index--;
         }
-        return last;
+        return index;
     }
 
-    /** As many as fit the log, one at least. */
-    private List<RecordLog.Write> appendable() {
+    /** Returns the queued writes that fit into the log, at least one. */
+    private List<RecordLog.Write> appendableGroup() {
         long bytes = disk.logBytes();
         int count = 0;
-        while (count < backlog.size() && (count == 0 || bytes + bytes(backlog.get(count)) <= LOG_MAX)) {
-            bytes += bytes(backlog.get(count));
+        while (count < backlog.size() && (count == 0 || bytes + estimatedBytes(backlog.get(count)) <= MAX_LOG_BYTES)) {
+            bytes += estimatedBytes(backlog.get(count));
             count++;
         }
         return backlog.subList(0, count);
     }
 
-    private static long bytes(RecordLog.Write write) {
-        return write.records().stream().mapToLong(GroupCommitWriter::bytes).sum();
+    private static long estimatedBytes(RecordLog.Write write) {
+        return write.records().stream()
+                .mapToLong(GroupCommitWriter::estimatedBytes)
+                .sum();
     }
 
-    private static long bytes(Message record) {
-        if (record instanceof Entry e) {
-            return (long) SMALL_RECORD + e.op().length;
+    private static long estimatedBytes(Message record) {
+        if (record instanceof Entry entry) {
+            return (long) RECORD_OVERHEAD_BYTES + entry.op().length;
         }
         if (record instanceof CounterAdds adds) {
-            return (long) SMALL_RECORD * adds.items().size();
+            return (long) RECORD_OVERHEAD_BYTES * adds.items().size();
         }
-        return record instanceof State s ? SMALL_RECORD + s.config().length : SMALL_RECORD;
+        return record instanceof State state ? RECORD_OVERHEAD_BYTES + state.config().length : RECORD_OVERHEAD_BYTES;
     }
 }
--- a/src/main/java/ringspindle/controlplane/HeadDuties.java
+++ b/src/main/java/ringspindle/controlplane/HeadTasks.java
@@ -2,16 +2,18 @@
 
 import ringspindle.protocol.Message.View;
 
-/** The singleton roles of the head of the view that are carried out by orders: roll-outs, experiments, the
- * placement of shards and reports on usage. Called by the tick alone. */
-final class HeadDuties {
+/**
+ * Runs the tasks that only the head of the view performs and that submit orders: rollouts, experiments, shard placement
+ * and usage reports. Called only by the tick.
+ */
+final class HeadTasks {
     private final RolloutTask rollouts;
     private final ExperimentTask experiments;
     private final ShardTask shards;
     private final MeteringTask metering;
     private final VersionRolloutTask versions;
 
-    HeadDuties(
+    HeadTasks(
             RolloutTask rollouts,
             ExperimentTask experiments,
             ShardTask shards,
@@ -25,14 +27,14 @@
     }
 
     /**
-     * Does what is due.
+     * Runs the tasks that are due.
      *
-     * @param view the newest view, null if unknown
-     * @param quorate this node is up to date
-     * @param hearsEngines it has heard engines for long enough to judge them
+     * @param view the latest view, null if unknown
+     * @param quorate true if this node has a quorum and is up to date
+     * @param engineHeartbeatsReceived true if this node has received engine heartbeats long enough to evaluate engines
      */
-    void tick(View view, boolean quorate, boolean hearsEngines, long ticks, long nowMs) {
-        rollouts.tick(view, quorate && hearsEngines, ticks, nowMs);
+    void tick(View view, boolean quorate, boolean engineHeartbeatsReceived, long ticks, long nowMs) {
+        rollouts.tick(view, quorate && engineHeartbeatsReceived, ticks, nowMs);
         experiments.tick(view, quorate, ticks, nowMs);
         shards.tick(view, quorate, ticks, nowMs);
         metering.tick(view, quorate, ticks, nowMs);
--- a/src/main/java/ringspindle/controlplane/HeartbeatExchange.java
+++ b/src/main/java/ringspindle/controlplane/HeartbeatExchange.java
@@ -8,7 +8,7 @@
 import ringspindle.protocol.NodeId;
 import ringspindle.protocol.NodeKind;
 
-/** Sends this node's heartbeats and handles those of peers. Thread safe; without state of its own. */
+/** Sends the heartbeats of this node and handles those of peers. Thread safe and stateless. */
 final class HeartbeatExchange {
     private final NodeContext context;
     private final FleetState fleet;
@@ -22,46 +22,51 @@
         this.serving = serving;
     }
 
-    /** Tells a peer how this node is. */
-    void send(NodeId to) {
+    /** Sends a peer a heartbeat with the status of this node. */
+    void send(NodeId recipient) {
         ReplicationDriver.Status status = replication.status();
-        NodeFlags flags = flags(status.blank());
+        NodeFlags flags = flags(status.relearning());
         synchronized (fleet.lock) {
             long digest = fleet.facts().store().digest();
             context.mesh()
                     .send(
-                            to,
+                            recipient,
                             fleet.sessions()
                                     .nextHeartbeat(
-                                            to, flags, status.epoch(), status.sequence(), digest, context.nowMs()));
+                                            recipient,
+                                            flags,
+                                            status.epoch(),
+                                            status.sequence(),
+                                            digest,
+                                            context.nowMs()));
         }
     }
 
-    private NodeFlags flags(boolean blank) {
+    private NodeFlags flags(boolean relearning) {
         return (serving.leaving() ? NodeFlags.LEAVING : NodeFlags.READY)
                 .and(NodeFlags.QUORATE.when(serving.quorate()))
-                .and(NodeFlags.RELEARNING.when(blank))
+                .and(NodeFlags.RELEARNING.when(relearning))
                 .and(NodeFlags.COUNTERS)
                 .and(NodeFlags.FRAGMENTS);
     }
 
-    /** A peer's heartbeat came. */
+    /** Handles a heartbeat of a peer. */
     void received(NodeId from, Heartbeat heartbeat, long nowMs) {
         synchronized (fleet.lock) {
             fleet.sessions().received(from, heartbeat, nowMs);
             SessionTable.Peer peer = fleet.sessions().peer(from);
             if (peer != null) {
-                noted(peer, heartbeat);
+                recordHeartbeat(peer, heartbeat);
             }
         }
         if (heartbeat.echo() == 0) {
-            // a new connection: the sooner both know that they hear each other, the better
+            // new connection: reply at once so that both sides learn early that the link works in both directions
             send(from);
         }
     }
 
-    /** Called with the fleet's lock held. */
-    private void noted(SessionTable.Peer peer, Heartbeat heartbeat) {
+    /** Updates data nodes and dissemination from a heartbeat. The caller holds the fleet lock. */
+    private void recordHeartbeat(SessionTable.Peer peer, Heartbeat heartbeat) {
         if (peer.hello().kind() != NodeKind.CONTROL) {
             fleet.dataNodes().heard(peer, heartbeat);
         }
--- a/src/main/java/ringspindle/controlplane/LazyHttpClient.java
+++ b/src/main/java/ringspindle/controlplane/LazyHttpClient.java
@@ -6,12 +6,12 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 import ringspindle.transport.PlainConnector;
 
-/** An HTTP client that is started when first needed, as most nodes never need it. Thread safe. */
+/** Holds an HTTP client that is started on first use because most nodes never need it. Thread safe. */
 final class LazyHttpClient {
     private final Executor pool;
     private final Scheduler scheduler;
     private final int connectTimeoutMs;
-    /** Null until first needed; guarded by this. */
+    /** Null until first use; guarded by this. */
     private HttpClient client;
 
     LazyHttpClient(Executor pool, Scheduler scheduler, int connectTimeoutMs) {
@@ -21,9 +21,9 @@
     }
 
     /**
-     * The client, which runs.
+     * Returns the started client.
      *
-     * @throws Exception if it cannot start
+     * @throws Exception if the client cannot be started
      */
     synchronized HttpClient get() throws Exception {
         if (client == null) {
--- a/src/main/java/ringspindle/controlplane/LoadHandler.java
+++ b/src/main/java/ringspindle/controlplane/LoadHandler.java
@@ -9,7 +9,7 @@
 import ringspindle.protocol.NodeId;
 import ringspindle.protocol.NodeKind;
 
-/** Handles reports of load and of requests. Thread safe; without state of its own. */
+/** Handles reports about load and requests. Thread safe and stateless. */
 final class LoadHandler {
     private final FleetState fleet;
 
@@ -17,21 +17,21 @@
         this.fleet = fleet;
     }
 
-    /** What a data node, or a control node of this region, saw of engines. */
+    /** Handles a report on engines from a data node or from a control node of this region. */
     void received(NodeId from, Report report, long nowMs) {
         synchronized (fleet.lock) {
             fleet.loads().reported(from, report, nowMs);
         }
     }
 
-    /** What became of a data node's requests. */
+    /** Handles the request ledger of a data node. */
     void received(NodeId from, LedgerReport report) {
         synchronized (fleet.lock) {
             fleet.ledgerReports().put(from, report);
         }
     }
 
-    /** What a data node counted of experiments, or a control node summed. */
+    /** Handles experiment outcomes counted by a data node or summed by a control node. */
     void received(NodeId from, Outcomes outcomes, long nowMs) {
         synchronized (fleet.lock) {
             SessionTable.Peer peer = fleet.sessions().peer(from);
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Another region's load. */
+    /** Handles the load of another region. */
     void received(Load load, long nowMs) {
         synchronized (fleet.lock) {
             fleet.loads().heard(load, nowMs);
--- a/src/main/java/ringspindle/controlplane/MessageDispatcher.java
+++ b/src/main/java/ringspindle/controlplane/MessageDispatcher.java
@@ -23,7 +23,7 @@
 import ringspindle.protocol.TenantMessage.UsageReport;
 import ringspindle.transport.Mesh;
 
-/** Takes what comes over the mesh and passes each message to the handler of its family. Called by threads of the pool. */
+/** Routes each message received over the mesh to the handler for its type. Called by pool threads. */
 final class MessageDispatcher implements Mesh.Listener {
     private final NodeContext context;
     private final FleetState fleet;
@@ -77,7 +77,7 @@
         if (message instanceof Heartbeat heartbeat) {
             heartbeats.received(from, heartbeat, nowMs);
             if (heartbeat.flags().has(NodeFlags.COUNTERS)) {
-                counters.introduced(from, nowMs);
+                counters.peerReplicaDiscovered(from, nowMs);
             }
         } else if (message instanceof News news) {
             facts.received(from, news);
@@ -110,7 +110,7 @@
     public void closed(NodeId peer) {
         synchronized (fleet.lock) {
             if (context.mesh().connected(peer)) {
-                // a newer connection stands already, and the session is its own or is about to be
+                // a newer connection already exists, and the session belongs to it or soon will
                 return;
             }
             SessionTable.Peer session = fleet.sessions().peer(peer);
--- a/src/main/java/ringspindle/controlplane/MeteringTask.java
+++ b/src/main/java/ringspindle/controlplane/MeteringTask.java
@@ -19,22 +19,24 @@
 import ringspindle.time.FilteredWallClock;
 
 /**
- * Has the head of the view report usage to the platform: the counts of a window are decided by a majority before they are first sent,
- * and what was decided is sent until it is taken. Called by the tick; answers come on threads of the pool.
+ * Reports usage to the platform while this node is the head of the view. The counts of a window are committed by a
+ * majority before they are first sent, and committed counts are sent until the platform accepts them. Called by the
+ * tick; responses are handled on pool threads.
  */
 final class MeteringTask {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** Reports of data nodes are waited for so long after the end of a window. */
-    private static final int SETTLE_MS = 2500;
+    /** Time after the end of a window to wait for the reports of data nodes. */
+    private static final int REPORT_SETTLE_MS = 2500;
 
-    /** What a head that takes over waits beyond the time within which the role must not go back and forth. */
+    /** Margin that a new head waits beyond the period within which the reporting role must not move back and forth. */
     private static final int TAKEOVER_MARGIN_MS = 300;
 
     private static final int PERIOD_TICKS = 3;
-    private static final int BACKOFF_MS = 300;
-    private static final int BACKOFF_MAX_MS = 2400;
-    private static final String PATH = "/metering";
-    private static final long NONE = Long.MIN_VALUE;
+    private static final int INITIAL_BACKOFF_MS = 300;
+    private static final int MAX_BACKOFF_MS = 2400;
+    private static final int REJECTION_LOG_PERIOD_S = 5;
+    private static final String METERING_PATH = "/metering";
+    private static final long NO_WINDOW = Long.MIN_VALUE;
 
     private final NodeContext context;
     private final ReplicationDriver replication;
@@ -43,12 +45,12 @@
     private final PlatformClient platform;
     private final DutyLease lease;
     private final FilteredWallClock wallClock;
-    private final AtomicBoolean busy = new AtomicBoolean();
-    /** The last window that the platform took from this node. */
-    private volatile long taken = NONE;
+    private final AtomicBoolean inProgress = new AtomicBoolean();
+    /** The last window that the platform accepted from this node. */
+    private volatile long lastAcceptedWindow = NO_WINDOW;
 
-    private volatile long notBeforeMs;
-    private volatile int backoffMs = BACKOFF_MS;
+    private volatile long nextAttemptMs;
+    private volatile int backoffMs = INITIAL_BACKOFF_MS;
 
     MeteringTask(
             NodeContext context,
@@ -62,30 +64,30 @@
         this.ledger = ledger;
         this.platform = platform;
         int leaseMs = context.config().platform().leaseMs();
-        lease = new DutyLease(context.me(), Math.max(leaseMs, QuorumTracker.VALID_MS) + TAKEOVER_MARGIN_MS);
+        lease = new DutyLease(context.me(), Math.max(leaseMs, QuorumTracker.PROOF_VALIDITY_MS) + TAKEOVER_MARGIN_MS);
         wallClock = FilteredWallClock.system(context.nowMs());
     }
 
-    /** Decides or sends what is due. */
+    /** Commits or sends the next window if it is due. */
     void tick(View view, boolean quorate, long ticks, long nowMs) {
         PlatformSettings settings = context.config().platform();
         wallClock.tick(nowMs);
         if (!settings.wants(PlatformSettings.METERING) || !lease.mayAct(view, quorate, nowMs)) {
             return;
         }
-        if (ticks % PERIOD_TICKS != 0 || nowMs < notBeforeMs || busy.get()) {
+        if (ticks % PERIOD_TICKS != 0 || nowMs < nextAttemptMs || inProgress.get()) {
             return;
         }
         State committed = replication.committed();
-        MeteredWindow last = committed == null ? null : last(committed);
-        if (last != null && taken < last.window()) {
-            send(last, view);
+        MeteredWindow lastCommitted = committed == null ? null : lastCommittedWindow(committed);
+        if (lastCommitted != null && lastAcceptedWindow < lastCommitted.window()) {
+            send(lastCommitted, view);
         } else {
-            decide(last, view, settings.windowMs(), nowMs);
+            commitNextWindow(lastCommitted, view, settings.windowMs(), nowMs);
         }
     }
 
-    private static MeteredWindow last(State committed) {
+    private static MeteredWindow lastCommittedWindow(State committed) {
         for (Mark mark : committed.marks()) {
             if (MarkKind.METERING.marks(mark)) {
                 return MeteredWindow.read(mark.value());
@@ -94,15 +96,15 @@
         return null;
     }
 
-    private void decide(MeteredWindow last, View view, long windowMs, long nowMs) {
+    private void commitNextWindow(MeteredWindow lastCommitted, View view, long windowMs, long nowMs) {
         OptionalLong first = ledger.firstWindow();
         OptionalLong newest = ledger.lastWindow();
         if (first.isEmpty() || newest.isEmpty()) {
             return;
         }
-        long next = last == null ? first.getAsLong() : last.window() + 1;
-        boolean settled = (next + 1) * windowMs + SETTLE_MS <= wallClock.wallMs(nowMs);
-        if (!settled || next > newest.getAsLong() || !busy.compareAndSet(false, true)) {
+        long next = lastCommitted == null ? first.getAsLong() : lastCommitted.window() + 1;
+        boolean reportsSettled = (next + 1) * windowMs + REPORT_SETTLE_MS <= wallClock.wallMs(nowMs);
+        if (!reportsSettled || next > newest.getAsLong() || !inProgress.compareAndSet(false, true)) {
             return;
         }
         Map<String, Long> counts = ledger.counts(next);
@@ -111,37 +113,37 @@
                 0,
                 MeteredWindow.KEY,
                 new MeteredWindow(next, counts).order(view.epoch()),
-                (outcome, body) -> busy.set(false));
+                (outcome, reply) -> inProgress.set(false));
     }
 
     private void send(MeteredWindow window, View view) {
-        if (!busy.compareAndSet(false, true)) {
+        if (!inProgress.compareAndSet(false, true)) {
             return;
         }
         if (!serving.quorate()) {
-            // this thread may have stood still since the tick began
-            busy.set(false);
+            // this thread may have been suspended since the tick began
+            inProgress.set(false);
             return;
         }
         platform.post(
                 context.config().platform().address().orElseThrow(),
-                PATH,
+                METERING_PATH,
                 context.config().name(),
                 view.epoch(),
                 window.report(),
-                status -> answered(window, status));
+                status -> handleResponse(window, status));
     }
 
-    private void answered(MeteredWindow window, int status) {
+    private void handleResponse(MeteredWindow window, int status) {
         if (HttpStatus.isSuccess(status)) {
-            taken = window.window();
-            backoffMs = BACKOFF_MS;
+            lastAcceptedWindow = window.window();
+            backoffMs = INITIAL_BACKOFF_MS;
         } else {
-            notBeforeMs = context.nowMs() + backoffMs;
-            backoffMs = Math.min(BACKOFF_MAX_MS, backoffMs * 2);
-            LOG.atWarning().atMostEvery(5, TimeUnit.SECONDS).log(
-                    "the platform does not take window %s: %s", window.window(), status);
+            nextAttemptMs = context.nowMs() + backoffMs;
+            backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
+            LOG.atWarning().atMostEvery(REJECTION_LOG_PERIOD_S, TimeUnit.SECONDS).log(
+                    "platform did not accept usage window %s: status %s", window.window(), status);
         }
-        busy.set(false);
+        inProgress.set(false);
     }
 }
--- a/src/main/java/ringspindle/controlplane/PeerConnectivity.java
+++ b/src/main/java/ringspindle/controlplane/PeerConnectivity.java
@@ -10,8 +10,8 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * Who is in touch with whom, as the replicated state asks it during a tick. Takes the fleet's lock for each question, so it
- * may be called with the lock of the {@link ReplicationDriver} held.
+ * Answers queries of the replicated state about links between nodes during a tick. Acquires the fleet lock for each
+ * query, so it may be called with the lock of the {@link ReplicationDriver} held.
  */
 final class PeerConnectivity implements Connectivity {
     private final NodeContext context;
@@ -19,7 +19,11 @@
     private final ServingState serving;
     private final Set<NodeId> live;
 
-    /** {@code live} are the control nodes that this node is in touch with as of this tick. */
+    /**
+     * Creates a snapshot for one tick.
+     *
+     * @param live control nodes that have a live link to this node as of this tick
+     */
     PeerConnectivity(NodeContext context, FleetState fleet, ServingState serving, Set<NodeId> live) {
         this.context = context;
         this.fleet = fleet;
@@ -41,15 +45,15 @@
 
     @Override
     public boolean leaving(NodeId node) {
-        return node.equals(context.me()) ? serving.leaving() : announces(node, NodeFlags.LEAVING);
+        return node.equals(context.me()) ? serving.leaving() : hasFlag(node, NodeFlags.LEAVING);
     }
 
     @Override
     public boolean relearning(NodeId node) {
-        return !node.equals(context.me()) && announces(node, NodeFlags.RELEARNING);
+        return !node.equals(context.me()) && hasFlag(node, NodeFlags.RELEARNING);
     }
 
-    private boolean announces(NodeId node, NodeFlags flag) {
+    private boolean hasFlag(NodeId node, NodeFlags flag) {
         synchronized (fleet.lock) {
             SessionTable.Peer peer = fleet.sessions().peer(node);
             return peer != null && peer.heartbeat().flags().has(flag);
--- a/src/main/java/ringspindle/controlplane/PendingCalls.java
+++ b/src/main/java/ringspindle/controlplane/PendingCalls.java
@@ -9,19 +9,24 @@
 import ringspindle.replication.ReplicatedState;
 import ringspindle.time.MonotonicClock;
 
-/** Calls that came in at this node and wait for their outcome, by number. Thread safe, without a lock. */
+/** Tracks calls received by this node that are waiting for their outcome, by call id. Thread safe and lock-free. */
 final class PendingCalls {
-    /** How long after a call came in its outcome is told; later nobody waits for it, and what it says may be old. */
+    /**
+     * Time after a call was received during which its outcome is delivered. Later the caller has given up and the
+     * outcome may be stale.
+     */
     private static final int TIMEOUT_MS = 1500;
-    /** The same for changes of the configuration, which are larger. */
+    /** Timeout of configuration changes, which are larger. */
     private static final int CONFIGURATION_TIMEOUT_MS = 3000;
 
     private static final byte[] NO_BODY = {};
 
-    /** Told the outcome of a call. */
+    /** Receives the outcome of a call. */
     @FunctionalInterface
     public interface Callback {
-        /** The call is over; {@code body} is what was asked for, or a text that says why it failed. */
+        /**
+         * Called when the call is complete; {@code body} is the requested data or a text with the reason of a failure.
+         */
         void completed(Outcome outcome, byte[] body);
     }
 
@@ -33,10 +38,11 @@
     private final Map<Long, PendingCall> pending = new ConcurrentHashMap<>();
 
     /**
-     * No call is pending yet.
+     * Creates an instance without pending calls.
      *
      * @param pool runs callbacks
-     * @param startId from chance: a reply is matched by the number of its call alone, and may come after a restart
+     * @param startId random, because replies are matched by call id alone and a reply to a call of an earlier process
+     *     may arrive after a restart
      */
     PendingCalls(MonotonicClock clock, Executor pool, long startId) {
         this.clock = clock;
@@ -44,15 +50,15 @@
         lastId = new AtomicLong(startId);
     }
 
-    /** Registers a call that came in at that time; returns its number. */
-    long open(CallKind kind, long arrivedMs, Callback callback) {
+    /** Registers a call that was received at the given time and returns its id. */
+    long register(CallKind kind, long receivedMs, Callback callback) {
         long id = lastId.incrementAndGet();
         int timeoutMs = kind.changesConfiguration() ? CONFIGURATION_TIMEOUT_MS : TIMEOUT_MS;
-        pending.put(id, new PendingCall(arrivedMs + timeoutMs, callback));
+        pending.put(id, new PendingCall(receivedMs + timeoutMs, callback));
         return id;
     }
 
-    /** Tells the outcome of a call, once, from a thread of the pool. */
+    /** Delivers the outcome of a call, once, on a pool thread. */
     void complete(ReplicatedState.Out.Answer answer) {
         PendingCall call = pending.remove(answer.call());
         if (call != null) {
@@ -60,7 +66,10 @@
         }
     }
 
-    /** An outcome that comes late, as after a pause of this process, is no longer told: it may rest on what is old by now. */
+    /**
+     * Delivers the outcome, or {@code UNCLEAR} if the deadline has passed, for example after a process pause: the
+     * outcome may be based on stale state by then.
+     */
     private void complete(PendingCall call, ReplicatedState.Out.Answer answer) {
         if (clock.nowMs() < call.deadlineMs()) {
             call.callback().completed(answer.outcome(), answer.body());
--- a/src/main/java/ringspindle/controlplane/PlatformClient.java
+++ b/src/main/java/ringspindle/controlplane/PlatformClient.java
@@ -11,21 +11,21 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 import ringspindle.protocol.NodeId;
 
-/** Calls the platform on behalf of whoever has a duty. Thread safe. */
+/** Sends HTTP requests to the platform for the node that holds the duty lease. Thread safe. */
 public final class PlatformClient {
-    /** What is told of a call that has no answer. */
-    static final int NO_ANSWER = 0;
+    /** Status that is reported if there is no response. */
+    static final int NO_RESPONSE = 0;
 
-    /** A call that takes longer is given up, and its connection closed: it must not arrive much later. */
+    /** Requests are aborted and their connection closed after this time, so that they cannot arrive much later. */
     private static final int TIMEOUT_MS = 900;
 
-    private static final int BODY_MAX = 64 << 10;
-    private static final String OWNER = "Duty-Owner";
-    private static final String FENCE = "Fence-Token";
+    private static final int MAX_BODY_BYTES = 64 << 10;
+    private static final String OWNER_HEADER = "Duty-Owner";
+    private static final String FENCING_TOKEN_HEADER = "Fence-Token";
 
     private final LazyHttpClient client;
 
-    /** Calls on those threads. */
+    /** Creates a client that uses the given threads. */
     public PlatformClient(Executor pool, Scheduler scheduler) {
         client = new LazyHttpClient(pool, scheduler, TIMEOUT_MS);
     }
@@ -33,27 +33,28 @@
     /**
      * Posts a JSON document.
      *
-     * @param owner the name of the node that has the duty
-     * @param fence a number that rises whenever another node has it
-     * @param answered told the status of the answer, {@link #NO_ANSWER} without one
+     * @param owner the name of the node that holds the duty lease
+     * @param fencingToken a number that increases whenever another node takes over
+     * @param statusCallback receives the response status, or {@link #NO_RESPONSE}
      */
-    void post(NodeId address, String path, String owner, long fence, String json, IntConsumer answered) {
+    void post(NodeId address, String path, String owner, long fencingToken, String json, IntConsumer statusCallback) {
         try {
             client.get()
                     .newRequest(URI.create("http://" + address + path))
                     .method(HttpMethod.POST)
-                    .headers(fields -> fields.put(OWNER, owner).put(FENCE, Long.toString(fence)))
+                    .headers(fields ->
+                            fields.put(OWNER_HEADER, owner).put(FENCING_TOKEN_HEADER, Long.toString(fencingToken)))
                     .body(new StringRequestContent("application/json", json))
                     .timeout(TIMEOUT_MS, TimeUnit.MILLISECONDS)
-                    .send(new BufferingResponseListener(BODY_MAX) {
+                    .send(new BufferingResponseListener(MAX_BODY_BYTES) {
                         @Override
                         public void onComplete(Result result) {
-                            answered.accept(
-                                    result.isSucceeded() ? result.getResponse().getStatus() : NO_ANSWER);
+                            statusCallback.accept(
+                                    result.isSucceeded() ? result.getResponse().getStatus() : NO_RESPONSE);
                         }
                     });
-        } catch (Exception failed) {
-            answered.accept(NO_ANSWER);
+        } catch (Exception failure) {
+            statusCallback.accept(NO_RESPONSE);
         }
     }
 }
--- a/src/main/java/ringspindle/controlplane/QuorumTracker.java
+++ b/src/main/java/ringspindle/controlplane/QuorumTracker.java
@@ -10,73 +10,91 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * When a majority of the voters was last proven to be in touch, and to know of no view newer than this node's. It is a
- * time and not a flag, so that a thread that runs before the first tick after a freeze sees that it has run out. Renewed
- * by one thread, read by many.
+ * Tracks when a majority of the voters was last proven to be reachable, and to know no newer view than this node. The
+ * proof is a time instead of a flag, so that a thread that runs before the first tick after a process pause sees that
+ * the proof has expired. Renewed by one thread, read by many.
  */
 final class QuorumTracker {
-    /** A proof holds for so long after the heartbeats it rests on were sent; in calm it is at most 600 ms old. */
-    static final int VALID_MS = 1500;
-    /** Two ticks so far apart, this node stood still: what was proven before counts no more. */
-    static final int PAUSE_MS = 1000;
+    /**
+     * Validity of a proof after the heartbeats that it is based on were sent; normally a proof is at most 600 ms old.
+     */
+    static final int PROOF_VALIDITY_MS = 1500;
+    /** A gap of this length between ticks means that the process was paused; earlier proofs are then discarded. */
+    static final int PAUSE_THRESHOLD_MS = 1000;
 
     /**
-     * What the newest heartbeat of a voter proves.
+     * What the latest heartbeat of a voter proves.
      *
-     * @param sentMs when the heartbeat that it echoed was sent
-     * @param epoch the view that it knows
-     * @param blank it can neither vote nor hold state
+     * @param sentMs when the heartbeat that the voter echoed was sent
+     * @param epoch the epoch of the latest view known to the voter
+     * @param relearning true if the voter can neither vote nor hold state
      */
-    record Contact(long sentMs, long epoch, boolean blank) {}
+    record VoterContact(long sentMs, long epoch, boolean relearning) {}
 
-    /** The times of one renewal, read together. */
-    private record Proof(long tickMs, long contactMs, long stateMs, long sinceMs) {
+    /** The times of one renewal, published together. */
+    private record Proof(long tickMs, long contactMs, long stateMs, long validSinceMs) {
         boolean valid(long provenMs, long nowMs) {
-            return nowMs - provenMs < VALID_MS && nowMs - tickMs < PAUSE_MS;
+            return nowMs - provenMs < PROOF_VALIDITY_MS && nowMs - tickMs < PAUSE_THRESHOLD_MS;
         }
     }
 
-    private static final Proof NONE =
+    private static final Proof NO_PROOF =
             new Proof(SessionTable.NEVER_MS, SessionTable.NEVER_MS, SessionTable.NEVER_MS, SessionTable.NEVER_MS);
 
-    /** For so long after its start a node that has met nobody yet is taken for one that is about to. */
+    /**
+     * Time after process start during which a node that has not reached a majority yet is considered to be starting.
+     */
     static final int STARTING_MS = 3000;
 
-    private volatile Proof proof = NONE;
+    private volatile Proof proof = NO_PROOF;
     private volatile long firstTickMs = SessionTable.NEVER_MS;
-    private volatile long resumedMs = SessionTable.NEVER_MS;
+    private volatile long lastResumeMs = SessionTable.NEVER_MS;
 
     /**
-     * A tick of the owner; contacts of voters that are not known are null.
+     * Renews the proof on a tick.
      *
-     * @param view the newest view, null while there is none or while this node is blank
+     * @param view the latest view, null without one or while this node is relearning
+     * @param contacts returns the contact of a voter, null if it is unknown
      */
-    void renew(long nowMs, NodeId me, View view, Function<NodeId, Contact> contacts) {
+    void renew(long nowMs, NodeId self, View view, Function<NodeId, VoterContact> contacts) {
         Proof previous = proof;
         if (firstTickMs == SessionTable.NEVER_MS) {
             firstTickMs = nowMs;
         }
-        if (previous != NONE && nowMs - previous.tickMs() >= PAUSE_MS) {
-            resumedMs = nowMs;
-            previous = NONE;
+        if (previous != NO_PROOF && nowMs - previous.tickMs() >= PAUSE_THRESHOLD_MS) {
+            lastResumeMs = nowMs;
+            previous = NO_PROOF;
         }
-        long contactMs = Math.max(previous.contactMs(), majorityMs(nowMs, me, view, contacts, contact -> true));
+        long contactMs =
+                Math.max(previous.contactMs(), majorityContactMs(nowMs, self, view, contacts, contact -> true));
         long stateMs = Math.max(
-                previous.stateMs(), majorityMs(nowMs, me, view, contacts, contact -> contact.epoch() <= view.epoch()));
-        boolean unbroken = previous != NONE && nowMs - previous.stateMs() < VALID_MS;
-        proof = new Proof(nowMs, contactMs, stateMs, unbroken ? previous.sinceMs() : nowMs);
+                previous.stateMs(),
+                majorityContactMs(nowMs, self, view, contacts, contact -> contact.epoch() <= view.epoch()));
+        boolean continuous = previous != NO_PROOF && nowMs - previous.stateMs() < PROOF_VALIDITY_MS;
+        proof = new Proof(nowMs, contactMs, stateMs, continuous ? previous.validSinceMs() : nowMs);
     }
 
-    /** The latest time at or after which each of a majority of voters is proven to have spoken to this node. */
-    private long majorityMs(
-            long nowMs, NodeId me, View view, Function<NodeId, Contact> contacts, Predicate<Contact> counts) {
+    /**
+     * Returns the latest time at or after which every voter of some majority is proven to have communicated with this
+     * node.
+     */
+    private long majorityContactMs(
+            long nowMs,
+            NodeId self,
+            View view,
+            Function<NodeId, VoterContact> contacts,
+            Predicate<VoterContact> eligible) {
         if (view == null) {
             return SessionTable.NEVER_MS;
         }
         List<Long> times = new ArrayList<>();
         for (NodeId voter : view.voters()) {
-            Contact contact = voter.equals(me) ? new Contact(nowMs, view.epoch(), false) : contacts.apply(voter);
-            if (contact != null && !contact.blank() && counts.test(contact) && contact.sentMs() >= resumedMs) {
+            VoterContact contact =
+                    voter.equals(self) ? new VoterContact(nowMs, view.epoch(), false) : contacts.apply(voter);
+            if (contact != null
+                    && !contact.relearning()
+                    && eligible.test(contact)
+                    && contact.sentMs() >= lastResumeMs) {
                 times.add(contact.sentMs());
             }
         }
@@ -85,38 +103,40 @@
     }
 
     /**
-     * True right after the start of this node, before it has met a majority: what comes in now is no older than this life, so
-     * an order may be held for the moment until it can be passed on. Never after a pause.
+     * Returns true right after process start, until this node has reached a majority. Calls received in this phase are
+     * no older than the process, so they may be held until they can be forwarded. Never true after a pause.
      */
     boolean starting(long nowMs) {
         Proof latest = proof;
-        return resumedMs == SessionTable.NEVER_MS
+        return lastResumeMs == SessionTable.NEVER_MS
                 && firstTickMs != SessionTable.NEVER_MS
                 && latest.contactMs() == SessionTable.NEVER_MS
                 && nowMs - firstTickMs < STARTING_MS
-                && nowMs - latest.tickMs() < PAUSE_MS;
+                && nowMs - latest.tickMs() < PAUSE_THRESHOLD_MS;
     }
 
-    /** True while a majority is proven to be in touch: calls may be passed on. */
+    /** Returns true while a majority is proven to be reachable, so that calls may be forwarded. */
     boolean majorityReachable(long nowMs) {
         Proof latest = proof;
         return latest.valid(latest.contactMs(), nowMs);
     }
 
-    /** True while a majority is proven to know of no newer view: what is committed here may be handed out. */
+    /** Returns true while a majority is proven to know no newer view, so that state committed here may be served. */
     boolean upToDate(long nowMs) {
         Proof latest = proof;
         return latest.valid(latest.stateMs(), nowMs);
     }
 
-    /** For how long it has been up to date without a break, 0 if it is not. */
-    long heldMs(long nowMs) {
+    /** Returns how long this node has been up to date without interruption, 0 if it is not up to date. */
+    long upToDateForMs(long nowMs) {
         Proof latest = proof;
-        return latest.valid(latest.stateMs(), nowMs) ? nowMs - latest.sinceMs() : 0;
+        return latest.valid(latest.stateMs(), nowMs) ? nowMs - latest.validSinceMs() : 0;
     }
 
-    /** How long ago a majority was last proven to know of no newer view, below 0 for never or not since a pause. */
-    long ageMs(long nowMs) {
+    /**
+     * Returns the time since a majority was last proven to know no newer view; negative if never, or not since a pause.
+     */
+    long proofAgeMs(long nowMs) {
         Proof latest = proof;
         return latest.stateMs() == SessionTable.NEVER_MS ? -1 : nowMs - latest.stateMs();
     }
--- a/src/main/java/ringspindle/controlplane/QuotaHandler.java
+++ b/src/main/java/ringspindle/controlplane/QuotaHandler.java
@@ -20,12 +20,16 @@
 import ringspindle.quota.TenantLimit;
 
 /**
- * Grants data nodes leave to admit requests of tenants, while this node is the head of the view and proven to be so; else passes on
- * what data nodes ask for, and the answers. Owns the buckets, guarded by a lock of its own, under which no other is taken.
+ * Grants data nodes quota for requests of tenants while this node is the proven head of the view. On other nodes it
+ * forwards the requests of data nodes to the head, and the replies back. Owns the token buckets, guarded by its own
+ * lock; no other lock is acquired while that lock is held.
  */
 final class QuotaHandler {
-    /** Of a tenant that the configuration does not limit, or does not know: its key was withdrawn a moment ago. */
-    private static final int UNLIMITED_GRANT = 1000;
+    /**
+     * Maximum grant, in requests, for a tenant without a limit or one whose key was just removed from the
+     * configuration.
+     */
+    private static final int MAX_UNLIMITED_GRANT = 1000;
 
     private final Object lock = new Object();
     private final NodeContext context;
@@ -37,19 +41,19 @@
     private long limitsRevision = -1;
 
     /**
-     * Grants nothing yet.
+     * Creates a handler that has granted nothing.
      *
-     * @param foundsFleet true if this process started without any memory at the first start of the fleet
+     * @param initialFleetStart true if this process started without stored state during the first start of the fleet
      */
-    QuotaHandler(NodeContext context, ReplicationDriver replication, ServingState serving, boolean foundsFleet) {
+    QuotaHandler(NodeContext context, ReplicationDriver replication, ServingState serving, boolean initialFleetStart) {
         this.context = context;
         this.replication = replication;
         this.serving = serving;
-        headChanges = new HeadChanges(foundsFleet);
+        headChanges = new HeadChanges(initialFleetStart);
         buckets = new TenantBuckets(headChanges);
     }
 
-    /** Time goes on: notes which view is in force. */
+    /** Records the current view. */
     void tick() {
         View view = replication.view();
         if (view != null) {
@@ -59,7 +63,7 @@
         }
     }
 
-    /** A data node asks, itself or through another control node. */
+    /** Handles a quota request of a data node, sent directly or forwarded by another control node. */
     void received(NodeId from, QuotaAsk ask) {
         View view = replication.view();
         if (view == null) {
@@ -73,7 +77,7 @@
             return;
         }
         State committed = replication.committed();
-        List<QuotaLeave> leaves = new ArrayList<>();
+        List<QuotaLeave> grants = new ArrayList<>();
         synchronized (lock) {
             if (committed == null || !serving.quorate() || serving.quorumProofAgeMs() > HeadChanges.PROOF_MS) {
                 return;
@@ -82,16 +86,16 @@
             refreshLimits(committed);
             headChanges.observe(view.epoch(), view.head(), nowMs);
             buckets.lead();
-            ask.rows().forEach(row -> leaves.add(grant(row, nowMs)));
+            ask.rows().forEach(row -> grants.add(grant(row, nowMs)));
         }
-        context.mesh().send(from, new QuotaGrant(ask.origin(), ask.seq(), leaves));
+        context.mesh().send(from, new QuotaGrant(ask.origin(), ask.seq(), grants));
     }
 
-    private QuotaLeave grant(QuotaNeed asked, long nowMs) {
-        TenantLimit limit = limits.get(asked.tenant());
+    private QuotaLeave grant(QuotaNeed request, long nowMs) {
+        TenantLimit limit = limits.get(request.tenant());
         return limit == null
-                ? new QuotaLeave(asked.tenant(), Math.min(UNLIMITED_GRANT, asked.need()), 0)
-                : buckets.grant(asked, limit, nowMs);
+                ? new QuotaLeave(request.tenant(), Math.min(MAX_UNLIMITED_GRANT, request.need()), 0)
+                : buckets.grant(request, limit, nowMs);
     }
 
     private void refreshLimits(State committed) {
@@ -111,7 +115,7 @@
         }
     }
 
-    /** The head's answer, on its way to a data node that asked through this node. */
+    /** Forwards the reply of the head to the data node that sent its request through this node. */
     void received(QuotaGrant grant) {
         context.mesh().send(grant.origin(), grant);
     }
--- a/src/main/java/ringspindle/controlplane/RecordLog.java
+++ b/src/main/java/ringspindle/controlplane/RecordLog.java
@@ -5,33 +5,35 @@
 import java.util.function.LongConsumer;
 import ringspindle.protocol.Message;
 
-/** Records that one state machine keeps across restarts. Thread safe after {@link #open}. */
+/** A durable log of the records of one state machine. Thread safe after {@link #open}. */
 interface RecordLog {
-    /** Token of a snapshot that was asked for to start the log anew; nobody waits for it. */
+    /** Token of a compaction snapshot, which replaces the log and is not acknowledged. */
     long COMPACTION = -1;
 
     /**
-     * Records to be written and synced.
+     * Records to write and sync.
      *
-     * @param token told once they are
-     * @param snapshot true if the records take the place of all that was written before
+     * @param token reported once the records are synced
+     * @param snapshot true if the records replace everything written before
      */
     record Write(long token, List<Message> records, boolean snapshot) {}
 
     /**
-     * The records found, oldest first; called once.
+     * Returns the stored records, oldest first. Called once.
      *
      * @throws IOException if the records cannot be read
      */
     List<Message> load() throws IOException;
 
     /**
-     * From now on records are written; {@code stored} hears of each token that is synced. {@code compact} is called when the
-     * log is long: it must {@link #write} a snapshot of what counts, with token {@link #COMPACTION}, in order with all other
-     * records.
+     * Starts writing records.
+     *
+     * @param stored called with each token whose records are synced
+     * @param compact called when the log is too long; must {@link #write} a snapshot of the current state with token
+     *     {@link #COMPACTION}, in order with all other records
      */
     void open(LongConsumer stored, Runnable compact);
 
-    /** Queues records to be written and synced, after those queued before. */
+    /** Queues records to be written and synced after the records queued before. */
     void write(Write records);
 }
--- a/src/main/java/ringspindle/controlplane/ReplicationDriver.java
+++ b/src/main/java/ringspindle/controlplane/ReplicationDriver.java
@@ -15,47 +15,48 @@
 import ringspindle.replication.ReplicatedState;
 
 /**
- * Feeds the replicated state with events and carries out what it orders. Thread safe.
+ * Passes events to the replicated state and executes its outputs. Thread safe.
  *
- * <p>Owns the {@link ReplicatedState}, guarded by {@link #lock}. While the lock is held, what is ordered goes to mesh, disk
- * and thread pool: replicas rely on messages and records in the order in which they were decided, and two threads that
- * sent after they released the lock could overtake each other. None of the three runs foreign code on the calling thread:
- * they only queue. The lock of {@link FleetState} may be taken while this one is held, never the other way round.
+ * <p>Owns the {@link ReplicatedState}, guarded by {@link #lock}. Outputs are passed to the mesh, the record log and the
+ * thread pool while the lock is held: replicas rely on the order in which messages and records were produced, and two
+ * threads that sent them after releasing the lock could overtake each other. All three only queue and run no callbacks
+ * on the calling thread. The lock of {@link FleetState} may be acquired while this one is held, never the other way
+ * round.
  */
 public final class ReplicationDriver {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final byte[] NO_BODY = {};
 
-    /** Notified of committed states, oldest first, while the lock is held: it must not block. */
+    /** Receives committed states, oldest first, with the lock held; implementations must not block. */
     interface CommitListener {
-        /** A newer state is committed. */
+        /** Called when a newer state has been committed. */
         void committed(State state);
     }
 
-    /** How far the replicated state of this node is. */
+    /** Startup phase of the replicated state of this node. */
     public enum Phase {
-        /** What was promised before a disk was lost is being relearned. */
+        /** Relearning the promises that were made before the disk was lost. */
         RELEARNING,
-        /** A first start still waits for voters. */
-        FOUNDING,
-        /** It votes and holds state. */
+        /** Waiting for voters during the first start of the fleet. */
+        BOOTSTRAPPING,
+        /** Voting and holding state. */
         ACTIVE
     }
 
     /**
-     * The replicated state at one moment.
+     * A consistent snapshot of the replicated state.
      *
-     * @param view the newest view, null if unknown
+     * @param view the latest view, null if unknown
      * @param committed the committed state, null while unknown
-     * @param blank this node can neither vote nor hold state
+     * @param relearning true if this node can neither vote nor hold state
      */
-    public record Status(View view, State committed, boolean blank) {
-        /** The view's epoch, 0 without a view. */
+    public record Status(View view, State committed, boolean relearning) {
+        /** Returns the epoch of the view, 0 without a view. */
         public long epoch() {
             return view == null ? 0 : view.epoch();
         }
 
-        /** The sequence number of the committed state, -1 without one. */
+        /** Returns the sequence number of the committed state, -1 without one. */
         public long sequence() {
             return committed == null ? -1 : committed.seq();
         }
@@ -64,156 +65,156 @@
     /**
      * The replicated state after a tick.
      *
-     * @param view the newest view, null if unknown
-     * @param blank this node can neither vote nor hold state
-     * @param current this node hears of all that is committed
+     * @param view the latest view, null if unknown
+     * @param relearning true if this node can neither vote nor hold state
+     * @param current true if this node learns of every commit
      */
-    record TickResult(View view, boolean blank, boolean current) {}
+    record TickResult(View view, boolean relearning, boolean current) {}
 
     private final Object lock = new Object();
     private final NodeContext context;
     private final ReplicatedState state;
-    private final PendingCalls calls;
-    private final RecordLog records;
+    private final PendingCalls pendingCalls;
+    private final RecordLog recordLog;
     private final QuorumTracker quorum;
-    private final CommitListener commits;
+    private final CommitListener commitListener;
 
     /**
-     * Drives one replicated state.
+     * Creates a driver for the replicated state.
      *
-     * @param calls calls of this node that wait for their outcome
+     * @param pendingCalls calls received by this node that are waiting for their outcome
      */
     ReplicationDriver(
             NodeContext context,
             ReplicatedState state,
-            PendingCalls calls,
-            RecordLog records,
+            PendingCalls pendingCalls,
+            RecordLog recordLog,
             QuorumTracker quorum,
-            CommitListener commits) {
+            CommitListener commitListener) {
         this.context = context;
         this.state = state;
-        this.calls = calls;
-        this.records = records;
+        this.pendingCalls = pendingCalls;
+        this.recordLog = recordLog;
         this.quorum = quorum;
-        this.commits = commits;
+        this.commitListener = commitListener;
     }
 
-    /** How many voters it takes to bear the loss of so many disks at once. */
-    static int votersWanted(int losses) {
+    /** Returns the number of voters needed to tolerate the simultaneous loss of the given number of disks. */
+    static int requiredVoters(int losses) {
         return 2 * losses + 1;
     }
 
-    /** Opens the storage: from now on records are written. */
+    /** Opens the record log; records are written from then on. */
     void open() {
-        records.open(this::stored, this::compact);
+        recordLog.open(this::onStored, this::compact);
     }
 
     /**
-     * Passes a call to the replicated state, which holds it for a moment while this node is just starting; otherwise the
-     * outcome is UNCLEAR at once unless a majority is proven to be in touch.
+     * Passes a call to the replicated state if a majority is proven to be reachable, or if this node is just starting;
+     * in the latter case the replicated state briefly holds the call. Otherwise the outcome is {@code UNCLEAR} at once.
      *
-     * @param kind what is asked for
-     * @param base the revision that the call builds on
-     * @param callback told the outcome, once
+     * @param kind the requested operation
+     * @param base the revision that the call is based on
+     * @param callback receives the outcome, once
      */
     public void call(CallKind kind, long base, String argument, byte[] body, PendingCalls.Callback callback) {
-        long arrivedMs = context.nowMs();
+        long receivedMs = context.nowMs();
         synchronized (lock) {
             long nowMs = context.nowMs();
             if (quorum.majorityReachable(nowMs) || quorum.starting(nowMs)) {
-                long id = calls.open(kind, arrivedMs, callback);
-                carryOut(state.call(kind.call(id, base, argument, body), nowMs));
+                long id = pendingCalls.register(kind, receivedMs, callback);
+                execute(state.call(kind.call(id, base, argument, body), nowMs));
                 return;
             }
         }
         callback.completed(Outcome.UNCLEAR, NO_BODY);
     }
 
-    /** A connection to a control node stands. */
+    /** Handles a new connection to a control node. */
     void opened(NodeId peer, long nowMs) {
         synchronized (lock) {
-            carryOut(state.opened(peer, nowMs));
+            execute(state.opened(peer, nowMs));
         }
     }
 
-    /** A message of the replication protocol came. */
+    /** Handles a message of the replication protocol. */
     void received(NodeId from, Message message, long nowMs) {
         synchronized (lock) {
-            carryOut(state.receive(from, message, nowMs));
+            execute(state.receive(from, message, nowMs));
         }
     }
 
-    /** Lets time go on. */
+    /** Advances the time. */
     TickResult tick(long nowMs, Connectivity connectivity) {
         synchronized (lock) {
-            carryOut(state.tick(nowMs, connectivity));
+            execute(state.tick(nowMs, connectivity));
             return new TickResult(state.view(), state.relearning(), state.current(nowMs));
         }
     }
 
-    /** View and committed state, read together. */
+    /** Returns the view and the committed state, read atomically. */
     public Status status() {
         synchronized (lock) {
             return new Status(state.view(), state.committed(), state.relearning());
         }
     }
 
-    /** How far this node is. */
+    /** Returns the startup phase of this node. */
     Phase phase(long nowMs) {
         synchronized (lock) {
             if (state.relearning()) {
                 return Phase.RELEARNING;
             }
-            return state.founding(nowMs) ? Phase.FOUNDING : Phase.ACTIVE;
+            return state.founding(nowMs) ? Phase.BOOTSTRAPPING : Phase.ACTIVE;
         }
     }
 
-    /** True while a first start still waits for voters. */
+    /** Returns true while the first start of the fleet is still waiting for voters. */
     boolean bootstrapping(long nowMs) {
         synchronized (lock) {
             return state.founding(nowMs);
         }
     }
 
-    /** The committed state, null while unknown. */
+    /** Returns the committed state, null while unknown. */
     public State committed() {
         synchronized (lock) {
             return state.committed();
         }
     }
 
-    /** The newest view, null if unknown. */
+    /** Returns the latest view, null if unknown. */
     public View view() {
         synchronized (lock) {
             return state.view();
         }
     }
 
-    private void stored(long token) {
+    private void onStored(long token) {
         synchronized (lock) {
-            carryOut(state.stored(token, context.nowMs()));
+            execute(state.stored(token, context.nowMs()));
         }
     }
 
     private void compact() {
         synchronized (lock) {
-            records.write(new RecordLog.Write(RecordLog.COMPACTION, state.durable(), true));
+            recordLog.write(new RecordLog.Write(RecordLog.COMPACTION, state.durable(), true));
         }
     }
 
-    /** Called with the lock held; see the class comment. */
-    private void carryOut(List<ReplicatedState.Out> commands) {
-        for (ReplicatedState.Out command : commands) {
-            if (command instanceof ReplicatedState.Out.Send send) {
+    /** Executes the outputs in order. The caller holds the lock; see the class comment. */
+    private void execute(List<ReplicatedState.Out> outputs) {
+        for (ReplicatedState.Out output : outputs) {
+            if (output instanceof ReplicatedState.Out.Send send) {
                 context.mesh().send(send.to(), send.message());
-            } else if (command instanceof ReplicatedState.Out.Store store) {
-                records.write(new RecordLog.Write(store.token(), store.records(), store.snapshot()));
-            } else if (command instanceof ReplicatedState.Out.Answer answer) {
-                calls.complete(answer);
-            } else if (command instanceof ReplicatedState.Out.Committed newer) {
-                commits.committed(newer.state());
-            } else if (command instanceof ReplicatedState.Out.Viewed changed) {
-                logView(changed.view());
+            } else if (output instanceof ReplicatedState.Out.Store store) {
+                recordLog.write(new RecordLog.Write(store.token(), store.records(), store.snapshot()));
+            } else if (output instanceof ReplicatedState.Out.Answer answer) {
+                pendingCalls.complete(answer);
+            } else if (output instanceof ReplicatedState.Out.Committed committed) {
+                commitListener.committed(committed.state());
+            } else if (output instanceof ReplicatedState.Out.Viewed viewed) {
+                logView(viewed.view());
             }
         }
     }
@@ -223,11 +224,11 @@
                 .with(LogField.EPOCH, view.epoch())
                 .with(LogField.CHAIN, view.chain())
                 .with(LogField.VOTERS, view.voters())
-                .log("view in force");
+                .log("new view in effect");
         int losses = context.config().lossesBorne();
-        if (view.voters().size() < votersWanted(losses)) {
+        if (view.voters().size() < requiredVoters(losses)) {
             LOG.atWarning().log(
-                    "%s voters cannot bear the loss of %s disks at once",
+                    "%s voters cannot tolerate the simultaneous loss of %s disks",
                     view.voters().size(), losses);
         }
     }
--- a/src/main/java/ringspindle/controlplane/RolloutController.java
+++ b/src/main/java/ringspindle/controlplane/RolloutController.java
@@ -13,51 +13,51 @@
 import ringspindle.replication.Rollout;
 import ringspindle.rollout.RolloutPlanner;
 
-/** Drives roll-outs one order at a time; without one this costs nothing. Called by the tick alone. */
+/** Drives rollouts, one order at a time. Does nothing without a rollout. Called only by the tick. */
 final class RolloutController {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private static final int REPORT_TICKS = 6;
+    private static final int REPORT_REQUEST_TICKS = 6;
 
-    /** Where orders go. */
+    /** Submits orders to the replicated state. */
     @FunctionalInterface
-    interface Orders {
-        /** Orders one step of a service's roll-out, and runs {@code completed} once it is known what became of it. */
+    interface OrderSubmitter {
+        /** Submits one step of the rollout of a service, and runs {@code completed} once its outcome is known. */
         void submit(String service, byte[] order, Runnable completed);
     }
 
     private final EngineReportClient reports;
-    private final Orders orders;
+    private final OrderSubmitter submitter;
     private final Map<String, RolloutPlanner> planners = new HashMap<>();
-    /** Written by the tick, and by the thread that learns the outcome. */
+    /** Written by the tick and by the thread that receives the outcome. */
     private volatile boolean orderPending;
 
-    RolloutController(EngineReportClient reports, Orders orders) {
+    RolloutController(EngineReportClient reports, OrderSubmitter submitter) {
         this.reports = reports;
-        this.orders = orders;
+        this.submitter = submitter;
     }
 
-    /** True while the outcome of the last order is open. */
+    /** Returns true while the outcome of the last order is pending. */
     boolean orderPending() {
         return orderPending;
     }
 
     /**
-     * Gives the next order, if there is one.
+     * Submits the next order, if there is one.
      *
-     * @param members the engines of a service
-     * @param addresses an engine's address, null if it is not known
+     * @param membersOf returns the engines of a service
+     * @param addressOf returns the address of an engine, null if it is unknown
      */
     void tick(
             List<Rollout> rollouts,
-            Function<String, List<RolloutPlanner.Member>> members,
-            UnaryOperator<String> addresses,
+            Function<String, List<RolloutPlanner.Member>> membersOf,
+            UnaryOperator<String> addressOf,
             long epoch,
             long ticks,
             long nowMs) {
         for (Rollout rollout : rollouts) {
-            List<RolloutPlanner.Member> engines = members.apply(rollout.service());
-            if (rollout.state() == Rollout.Standing.RUNNING && ticks % REPORT_TICKS == 0) {
-                rollout.turn().forEach(id -> reports.request(id, addresses.apply(id)));
+            List<RolloutPlanner.Member> engines = membersOf.apply(rollout.service());
+            if (rollout.state() == Rollout.Standing.RUNNING && ticks % REPORT_REQUEST_TICKS == 0) {
+                rollout.turn().forEach(id -> reports.request(id, addressOf.apply(id)));
             }
             RolloutPlanner planner = planners.computeIfAbsent(rollout.service(), service -> new RolloutPlanner());
             RolloutPlanner.Order order = planner.next(rollout, engines, nowMs);
@@ -73,7 +73,7 @@
                 .with(LogField.SERVICE, service)
                 .with(LogField.ENGINE, order.id())
                 .with(LogField.REASON, order.cause())
-                .log("roll-out order: %s", order.order());
+                .log("submitting rollout order: %s", order.order());
         String body = Json.createObjectBuilder()
                 .add("order", order.order())
                 .add("id", order.id())
@@ -82,6 +82,6 @@
                 .build()
                 .toString();
         orderPending = true;
-        orders.submit(service, body.getBytes(UTF_8), () -> orderPending = false);
+        submitter.submit(service, body.getBytes(UTF_8), () -> orderPending = false);
     }
 }
--- a/src/main/java/ringspindle/controlplane/RolloutTask.java
+++ b/src/main/java/ringspindle/controlplane/RolloutTask.java
@@ -10,38 +10,39 @@
 import ringspindle.replication.CallKind;
 import ringspindle.replication.Rollout;
 
-/** Has the head of the view drive roll-outs. Called by the tick alone. */
+/** Drives rollouts while this node is the head of the view. Called only by the tick. */
 final class RolloutTask {
     private static final int PERIOD_TICKS = 3;
 
-    private final NodeId me;
+    private final NodeId self;
     private final FleetState fleet;
     private final EngineRegistry engines;
     private final RolloutController controller;
 
     RolloutTask(
-            NodeId me,
+            NodeId self,
             FleetState fleet,
             EngineRegistry engines,
             ReplicationDriver replication,
             EngineReportClient reports) {
-        this.me = me;
+        this.self = self;
         this.fleet = fleet;
         this.engines = engines;
         controller = new RolloutController(
                 reports,
                 (service, order, completed) ->
-                        replication.call(CallKind.ROLLOUT, 0, service, order, (outcome, body) -> completed.run()));
+                        replication.call(CallKind.ROLLOUT, 0, service, order, (outcome, reply) -> completed.run()));
     }
 
     /**
-     * Orders the next step of a roll-out, if there is one.
+     * Submits the next step of a rollout, if there is one.
      *
-     * @param vouches this node is up to date and has heard engines long enough to judge them
+     * @param canDecide true if this node is up to date and has received engine heartbeats long enough to evaluate
+     *     engines
      */
-    void tick(View view, boolean vouches, long ticks, long nowMs) {
-        boolean leads = view != null && vouches && view.head().equals(me);
-        if (!leads || ticks % PERIOD_TICKS != 0 || controller.orderPending()) {
+    void tick(View view, boolean canDecide, long ticks, long nowMs) {
+        boolean isHead = view != null && canDecide && view.head().equals(self);
+        if (!isHead || ticks % PERIOD_TICKS != 0 || controller.orderPending()) {
             return;
         }
         List<Rollout> rollouts = fleet.read(store -> store.all(FactKind.ROLLOUT).stream()
--- a/src/main/java/ringspindle/controlplane/ServingState.java
+++ b/src/main/java/ringspindle/controlplane/ServingState.java
@@ -3,12 +3,12 @@
 import ringspindle.time.MonotonicClock;
 
 /**
- * Whether this node may serve, and what it still waits for. Thread safe: the tick writes, all threads read, no lock is
- * taken. What is known counts only as long as the quorum is proven, so a thread that runs before the first tick after a
- * pause sees at once that it has run out.
+ * Determines whether this node may serve, and which prerequisite is missing otherwise. Thread safe and lock-free: the
+ * tick writes, all threads read. State is valid only while the quorum proof is, so a thread that runs before the first
+ * tick after a process pause sees at once that it has expired.
  */
 public final class ServingState {
-    /** What a control node waits for before it serves; operators read these names. */
+    /** Prerequisites for serving. The names are part of the status page that operators read. */
     public enum Prerequisite {
         NOTHING,
         RELEARNING,
@@ -17,7 +17,7 @@
         VIEW
     }
 
-    /** Where a node is between its start and its end. */
+    /** Lifecycle of a node. */
     private enum Lifecycle {
         RUNNING,
         LEAVING
@@ -26,50 +26,50 @@
     private final MonotonicClock clock;
     private final QuorumTracker quorum;
     private volatile Lifecycle lifecycle = Lifecycle.RUNNING;
-    /** As of the last tick; counts only together with the quorum. */
-    private volatile boolean hearsCommits;
+    /** Whether the replicated state learns of every commit, as of the last tick; valid only with the quorum proof. */
+    private volatile boolean receivesCommits;
 
     ServingState(MonotonicClock clock, QuorumTracker quorum) {
         this.clock = clock;
         this.quorum = quorum;
     }
 
-    /** Called by the tick: whether the replicated state hears of all that is committed. */
-    void hearsCommits(boolean hears) {
-        hearsCommits = hears;
+    /** Sets whether the replicated state learns of every commit. Called by the tick. */
+    void setReceivesCommits(boolean receives) {
+        receivesCommits = receives;
     }
 
-    /** From now on this node says that it leaves. */
+    /** Announces from now on that this node is leaving. */
     void leave() {
         lifecycle = Lifecycle.LEAVING;
     }
 
-    /** True once this node was told to end. */
+    /** Returns true once this node has been told to shut down. */
     boolean leaving() {
         return lifecycle == Lifecycle.LEAVING;
     }
 
-    /** True while this node is proven to hear of all that is committed, and does not leave. */
+    /** Returns true while this node is proven to learn of every commit and is not leaving. */
     public boolean quorate() {
-        return hearsCommits && !leaving() && quorum.upToDate(clock.nowMs());
+        return receivesCommits && !leaving() && quorum.upToDate(clock.nowMs());
     }
 
-    /** True while a majority is proven to be in touch: calls are passed on. */
+    /** Returns true while a majority is proven to be reachable, so that calls are forwarded. */
     public boolean majorityReachable() {
         return quorum.majorityReachable(clock.nowMs());
     }
 
-    /** True while a majority is proven to know of no newer view: facts of this node may be handed out. */
+    /** Returns true while a majority is proven to know no newer view, so that facts of this node may be served. */
     public boolean upToDate() {
         return quorum.upToDate(clock.nowMs());
     }
 
-    /** Milliseconds since a majority was last proven, below 0 for never. */
+    /** Returns the age of the latest quorum proof in milliseconds, negative if there is none. */
     public long quorumProofAgeMs() {
-        return quorum.ageMs(clock.nowMs());
+        return quorum.proofAgeMs(clock.nowMs());
     }
 
-    /** What this node waits for: the first of these that it lacks. */
+    /** Returns the first prerequisite that is not met, or {@code NOTHING}. */
     Prerequisite missingPrerequisite(ReplicationDriver.Phase phase, long nowMs) {
         if (phase == ReplicationDriver.Phase.RELEARNING) {
             return Prerequisite.RELEARNING;
@@ -77,9 +77,9 @@
         if (!quorum.majorityReachable(nowMs)) {
             return Prerequisite.MAJORITY;
         }
-        if (phase == ReplicationDriver.Phase.FOUNDING) {
+        if (phase == ReplicationDriver.Phase.BOOTSTRAPPING) {
             return Prerequisite.FOUNDING;
         }
-        return hearsCommits && quorum.upToDate(nowMs) ? Prerequisite.NOTHING : Prerequisite.VIEW;
+        return receivesCommits && quorum.upToDate(nowMs) ? Prerequisite.NOTHING : Prerequisite.VIEW;
     }
 }
--- a/src/main/java/ringspindle/controlplane/ShardTask.java
+++ b/src/main/java/ringspindle/controlplane/ShardTask.java
@@ -18,81 +18,81 @@
 import ringspindle.shard.ShardMember;
 import ringspindle.shard.StorageNodeStatus;
 
-/** Has the head of the view assign shards to storage nodes. Called by the tick alone. */
+/** Assigns shards to storage nodes while this node is the head of the view. Called only by the tick. */
 final class ShardTask {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final int PERIOD_TICKS = 2;
-    /** A head looks for so long before it acts: what others tell of storage nodes has to come in first. */
-    private static final int LOOK_FIRST_MS = 1000;
+    /** Time that a new head waits before it assigns shards, so that reports about storage nodes can arrive first. */
+    private static final int OBSERVATION_MS = 1000;
 
-    private final NodeId me;
+    private final NodeId self;
     private final ReplicationDriver replication;
     private final StorageNodes storageNodes;
-    private final int copiesMin;
+    private final int minCopies;
     private PlacementPlanner planner;
-    /** Since when this node has led, below 0 while it does not. */
-    private long leadsSinceMs = -1;
-    /** Shards with an order under way. */
-    private final Set<Integer> ordered = new HashSet<>();
-    /** Shards without a leader, as they were logged last. */
+    /** Time at which this node became the head, negative while it is not. */
+    private long headSinceMs = -1;
+    /** Shards with a pending order. */
+    private final Set<Integer> pendingShards = new HashSet<>();
+    /** Shards without a leader, as last logged. */
     private Map<Integer, ShardCondition> loggedLeaderless = Map.of();
 
-    /** Assigns shards so that an entry is on one disk more than may be lost at once. */
-    ShardTask(NodeId me, ReplicationDriver replication, StorageNodes storageNodes, int lossesBorne) {
-        this.me = me;
+    /** Creates a task that keeps every entry on one disk more than may be lost simultaneously. */
+    ShardTask(NodeId self, ReplicationDriver replication, StorageNodes storageNodes, int toleratedLosses) {
+        this.self = self;
         this.replication = replication;
         this.storageNodes = storageNodes;
-        copiesMin = lossesBorne + 1;
-        planner = new PlacementPlanner(copiesMin);
+        minCopies = toleratedLosses + 1;
+        planner = new PlacementPlanner(minCopies);
     }
 
     /**
-     * Orders the assignments that are due.
+     * Submits the assignments that are due.
      *
-     * @param quorate this node is up to date
+     * @param quorate true if this node has a quorum and is up to date
      */
     void tick(View view, boolean quorate, long ticks, long nowMs) {
-        if (view == null || !quorate || !view.head().equals(me)) {
-            leadsSinceMs = -1;
+        if (view == null || !quorate || !view.head().equals(self)) {
+            headSinceMs = -1;
             return;
         }
-        if (leadsSinceMs < 0) {
-            leadsSinceMs = nowMs;
-            planner = new PlacementPlanner(copiesMin);
+        if (headSinceMs < 0) {
+            headSinceMs = nowMs;
+            planner = new PlacementPlanner(minCopies);
         }
         if (ticks % PERIOD_TICKS != 0) {
             return;
         }
-        Map<NodeId, StorageNodeStatus> nodes = storageNodes.inTouch(nowMs);
+        Map<NodeId, StorageNodeStatus> nodes = storageNodes.reachable(nowMs);
         Map<Integer, ShardAssignment> assignments = storageNodes.assignments();
         if (nodes.isEmpty() && assignments.isEmpty()) {
             return;
         }
         planner.observe(nodes, new ArrayList<>(assignments.values()), nowMs);
-        if (nowMs - leadsSinceMs < LOOK_FIRST_MS) {
+        if (nowMs - headSinceMs < OBSERVATION_MS) {
             return;
         }
         logConditions(assignments, nodes);
         for (int shard = 0; shard < ShardAssignment.SHARDS; shard++) {
             Optional<ShardAssignment> next = planner.next(shard, assignments.get(shard), nodes, nowMs);
-            next.ifPresent(assignment -> order(assignment, view.epoch()));
+            next.ifPresent(assignment -> submit(assignment, view.epoch()));
         }
     }
 
-    /** Says which shards have no leader that takes calls, and why, whenever that changes. */
+    /** Logs which shards have no leader that accepts calls, and why, whenever that changes. */
     private void logConditions(Map<Integer, ShardAssignment> assignments, Map<NodeId, StorageNodeStatus> nodes) {
         Map<Integer, ShardCondition> leaderless = ShardCondition.ofAll(assignments, nodes);
         leaderless.values().removeIf(condition -> condition == ShardCondition.LED);
         if (!leaderless.equals(loggedLeaderless)) {
             loggedLeaderless = leaderless;
-            LOG.atInfo().log("shards without a leader: %s; %s storage nodes in touch", leaderless, nodes.size());
+            LOG.atInfo().log("shards without a leader: %s; reachable storage nodes: %s", leaderless, nodes.size());
         }
     }
 
-    private void order(ShardAssignment assignment, long viewEpoch) {
+    private void submit(ShardAssignment assignment, long viewEpoch) {
         int shard = assignment.shard();
-        synchronized (ordered) {
-            if (!ordered.add(shard)) {
+        synchronized (pendingShards) {
+            if (!pendingShards.add(shard)) {
                 return;
             }
         }
@@ -106,9 +106,9 @@
                 0,
                 Integer.toString(shard),
                 ShardOrders.assign(assignment, viewEpoch),
-                (outcome, body) -> {
-                    synchronized (ordered) {
-                        ordered.remove(shard);
+                (outcome, reply) -> {
+                    synchronized (pendingShards) {
+                        pendingShards.remove(shard);
                     }
                 });
     }
--- a/src/main/java/ringspindle/controlplane/ShutdownHandover.java
+++ b/src/main/java/ringspindle/controlplane/ShutdownHandover.java
@@ -5,39 +5,40 @@
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
 
-/** Whether a control node that leaves may end: the others must hold all that it holds. Pure. */
+/** Decides whether a leaving control node may stop: the other nodes must hold everything that it holds. Stateless. */
 public final class ShutdownHandover {
 
     /**
-     * What another control node last said of itself.
+     * The state that another control node last reported.
      *
      * @param epoch the epoch of the view that it follows
-     * @param sequence the sequence number of the newest committed state that it holds
-     * @param relearning it can neither vote nor hold state
+     * @param sequence the sequence number of the latest committed state that it holds
+     * @param relearning true if it can neither vote nor hold state
      */
     public record PeerState(NodeId node, long epoch, long sequence, boolean relearning) {}
 
     private ShutdownHandover() {}
 
     /**
-     * True once the chain goes on without this node, and a majority of the voters, not counting it, follow that view and
-     * hold all that is committed here.
+     * Returns true once the chain does not contain this node and a majority of the voters, not counting this node,
+     * follow that view and hold everything that is committed here. Also true if there is nothing to hand over or no
+     * other voter.
      */
-    static boolean done(NodeId me, View view, long committedSeq, Collection<PeerState> holders) {
-        if (view == null || view.voters().equals(List.of(me))) {
-            // there is nothing to hand over, or nobody to take it
+    static boolean isComplete(NodeId self, View view, long committedSequence, Collection<PeerState> peers) {
+        if (view == null || view.voters().equals(List.of(self))) {
+            // nothing to hand over, or no other node to hand over to
             return true;
         }
-        if (view.chain().contains(me)) {
+        if (view.chain().contains(self)) {
             return false;
         }
-        long holding = holders.stream()
-                .filter(holder -> !holder.node().equals(me) && view.voters().contains(holder.node()))
-                .filter(holder ->
-                        !holder.relearning() && holder.epoch() >= view.epoch() && holder.sequence() >= committedSeq)
+        long upToDatePeers = peers.stream()
+                .filter(peer -> !peer.node().equals(self) && view.voters().contains(peer.node()))
+                .filter(peer ->
+                        !peer.relearning() && peer.epoch() >= view.epoch() && peer.sequence() >= committedSequence)
                 .map(PeerState::node)
                 .distinct()
                 .count();
-        return holding >= view.majority();
+        return upToDatePeers >= view.majority();
     }
 }
--- a/src/main/java/ringspindle/controlplane/Storage.java
+++ b/src/main/java/ringspindle/controlplane/Storage.java
@@ -4,17 +4,17 @@
 import java.util.List;
 import ringspindle.protocol.Message.Fact;
 
-/** What a control node keeps across restarts. Thread safe. */
+/** The durable data of a control node. Thread safe. */
 interface Storage {
-    /** Records of the replicated control state. */
+    /** Returns the record log of the replicated control state. */
     RecordLog replication();
 
-    /** Records of the replicated counters. */
+    /** Returns the record log of the replicated counters. */
     RecordLog counters();
 
-    /** The engines last cached, a hint for the time right after a start; empty if there is none. */
+    /** Returns the last cached engines, a hint for the time right after a start; empty if there are none. */
     List<Fact> cachedEngines();
 
-    /** Caches the engines as they are now; never waits for the disk. */
+    /** Caches the given engines without waiting for the disk. */
     void cacheEngines(Collection<Fact> engines);
 }
--- a/src/main/java/ringspindle/controlplane/StorageNodes.java
+++ b/src/main/java/ringspindle/controlplane/StorageNodes.java
@@ -20,7 +20,7 @@
 import ringspindle.shard.StorageNodeTable;
 import ringspindle.shard.StorageReportFact;
 
-/** Questions about storage nodes, answered from what this node knows of the fleet. Thread safe; without state of its own. */
+/** Answers queries about storage nodes from the fleet state of this node. Thread safe and stateless. */
 public final class StorageNodes {
     private final NodeContext context;
     private final FleetState fleet;
@@ -30,46 +30,48 @@
         this.fleet = fleet;
     }
 
-    /** True if a storage node of that name was ever heard of. */
+    /** Returns true if a storage node of that name is known, reachable or not. */
     public boolean isKnown(String name) {
-        return greetings(false).stream().anyMatch(hello -> hello.name().equals(name));
+        return hellos(false).stream().anyMatch(hello -> hello.name().equals(name));
     }
 
-    /** True if enough would be left to hold every shard as often as it takes, and one disk more lost than may be. */
+    /**
+     * Returns true if enough storage nodes would remain without the named one: 2f + 1 reachable nodes that are not
+     * retiring, where f is the number of disks that may be lost simultaneously.
+     */
     public boolean canRemove(String name) {
-        int needed = 2 * context.config().lossesBorne() + 1;
-        Set<String> left = new HashSet<>();
-        greetings(true).forEach(hello -> left.add(hello.name()));
-        left.remove(name);
-        left.removeIf(other -> fleet.read(store -> store.get(FactKind.RETIREMENT, other)) != null);
-        return left.size() >= needed;
+        int required = 2 * context.config().lossesBorne() + 1;
+        Set<String> remaining = new HashSet<>();
+        hellos(true).forEach(hello -> remaining.add(hello.name()));
+        remaining.remove(name);
+        remaining.removeIf(other -> fleet.read(store -> store.get(FactKind.RETIREMENT, other)) != null);
+        return remaining.size() >= required;
     }
 
-    /** True if no shard is assigned to that node, as member or learner. */
+    /** Returns true if no shard is assigned to the named node, neither as member nor as learner. */
     public boolean isDrained(String name) {
         Collection<ShardAssignment> assignments = assignments().values();
-        return greetings(false).stream()
-                .filter(hello -> hello.name().equals(name))
-                .noneMatch(hello -> assignments.stream().anyMatch(each -> each.names(hello.node())));
+        return hellos(false).stream().filter(hello -> hello.name().equals(name)).noneMatch(hello -> assignments.stream()
+                .anyMatch(each -> each.names(hello.node())));
     }
 
-    /** Storage nodes that are in touch, have said which disk they have, and do not shut down. */
-    Map<NodeId, StorageNodeStatus> inTouch(long nowMs) {
+    /** Returns the storage nodes that are reachable, have reported their disk and are not shutting down. */
+    Map<NodeId, StorageNodeStatus> reachable(long nowMs) {
         synchronized (fleet.lock) {
             List<StorageReportFact> reports = fleet.facts().store().all(FactKind.STORAGE).stream()
                     .map(StorageReportFact::read)
                     .toList();
             if (reports.isEmpty()) {
-                // most deployments have none, and the sessions of all nodes need not be read
+                // most deployments have no storage nodes, so skip reading the sessions of all nodes
                 return Map.of();
             }
             Set<String> retiring = new HashSet<>();
             fleet.facts().store().all(FactKind.RETIREMENT).forEach(fact -> retiring.add(fact.key()));
-            return StorageNodeTable.join(greetings(true), reports, retiring);
+            return StorageNodeTable.join(hellos(true), reports, retiring);
         }
     }
 
-    /** The assignments of shards as they are known here, by shard. */
+    /** Returns the shard assignments known to this node, by shard. */
     public Map<Integer, ShardAssignment> assignments() {
         Map<Integer, ShardAssignment> assignments = new TreeMap<>();
         fleet.read(store -> ShardAssignment.readAll(store.all(FactKind.SHARD)))
@@ -77,23 +79,23 @@
         return assignments;
     }
 
-    /** Whether each shard has a leader, by shard; empty where there are neither storage nodes nor assignments. */
+    /** Returns the condition of each shard; empty if there are neither storage nodes nor assignments. */
     public Map<Integer, ShardCondition> conditions() {
-        Map<NodeId, StorageNodeStatus> nodes = inTouch(context.nowMs());
+        Map<NodeId, StorageNodeStatus> nodes = reachable(context.nowMs());
         Map<Integer, ShardAssignment> assignments = assignments();
         return nodes.isEmpty() && assignments.isEmpty() ? Map.of() : ShardCondition.ofAll(assignments, nodes);
     }
 
-    private List<Hello> greetings(boolean inTouch) {
-        List<Hello> greetings = new ArrayList<>();
+    private List<Hello> hellos(boolean reachableOnly) {
+        List<Hello> hellos = new ArrayList<>();
         synchronized (fleet.lock) {
             Map<DataNodeFact, Boolean> nodes = fleet.dataNodes().all(context.nowMs());
-            nodes.forEach((node, holds) -> {
-                if (node.hello().kind() == NodeKind.STORAGE && (holds || !inTouch)) {
-                    greetings.add(node.hello());
+            nodes.forEach((node, current) -> {
+                if (node.hello().kind() == NodeKind.STORAGE && (current || !reachableOnly)) {
+                    hellos.add(node.hello());
                 }
             });
         }
-        return greetings;
+        return hellos;
     }
 }
--- a/src/main/java/ringspindle/controlplane/UsageHandler.java
+++ b/src/main/java/ringspindle/controlplane/UsageHandler.java
@@ -6,7 +6,7 @@
 import ringspindle.protocol.NodeId;
 import ringspindle.protocol.TenantMessage.UsageReport;
 
-/** Notes what data nodes tell of usage, and passes it on to the head of the view. Thread safe; without state of its own. */
+/** Records usage reports of data nodes and forwards them to the head of the view. Thread safe and stateless. */
 final class UsageHandler {
     private final NodeContext context;
     private final ReplicationDriver replication;
@@ -18,7 +18,7 @@
         this.ledger = ledger;
     }
 
-    /** A report came, from a data node or through another control node. */
+    /** Handles a report sent by a data node or forwarded by another control node. */
     void received(NodeId from, UsageReport report) {
         ledger.add(report);
         View view = replication.view();
--- a/src/main/java/ringspindle/controlplane/VersionRolloutTask.java
+++ b/src/main/java/ringspindle/controlplane/VersionRolloutTask.java
@@ -16,28 +16,28 @@
 import ringspindle.replication.VersionRollout.Standing;
 
 /**
- * Has the head of the view end roll-outs of versions before their term. A new version gets no requests, as nothing here judges yet
- * whether it is sound: so each roll-out is reverted. Called by the tick alone.
+ * Ends version rollouts before their deadline while this node is the head of the view. New versions receive no requests
+ * because their health is not evaluated yet, so every rollout is reverted. Called only by the tick.
  */
 final class VersionRolloutTask {
-    /** A roll-out is ended after this part of the time that its operator gave it. */
-    private static final double END_PART = 0.6;
+    /** Fraction of the duration set by the operator after which a rollout is ended. */
+    private static final double END_FRACTION = 0.6;
 
     private static final int PERIOD_TICKS = 5;
     private static final int MS_PER_S = 1000;
 
-    private final NodeId me;
+    private final NodeId self;
     private final FleetState fleet;
     private final ReplicationDriver replication;
-    private final Map<String, Long> seenMs = new HashMap<>();
+    private final Map<String, Long> firstSeenMs = new HashMap<>();
 
-    VersionRolloutTask(NodeId me, FleetState fleet, ReplicationDriver replication) {
-        this.me = me;
+    VersionRolloutTask(NodeId self, FleetState fleet, ReplicationDriver replication) {
+        this.self = self;
         this.fleet = fleet;
         this.replication = replication;
     }
 
-    /** Orders the end of the roll-outs whose time has come. */
+    /** Submits the end of the rollouts that are due. */
     void tick(View view, boolean quorate, long ticks, long nowMs) {
         if (ticks % PERIOD_TICKS != 0) {
             return;
@@ -48,15 +48,15 @@
                 .toList());
         Set<String> services = new HashSet<>();
         active.forEach(rollout -> services.add(rollout.service()));
-        seenMs.keySet().retainAll(services);
-        // every control node notes when it saw one, so that a new head goes on with its time
-        active.forEach(rollout -> seenMs.putIfAbsent(rollout.service(), nowMs));
-        boolean leads = view != null && quorate && view.head().equals(me);
+        firstSeenMs.keySet().retainAll(services);
+        // every control node records when it first saw a rollout, so that a new head continues its timer
+        active.forEach(rollout -> firstSeenMs.putIfAbsent(rollout.service(), nowMs));
+        boolean isHead = view != null && quorate && view.head().equals(self);
         for (VersionRollout rollout : active) {
-            long ageMs = nowMs - seenMs.get(rollout.service());
-            if (leads && ageMs > rollout.durationS() * MS_PER_S * END_PART) {
+            long ageMs = nowMs - firstSeenMs.get(rollout.service());
+            if (isHead && ageMs > rollout.durationS() * MS_PER_S * END_FRACTION) {
                 byte[] order = VersionRollout.end(Standing.REVERTED, view.epoch());
-                replication.call(CallKind.VERSION, 0, rollout.service(), order, (outcome, body) -> {});
+                replication.call(CallKind.VERSION, 0, rollout.service(), order, (outcome, reply) -> {});
             }
         }
     }
--- a/src/test/java/ringspindle/controlplane/GroupCommitWriterGroupsTest.java
+++ b/src/test/java/ringspindle/controlplane/GroupCommitWriterGroupsTest.java
@@ -16,20 +16,23 @@
 import ringspindle.protocol.Message.Entry;
 import ringspindle.storage.Disk;
 
-/** Groups and images, step by step without a thread: nothing is written twice or out of order, and the log stays short. */
+/**
+ * Groups and snapshots, run step by step without a thread: nothing is written twice or out of order, and the log stays
+ * small.
+ */
 class GroupCommitWriterGroupsTest {
-    private static final int MEGABYTE = 1 << 20;
+    private static final int MEBIBYTE = 1 << 20;
 
-    /** Keeps what counts, as after a load; refuses at will. */
+    /** Keeps the records that a load would return; fails appends and snapshots on request. */
     private static final class MemoryDisk implements Disk {
         final List<Message> records = new ArrayList<>();
-        BooleanSupplier refusesAppends = () -> false;
-        BooleanSupplier refusesImages = () -> false;
+        BooleanSupplier failsAppends = () -> false;
+        BooleanSupplier failsSnapshots = () -> false;
         long logBytes;
-        long mostLogBytes;
+        long maxLogBytes;
 
-        private static void refuseIf(BooleanSupplier refuses) throws IOException {
-            if (refuses.getAsBoolean()) {
+        private static void failIf(BooleanSupplier fails) throws IOException {
+            if (fails.getAsBoolean()) {
                 throw new IOException("No space left on device");
             }
         }
@@ -41,17 +44,17 @@
 
         @Override
         public void append(List<Message> added) throws IOException {
-            refuseIf(refusesAppends);
+            failIf(failsAppends);
             records.addAll(added);
             logBytes += added.stream()
                     .mapToLong(record -> ((Entry) record).op().length)
                     .sum();
-            mostLogBytes = Math.max(mostLogBytes, logBytes);
+            maxLogBytes = Math.max(maxLogBytes, logBytes);
         }
 
         @Override
         public void snapshot(List<Message> all) throws IOException {
-            refuseIf(refusesImages);
+            failIf(failsSnapshots);
             records.clear();
             records.addAll(all);
             logBytes = 0;
@@ -68,24 +71,24 @@
     }
 
     private final MemoryDisk disk = new MemoryDisk();
-    private final List<Long> told = new ArrayList<>();
-    private long taken;
-    private final GroupCommitWriter thread = new GroupCommitWriter(disk, this::told, this::compact);
-
-    /** What is told is on the disk: itself, or a later record in an image. */
-    private void told(long token) {
-        told.add(token);
-        List<Long> kept = disk.sequence();
-        assertTrue(kept.get(kept.size() - 1) >= token, () -> "told " + token + " of " + kept);
+    private final List<Long> acknowledged = new ArrayList<>();
+    private long lastToken;
+    private final GroupCommitWriter writer = new GroupCommitWriter(disk, this::onStored, this::compact);
+
+    /** Checks that an acknowledged record is on the disk, itself or through a later record in a snapshot. */
+    private void onStored(long token) {
+        acknowledged.add(token);
+        List<Long> stored = disk.sequence();
+        assertTrue(stored.get(stored.size() - 1) >= token, () -> "acknowledged " + token + ", stored " + stored);
     }
 
     private void compact() {
-        thread.add(new RecordLog.Write(RecordLog.COMPACTION, List.of(new Entry(1, taken, new byte[0])), true));
+        writer.add(new RecordLog.Write(RecordLog.COMPACTION, List.of(new Entry(1, lastToken, new byte[0])), true));
     }
 
-    private void take(int bytes) {
-        taken++;
-        thread.add(new RecordLog.Write(taken, List.of(new Entry(1, taken, new byte[bytes])), false));
+    private void addRecord(int bytes) {
+        lastToken++;
+        writer.add(new RecordLog.Write(lastToken, List.of(new Entry(1, lastToken, new byte[bytes])), false));
     }
 
     private List<Long> upTo(long last) {
@@ -93,58 +96,60 @@
     }
 
     @Test
-    void recordsAreNotRepeatedWhileImagesAreRefused() {
-        disk.refusesImages = () -> true;
+    void recordsAreNotRepeatedWhileSnapshotsFail() {
+        disk.failsSnapshots = () -> true;
         for (int i = 0; i < 40; i++) {
-            take(MEGABYTE);
+            addRecord(MEBIBYTE);
         }
-        for (int step = 0; told.size() < 40; step++) {
-            assertTrue(step < 200, "does not come to an end");
-            thread.writeNext();
+        for (int step = 0; acknowledged.size() < 40; step++) {
+            assertTrue(step < 200, "not all records were written after 200 steps");
+            writer.writeNext();
         }
         assertEquals(upTo(40), disk.sequence());
-        assertEquals(upTo(40), told);
+        assertEquals(upTo(40), acknowledged);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 16})
-    void logIsShortWhateverWaits(int megabytes) {
+    void logSizeIsBoundedWhateverIsQueued(int mebibytes) {
         for (int i = 0; i < 10; i++) {
-            take(megabytes * MEGABYTE);
+            addRecord(mebibytes * MEBIBYTE);
         }
-        while (told.size() < 10) {
-            assertTrue(thread.writeNext());
+        while (acknowledged.size() < 10) {
+            assertTrue(writer.writeNext());
         }
         assertTrue(
-                disk.mostLogBytes <= GroupCommitWriter.LOG_MAX + megabytes * MEGABYTE, "log of " + disk.mostLogBytes);
-        assertEquals(upTo(10), told);
+                disk.maxLogBytes <= GroupCommitWriter.MAX_LOG_BYTES + mebibytes * MEBIBYTE,
+                "log size in bytes: " + disk.maxLogBytes);
+        assertEquals(upTo(10), acknowledged);
     }
 
     @Test
-    void fullLogIsReplacedByAnImage() {
-        disk.refusesAppends = () -> true;
-        take(1);
-        thread.writeNext();
-        assertEquals(List.of(), told);
-        assertTrue(thread.writeNext());
-        assertEquals(List.of(1L), told);
+    void fullLogIsReplacedByASnapshot() {
+        disk.failsAppends = () -> true;
+        addRecord(1);
+        writer.writeNext();
+        assertEquals(List.of(), acknowledged);
+        assertTrue(writer.writeNext());
+        assertEquals(List.of(1L), acknowledged);
     }
 
     @Test
-    void noPatternOfRefusalsPutsAnOlderRecordBehindANewerOne() {
-        Random luck = new Random(41);
-        disk.refusesAppends = () -> luck.nextInt(3) == 0;
-        disk.refusesImages = () -> luck.nextInt(2) == 0;
+    void noPatternOfFailuresReordersRecords() {
+        Random random = new Random(41);
+        disk.failsAppends = () -> random.nextInt(3) == 0;
+        disk.failsSnapshots = () -> random.nextInt(2) == 0;
         for (int step = 0; step < 5000; step++) {
-            if (luck.nextInt(3) == 0) {
-                take(luck.nextInt(2 * MEGABYTE));
+            if (random.nextInt(3) == 0) {
+                addRecord(random.nextInt(2 * MEBIBYTE));
             }
-            thread.add(new RecordLog.Write(++taken, List.of(new Entry(1, taken, new byte[0])), luck.nextInt(10) == 0));
-            thread.writeNext();
-            List<Long> kept = disk.sequence();
-            assertEquals(kept.stream().distinct().sorted().toList(), kept);
+            writer.add(new RecordLog.Write(
+                    ++lastToken, List.of(new Entry(1, lastToken, new byte[0])), random.nextInt(10) == 0));
+            writer.writeNext();
+            List<Long> stored = disk.sequence();
+            assertEquals(stored.stream().distinct().sorted().toList(), stored);
         }
-        assertEquals(upTo(told.size()), told);
-        assertTrue(told.size() > 1000, "told " + told.size());
+        assertEquals(upTo(acknowledged.size()), acknowledged);
+        assertTrue(acknowledged.size() > 1000, "acknowledged: " + acknowledged.size());
     }
 }
--- a/src/test/java/ringspindle/controlplane/ShutdownHandoverTest.java
+++ b/src/test/java/ringspindle/controlplane/ShutdownHandoverTest.java
@@ -9,42 +9,48 @@
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
 
-/** A node ends once a majority of the others follow the view without it and hold what it holds. */
+/** A node may stop once a majority of the other voters follow a view without it and hold its committed state. */
 class ShutdownHandoverTest {
     private static final NodeId A = NodeId.of("10.0.0.1:7000");
     private static final NodeId B = NodeId.of("10.0.0.2:7000");
     private static final NodeId C = NodeId.of("10.0.0.3:7000");
     private static final View WITHOUT_A = new View(5, List.of(A, B, C), List.of(B, C));
 
-    private static boolean done(View view, PeerState... holders) {
-        return ShutdownHandover.done(A, view, 7, List.of(holders));
+    private static boolean isComplete(View view, PeerState... peers) {
+        return ShutdownHandover.isComplete(A, view, 7, List.of(peers));
     }
 
-    private static PeerState holder(NodeId n) {
-        return new PeerState(n, 5, 7, false);
+    private static PeerState upToDatePeer(NodeId node) {
+        return new PeerState(node, 5, 7, false);
     }
 
     @Test
-    void aMajorityOfTheOthersHasToHoldIt() {
-        assertTrue(done(WITHOUT_A, holder(B), holder(C)));
-        assertTrue(done(WITHOUT_A, holder(B), new PeerState(C, 6, 9, false)), "a newer view and state hold it as well");
-        assertFalse(done(WITHOUT_A, holder(B)), "one of three voters is no majority");
-        assertFalse(done(WITHOUT_A, holder(B), holder(B)), "nor is one counted twice");
-        assertFalse(done(WITHOUT_A, holder(B), holder(A)), "this node does not count");
-        assertFalse(done(WITHOUT_A, holder(B), holder(NodeId.of("10.0.0.4:7000"))), "who does not vote does not count");
+    void majorityOfTheOtherVotersMustHoldTheState() {
+        assertTrue(isComplete(WITHOUT_A, upToDatePeer(B), upToDatePeer(C)));
+        assertTrue(
+                isComplete(WITHOUT_A, upToDatePeer(B), new PeerState(C, 6, 9, false)),
+                "a newer view and state include it");
+        assertFalse(isComplete(WITHOUT_A, upToDatePeer(B)), "one of three voters is no majority");
+        assertFalse(isComplete(WITHOUT_A, upToDatePeer(B), upToDatePeer(B)), "a duplicate counts once");
+        assertFalse(isComplete(WITHOUT_A, upToDatePeer(B), upToDatePeer(A)), "the leaving node does not count");
+        assertFalse(
+                isComplete(WITHOUT_A, upToDatePeer(B), upToDatePeer(NodeId.of("10.0.0.4:7000"))),
+                "non-voters do not count");
     }
 
     @Test
-    void oldViewsOldStatesAndBlankNodesDoNotCount() {
-        assertFalse(done(WITHOUT_A, holder(B), new PeerState(C, 4, 7, false)), "does not know the view yet");
-        assertFalse(done(WITHOUT_A, holder(B), new PeerState(C, 5, 6, false)), "lacks the last order");
-        assertFalse(done(WITHOUT_A, holder(B), new PeerState(C, 5, 7, true)), "is blank");
+    void oldViewsOldStatesAndRelearningNodesDoNotCount() {
+        assertFalse(isComplete(WITHOUT_A, upToDatePeer(B), new PeerState(C, 4, 7, false)), "follows an older view");
+        assertFalse(
+                isComplete(WITHOUT_A, upToDatePeer(B), new PeerState(C, 5, 6, false)),
+                "lacks the last committed order");
+        assertFalse(isComplete(WITHOUT_A, upToDatePeer(B), new PeerState(C, 5, 7, true)), "is relearning");
     }
 
     @Test
-    void thereIsNoEndWhileTheChainHasThisNode() {
-        assertFalse(done(new View(5, List.of(A, B, C), List.of(B, A, C)), holder(B), holder(C)));
-        assertTrue(done(null), "nothing is known here");
-        assertTrue(done(new View(1, List.of(A), List.of(A))), "nobody is there to take it");
+    void handoverIsIncompleteWhileTheChainContainsTheNode() {
+        assertFalse(isComplete(new View(5, List.of(A, B, C), List.of(B, A, C)), upToDatePeer(B), upToDatePeer(C)));
+        assertTrue(isComplete(null), "no view is known");
+        assertTrue(isComplete(new View(1, List.of(A), List.of(A))), "no other voter to hand over to");
     }
 }
