--- a/src/test/java/ringspindle/controlplane/CallIdsTest.java
+++ b/src/test/java/ringspindle/controlplane/CallIdsTest.java
@@ -20,14 +20,18 @@
 import ringspindle.transport.Mesh;
 import ringspindle.transport.NodeEnvironment;
 
-/** A reply to a call of an earlier process meets no call of this one, though both drew the same life. */
+/**
+ * A reply to a call of an earlier process must not complete a call of the current one. This could happen if call ids
+ * were derived from the incarnation, as two processes may have drawn the same one; ids therefore start at a random
+ * number.
+ */
 class CallIdsTest {
     private static final NodeId HEAD = NodeId.of("10.0.0.1:7000");
     private static final NodeId THIRD = NodeId.of("10.0.0.3:7000");
-    private static final long LIFE = 9;
+    private static final long INCARNATION = 9;
 
-    /** Keeps what is sent. */
-    private static final class Sent implements Mesh {
+    /** Records the messages sent to the head. */
+    private static final class RecordingMesh implements Mesh {
         final List<Message> toHead = new ArrayList<>();
         Listener listener;
 
@@ -38,13 +42,13 @@
 
         @Override
         public void dial(NodeId peer) {
-            // both are there from the start
+            // both peers are connected from the start
         }
 
         @Override
-        public void send(NodeId peer, Message m) {
+        public void send(NodeId peer, Message message) {
             if (peer.equals(HEAD)) {
-                toHead.add(m);
+                toHead.add(message);
             }
         }
 
@@ -60,7 +64,7 @@
 
         @Override
         public void drop(NodeId peer) {
-            // nobody is silent here
+            // no peer is silent in this test
         }
 
         @Override
@@ -69,14 +73,14 @@
         }
     }
 
-    private final Sent mesh = new Sent();
+    private final RecordingMesh mesh = new RecordingMesh();
     private final List<Outcome> outcomes = new ArrayList<>();
     private long nowMs = 1000;
     private SimulatedControlNode control;
 
-    private void start(long chance) throws Exception {
-        Properties p = new Properties();
-        p.putAll(Map.of(
+    private void start(long startId) throws Exception {
+        Properties properties = new Properties();
+        properties.putAll(Map.of(
                 "node.name",
                 "c1",
                 "node.ip",
@@ -97,15 +101,16 @@
                 "1",
                 "node.bootstrap",
                 "true"));
-        NodeConfig config = ((Validated.Valid<NodeConfig>) NodeConfig.check(p)).value();
+        NodeConfig config = ((Validated.Valid<NodeConfig>) NodeConfig.check(properties)).value();
         control = new SimulatedControlNode(
                 config,
-                new NodeEnvironment(() -> nowMs, LIFE, () -> chance, Runnable::run, hello -> mesh),
-                (inMs, r) -> {});
-        for (NodeId n : List.of(HEAD, THIRD)) {
-            mesh.listener.opened(new Hello(n, 1, 0, n.bits(), n.toString(), "z", "r"));
-            // one heartbeat goes out when a connection opens
-            mesh.listener.received(n, new Heartbeat(1, n.equals(HEAD) ? 1 : 2, NodeFlags.READY, 1, 0, 0, List.of()));
+                new NodeEnvironment(() -> nowMs, INCARNATION, () -> startId, Runnable::run, hello -> mesh),
+                (delayMs, task) -> {});
+        for (NodeId node : List.of(HEAD, THIRD)) {
+            mesh.listener.opened(new Hello(node, 1, 0, node.bits(), node.toString(), "z", "r"));
+            // the node sends one heartbeat when a connection opens, which these echo
+            mesh.listener.received(
+                    node, new Heartbeat(1, node.equals(HEAD) ? 1 : 2, NodeFlags.READY, 1, 0, 0, List.of()));
         }
         control.tick();
     }
@@ -114,26 +119,26 @@
         mesh.toHead.clear();
         control.put(0, new byte[0], outcomes::add);
         return mesh.toHead.stream()
-                .filter(m -> m instanceof Call)
-                .map(m -> ((Call) m).id())
+                .filter(message -> message instanceof Call)
+                .map(message -> ((Call) message).id())
                 .findFirst()
                 .orElseThrow();
     }
 
     @Test
-    void callsAreNumberedFromChance() throws Exception {
-        long chance = 0x7123456789abcdefL;
-        start(chance);
-        assertEquals(chance + 1, call());
-        mesh.listener.received(HEAD, new Reply((LIFE << 20) + 1, Outcome.TAKEN.ordinal(), new byte[0]));
-        mesh.listener.received(HEAD, new Reply(chance, Outcome.TAKEN.ordinal(), new byte[0]));
+    void callIdsStartAtTheRandomStartId() throws Exception {
+        long startId = 0x7123456789abcdefL;
+        start(startId);
+        assertEquals(startId + 1, call());
+        mesh.listener.received(HEAD, new Reply((INCARNATION << 20) + 1, Outcome.TAKEN.ordinal(), new byte[0]));
+        mesh.listener.received(HEAD, new Reply(startId, Outcome.TAKEN.ordinal(), new byte[0]));
         assertEquals(List.of(), outcomes, "replies to calls of an earlier process");
-        mesh.listener.received(HEAD, new Reply(chance + 1, Outcome.OTHER_VERSION.ordinal(), new byte[0]));
+        mesh.listener.received(HEAD, new Reply(startId + 1, Outcome.OTHER_VERSION.ordinal(), new byte[0]));
         assertEquals(List.of(Outcome.OTHER_VERSION), outcomes);
     }
 
     @Test
-    void theNumbersMayRunOver() throws Exception {
+    void callIdsMayOverflow() throws Exception {
         start(Long.MAX_VALUE);
         assertEquals(Long.MIN_VALUE, call());
         mesh.listener.received(HEAD, new Reply(Long.MIN_VALUE, Outcome.TAKEN.ordinal(), new byte[0]));
--- a/src/test/java/ringspindle/controlplane/ControlNodeSettings.java
+++ b/src/test/java/ringspindle/controlplane/ControlNodeSettings.java
@@ -5,11 +5,11 @@
 import ringspindle.config.NodeConfig;
 import ringspindle.config.Validated;
 
-/** Settings of one control node in region a, of a fleet with a zone in each of the regions a, b and c. */
+/** Creates settings of a control node in region a, in a fleet with one zone in each of the regions a, b and c. */
 public final class ControlNodeSettings {
     private ControlNodeSettings() {}
 
-    /** The settings. */
+    /** Returns the settings. */
     public static NodeConfig create() {
         Properties settings = new Properties();
         settings.putAll(Map.of("node.name", "c", "node.ip", "10.0.0.1", "node.zone", "za", "node.region", "a"));
--- a/src/test/java/ringspindle/controlplane/DiskStorageTest.java
+++ b/src/test/java/ringspindle/controlplane/DiskStorageTest.java
@@ -17,7 +17,7 @@
 import ringspindle.storage.UnreadableStorageException;
 import ringspindle.storage.UnreadableStorageException.Reason;
 
-/** Only what a control node writes is read back as its state. */
+/** Only records of the kinds that a control node writes are loaded; all others are rejected. */
 class DiskStorageTest {
     private static final Vote VOTE = new Vote(1, 2, 3, null, null);
 
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void otherMessagesAndUnreadableOperationsAreRefused() throws Exception {
+    void otherMessagesAndUnreadableOperationsAreRejected() throws Exception {
         List<Message> unknown =
                 List.of(new Relearn(1), new Entry(1, 1, Codec.encode(VOTE)), new Entry(1, 1, new byte[] {1, 2, 3}));
         for (int i = 0; i < unknown.size(); i++) {
@@ -51,11 +51,11 @@
             disk.snapshot(List.of(VOTE));
             disk.append(List.of(unknown.get(i)));
             for (int start = 0; start < 2; start++) {
-                UnreadableStorageException x =
+                UnreadableStorageException exception =
                         assertThrows(UnreadableStorageException.class, () -> new DiskStorage(folder, Runnable::run)
                                 .replication()
                                 .load());
-                assertEquals(Reason.UNKNOWN_RECORD, x.reason());
+                assertEquals(Reason.UNKNOWN_RECORD, exception.reason());
             }
         }
     }
--- a/src/test/java/ringspindle/controlplane/EngineCacheFileTest.java
+++ b/src/test/java/ringspindle/controlplane/EngineCacheFileTest.java
@@ -14,15 +14,17 @@
 import ringspindle.protocol.Message.Fact;
 import ringspindle.protocol.Message.Relearn;
 
-/** The hint of engines comes back after a restart, and a broken one counts as none. */
+/** Cached engines are loaded after a restart; a corrupt cache file is treated as missing. */
 class EngineCacheFileTest {
     @TempDir
     Path folder;
 
-    private static final byte[] ENGINE = Codec.encode(new Engine(8, 0, false, 0, -1, "chat", "10.0.0.1:80", "a", "r1"));
-    private static final List<Fact> TWO = List.of(new Fact(4, "i-1", 0, 7, ENGINE), new Fact(4, "i-2", 0, 9, ENGINE));
+    private static final byte[] ENCODED_ENGINE =
+            Codec.encode(new Engine(8, 0, false, 0, -1, "chat", "10.0.0.1:80", "a", "r1"));
+    private static final List<Fact> ENGINES =
+            List.of(new Fact(4, "i-1", 0, 7, ENCODED_ENGINE), new Fact(4, "i-2", 0, 9, ENCODED_ENGINE));
 
-    private EngineCacheFile file() {
+    private EngineCacheFile newCacheFile() {
         return new EngineCacheFile(folder.resolve("engines"), Runnable::run);
     }
 
@@ -31,45 +33,45 @@
     }
 
     @Test
-    void enginesComeBack() {
-        assertEquals(List.of(), file().load());
-        file().store(TWO);
-        assertEquals(List.of("i-1", "i-2"), keys(file().load()));
-        EngineCacheFile f = file();
-        f.store(TWO);
-        f.store(TWO.subList(0, 1));
-        assertEquals(List.of("i-1"), keys(file().load()));
+    void storedEnginesAreLoaded() {
+        assertEquals(List.of(), newCacheFile().load());
+        newCacheFile().store(ENGINES);
+        assertEquals(List.of("i-1", "i-2"), keys(newCacheFile().load()));
+        EngineCacheFile cacheFile = newCacheFile();
+        cacheFile.store(ENGINES);
+        cacheFile.store(ENGINES.subList(0, 1));
+        assertEquals(List.of("i-1"), keys(newCacheFile().load()));
     }
 
     @Test
     void sameEnginesAreNotWrittenAgain() throws Exception {
-        EngineCacheFile f = file();
-        f.store(TWO);
+        EngineCacheFile cacheFile = newCacheFile();
+        cacheFile.store(ENGINES);
         Files.delete(folder.resolve("engines"));
-        f.store(TWO);
+        cacheFile.store(ENGINES);
         assertFalse(Files.exists(folder.resolve("engines")));
     }
 
     @Test
-    void brokenFilesCountAsNone() throws Exception {
-        file().store(TWO);
-        byte[] whole = Files.readAllBytes(folder.resolve("engines"));
-        for (int cut = 0; cut < whole.length; cut++) {
-            Files.write(folder.resolve("engines"), Arrays.copyOf(whole, cut));
-            assertEquals(List.of(), file().load(), "cut at " + cut);
+    void corruptFilesLoadAsEmpty() throws Exception {
+        newCacheFile().store(ENGINES);
+        byte[] content = Files.readAllBytes(folder.resolve("engines"));
+        for (int length = 0; length < content.length; length++) {
+            Files.write(folder.resolve("engines"), Arrays.copyOf(content, length));
+            assertEquals(List.of(), newCacheFile().load(), "cut at " + length);
         }
-        whole[whole.length - 1] ^= 1;
-        Files.write(folder.resolve("engines"), whole);
-        assertEquals(List.of(), file().load());
+        content[content.length - 1] ^= 1;
+        Files.write(folder.resolve("engines"), content);
+        assertEquals(List.of(), newCacheFile().load());
     }
 
     @Test
-    void wholeFilesOfAnotherVersionCountAsNone() {
-        byte[] foreign = ENGINE.clone();
-        foreign[2] = 99;
-        for (byte[] value : List.of(foreign, new byte[] {1}, Codec.encode(new Relearn(1)))) {
-            file().store(List.of(TWO.get(0), new Fact(4, "i-2", 0, 9, value)));
-            assertEquals(List.of(), file().load());
+    void filesOfAnotherVersionLoadAsEmpty() {
+        byte[] unknownVersion = ENCODED_ENGINE.clone();
+        unknownVersion[2] = 99;
+        for (byte[] value : List.of(unknownVersion, new byte[] {1}, Codec.encode(new Relearn(1)))) {
+            newCacheFile().store(List.of(ENGINES.get(0), new Fact(4, "i-2", 0, 9, value)));
+            assertEquals(List.of(), newCacheFile().load());
         }
     }
 }
--- a/src/test/java/ringspindle/controlplane/EngineReportClientTest.java
+++ b/src/test/java/ringspindle/controlplane/EngineReportClientTest.java
@@ -20,12 +20,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An engine's report tells whether it is free to swap; what is no report says nothing. */
+/** Valid engine reports reach the listener; malformed responses and unknown addresses are ignored. */
 @Timeout(60)
 class EngineReportClientTest {
-    private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> reports = new LinkedBlockingQueue<>();
     private QueuedThreadPool pool;
-    private ScheduledExecutorScheduler beats;
+    private ScheduledExecutorScheduler scheduler;
 
     @BeforeEach
     void open() throws Exception {
@@ -33,56 +33,59 @@
         pool.setDaemon(true);
         pool.setStopTimeout(0);
         pool.start();
-        beats = new ScheduledExecutorScheduler("beats", true, 1);
-        beats.start();
+        scheduler = new ScheduledExecutorScheduler("beats", true, 1);
+        scheduler.start();
     }
 
     @AfterEach
     void close() throws Exception {
         pool.stop();
-        beats.stop();
+        scheduler.stop();
     }
 
-    /** An engine that gives one answer to each call, and ends after two. */
+    /** Starts an engine that answers two requests, one response each, and then stops; returns its address. */
     private static String engine(String first, String second) throws IOException {
         ServerSocket server = new ServerSocket(0, 10, InetAddress.getByName("127.0.0.1"));
-        Thread t = new Thread(() -> {
+        Thread thread = new Thread(() -> {
             try (server) {
                 for (String body : new String[] {first, second}) {
-                    try (Socket s = server.accept()) {
-                        BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(), ISO_8859_1));
+                    try (Socket socket = server.accept()) {
+                        BufferedReader in =
+                                new BufferedReader(new InputStreamReader(socket.getInputStream(), ISO_8859_1));
                         assertEquals("GET /ringspindle/report HTTP/1.1", in.readLine());
-                        for (String h = in.readLine(); h != null && !h.isEmpty(); h = in.readLine()) {
-                            // the header says nothing that matters here
+                        for (String header = in.readLine();
+                                header != null && !header.isEmpty();
+                                header = in.readLine()) {
+                            // request headers are not checked
                         }
-                        s.getOutputStream()
+                        socket.getOutputStream()
                                 .write(
                                         ("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Type: application/json\r\nContent-Length: "
                                                         + body.length() + "\r\n\r\n" + body)
                                                 .getBytes(ISO_8859_1));
                     }
                 }
-            } catch (IOException x) {
-                // the test is over
+            } catch (IOException closed) {
+                // the test has ended
             }
         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
         return "127.0.0.1:" + server.getLocalPort();
     }
 
     @Test
-    void reportsAreReadAndRubbishIsNot() throws Exception {
-        EngineReportClient r = new EngineReportClient(pool, beats)
-                .listener((id, active, queued) -> heard.add(id + " " + active + " " + queued));
-        String good = "{\"phase\":\"combined\",\"models\":[],\"active\":3,\"queued\":1}";
-        r.request("i-1", engine("not json", good));
-        r.request("i-0", null);
-        String address = engine(good, "{\"active\":0,\"queued\":0}");
-        r.request("i-2", address);
-        assertEquals("i-2 3 1", heard.poll(30, TimeUnit.SECONDS));
-        r.request("i-2", address);
-        assertEquals("i-2 0 0", heard.poll(30, TimeUnit.SECONDS));
-        assertTrue(heard.isEmpty());
+    void validReportsAreDeliveredAndMalformedOnesIgnored() throws Exception {
+        EngineReportClient client = new EngineReportClient(pool, scheduler)
+                .listener((id, active, queued) -> reports.add(id + " " + active + " " + queued));
+        String validReport = "{\"phase\":\"combined\",\"models\":[],\"active\":3,\"queued\":1}";
+        client.request("i-1", engine("not json", validReport));
+        client.request("i-0", null);
+        String address = engine(validReport, "{\"active\":0,\"queued\":0}");
+        client.request("i-2", address);
+        assertEquals("i-2 3 1", reports.poll(30, TimeUnit.SECONDS));
+        client.request("i-2", address);
+        assertEquals("i-2 0 0", reports.poll(30, TimeUnit.SECONDS));
+        assertTrue(reports.isEmpty());
     }
 }
--- a/src/test/java/ringspindle/controlplane/GroupCommitWriterTest.java
+++ b/src/test/java/ringspindle/controlplane/GroupCommitWriterTest.java
@@ -14,16 +14,18 @@
 import ringspindle.protocol.Message.Synced;
 import ringspindle.storage.Disk;
 
-/** A disk that is full for a while: nothing is told to be stored that is not, nothing is lost, and it goes on by itself. */
+/**
+ * While a disk is full, no unwritten record is acknowledged; afterwards writing resumes by itself without lost records.
+ */
 @Timeout(60)
 class GroupCommitWriterTest {
-    /** Refuses a number of writes, as a full disk does, and notes what was written when. */
+    /** Fails a number of writes, as a full disk does, and records what was written. */
     private static final class FullDisk implements Disk {
         final List<Message> written = Collections.synchronizedList(new ArrayList<>());
-        final CountDownLatch refused;
+        final CountDownLatch remainingFailures;
 
-        FullDisk(int times) {
-            refused = new CountDownLatch(times);
+        FullDisk(int failures) {
+            remainingFailures = new CountDownLatch(failures);
         }
 
         @Override
@@ -33,8 +35,8 @@
 
         @Override
         public void append(List<Message> records) throws IOException {
-            if (refused.getCount() > 0) {
-                refused.countDown();
+            if (remainingFailures.getCount() > 0) {
+                remainingFailures.countDown();
                 throw new IOException("No space left on device");
             }
             written.addAll(records);
@@ -52,30 +54,32 @@
     }
 
     @Test
-    void nothingCountsAsStoredWhileTheDiskIsFull() throws Exception {
+    void nothingIsAcknowledgedWhileTheDiskIsFull() throws Exception {
         FullDisk disk = new FullDisk(3);
         List<Long> stored = Collections.synchronizedList(new ArrayList<>());
-        List<Integer> writtenThen = Collections.synchronizedList(new ArrayList<>());
-        CountDownLatch all = new CountDownLatch(4);
-        GroupCommitWriter t = new GroupCommitWriter(
+        List<Integer> writtenAtAcknowledgement = Collections.synchronizedList(new ArrayList<>());
+        CountDownLatch acknowledgements = new CountDownLatch(4);
+        GroupCommitWriter writer = new GroupCommitWriter(
                 disk,
                 token -> {
                     stored.add(token);
-                    writtenThen.add(disk.written.size());
-                    all.countDown();
+                    writtenAtAcknowledgement.add(disk.written.size());
+                    acknowledgements.countDown();
                 },
                 () -> {});
         for (long token = 1; token <= 3; token++) {
-            t.add(new RecordLog.Write(token, List.of(new Synced(1, token)), false));
+            writer.add(new RecordLog.Write(token, List.of(new Synced(1, token)), false));
         }
-        Thread thread = new Thread(t);
+        Thread thread = new Thread(writer);
         thread.setDaemon(true);
         thread.start();
-        disk.refused.await();
-        t.add(new RecordLog.Write(4, List.of(new Synced(1, 4)), false));
-        all.await();
+        disk.remainingFailures.await();
+        writer.add(new RecordLog.Write(4, List.of(new Synced(1, 4)), false));
+        acknowledgements.await();
         assertEquals(List.of(1L, 2L, 3L, 4L), stored);
-        assertTrue(writtenThen.get(0) >= 3, "told before it was written: " + writtenThen);
+        assertTrue(
+                writtenAtAcknowledgement.get(0) >= 3,
+                "acknowledged before it was written: " + writtenAtAcknowledgement);
         assertEquals(List.of(new Synced(1, 1), new Synced(1, 2), new Synced(1, 3), new Synced(1, 4)), disk.written);
         thread.interrupt();
     }
--- a/src/test/java/ringspindle/controlplane/SimulatedControlNode.java
+++ b/src/test/java/ringspindle/controlplane/SimulatedControlNode.java
@@ -18,23 +18,23 @@
 import ringspindle.replication.CallKind;
 import ringspindle.transport.NodeEnvironment;
 
-/** A real control node without sockets and disk: ticked, called and fed from outside. */
+/** A real control node without sockets or a disk, driven by its owner: ticks, calls and messages come from outside. */
 public final class SimulatedControlNode {
     private final ControlNode control;
 
-    /** A timer of whoever runs it. */
+    /** Schedules tasks in simulated time. */
     public interface TaskScheduler {
         /** Runs the task after a delay in milliseconds. */
         void schedule(double delayMs, Runnable task);
     }
 
-    /** Starts a control node with storage that only delays. */
+    /** Starts a control node whose storage acknowledges writes after a delay and keeps nothing. */
     public SimulatedControlNode(NodeConfig config, NodeEnvironment environment, TaskScheduler scheduler)
             throws Exception {
         this(config, environment, scheduler, null);
     }
 
-    /** Starts a control node with the records that are on that disk. */
+    /** Starts a control node with the records on the disk. */
     public SimulatedControlNode(
             NodeConfig config, NodeEnvironment environment, TaskScheduler scheduler, SimulatedDisk disk)
             throws Exception {
@@ -42,54 +42,54 @@
         control.start();
     }
 
-    /** The settings file changed. */
+    /** Applies changed settings. */
     public void applySettings(NodeConfig changed) {
         control.applySettings(changed);
     }
 
-    /** The revision of the committed configuration, 0 while none is known. */
+    /** Returns the revision of the committed configuration, 0 while none is known. */
     public long revision() {
         return control.replication().committed() == null
                 ? 0
                 : control.replication().committed().revision();
     }
 
-    /** Milliseconds between two ticks. */
+    /** Returns the interval between ticks in milliseconds. */
     public static int tickMs() {
         return ControlNode.TICK_MS;
     }
 
-    /** Does the periodic work. */
+    /** Runs the periodic work. */
     public void tick() {
         control.tick();
     }
 
-    /** Takes an engine's heartbeat. */
+    /** Handles a heartbeat of an engine. */
     public void heartbeat(String id, Engine engine, long sequence) {
         control.engines().heartbeat(id, engine, sequence);
     }
 
-    /** Puts a configuration that builds on a revision. */
+    /** Replaces the configuration of the base revision. */
     public void put(long base, byte[] body, Consumer<Outcome> callback) {
         control.replication().call(CallKind.PUT, base, "", body, (outcome, reply) -> callback.accept(outcome));
     }
 
-    /** Patches the configuration of a revision. */
+    /** Patches the configuration of the base revision. */
     public void patch(long base, byte[] body, Consumer<Outcome> callback) {
         control.replication().call(CallKind.PATCH, base, "", body, (outcome, reply) -> callback.accept(outcome));
     }
 
-    /** Puts serving rules that build on a revision. */
+    /** Replaces the serving rules of the base revision. */
     public void putRules(long base, byte[] body, Consumer<Outcome> callback) {
         control.replication().call(CallKind.RULES, base, "", body, (outcome, reply) -> callback.accept(outcome));
     }
 
-    /** Calls the replicated state, as an operator's request of that kind does. */
+    /** Calls the replicated state as an operator's request of that kind does. */
     public void call(CallKind kind, String argument, byte[] body, Consumer<Outcome> callback) {
         control.replication().call(kind, 0, argument, body, (outcome, reply) -> callback.accept(outcome));
     }
 
-    /** The JSON pages that operators read, by name. */
+    /** Returns the JSON pages for operators, by name. */
     public Map<String, String> operatorPages() {
         return Map.of(
                 "status", StatusPage.of(control).toString(),
@@ -98,7 +98,7 @@
                 "rollouts", RolloutsPage.of(control).toString());
     }
 
-    /** What nodes that report here say they follow. */
+    /** Returns the serving rules revisions that data nodes report to this node. */
     public Map<NodeId, Long> reportedRevisions() {
         Map<NodeId, Long> revisions = new TreeMap<>();
         control.queries()
@@ -108,65 +108,65 @@
         return revisions;
     }
 
-    /** The HTTP calls of engines, operators and clients, for a server of whoever runs it. */
+    /** Returns the handler of the HTTP API, for a server of the caller. */
     public Handler apiHandler() {
         return new ControlApiHandler(control);
     }
 
-    /** True while the node is in touch with a majority of the voters. */
+    /** Returns true while the node has a quorum and is up to date. */
     public boolean quorate() {
         return control.serving().quorate();
     }
 
-    /** How many voters the view has, 0 without a view. */
+    /** Returns the number of voters in the view, 0 without a view. */
     public int voterCount() {
         return control.replication().view() == null
                 ? 0
                 : control.replication().view().voters().size();
     }
 
-    /** The node's inner address. */
+    /** Returns the identity of the node, which is its inner address. */
     public NodeId nodeId() {
         return control.nodeId();
     }
 
-    /** True if the node is the head of the chain. */
+    /** Returns true if the node is the head of the chain. */
     public boolean isHead() {
         return control.replication().view() != null
                 && control.replication().view().head().equals(control.nodeId());
     }
 
-    /** How many data nodes are ready. */
+    /** Returns the number of data nodes that are ready. */
     public int readyDataNodes() {
         return control.queries().readyDataNodes();
     }
 
-    /** The sum of all reports that came in. */
+    /** Returns the sum of all received load reports. */
     public ringspindle.telemetry.LoadSummary totalLoad() {
         return control.queries().load();
     }
 
-    /** True while a majority is proven to be in touch. */
+    /** Returns true while a majority is proven to be reachable. */
     public boolean majorityReachable() {
         return control.serving().majorityReachable();
     }
 
-    /** The epoch of the newest view, 0 without one. */
+    /** Returns the epoch of the latest view, 0 without one. */
     public long epoch() {
         return control.replication().status().epoch();
     }
 
-    /** Adds to a counter. */
+    /** Adds 1 to a counter. */
     public void add(String counter, String instance, Consumer<Outcome> callback) {
         control.counters().add(counter, instance, 1, callback);
     }
 
-    /** The total of a counter; empty while the node cannot tell. */
+    /** Returns the total of a counter, empty while the node does not know it. */
     public Optional<BigInteger> total(String counter) {
         return control.counters().total(counter);
     }
 
-    /** True if that node votes in the newest view that is known here. */
+    /** Returns true if the given node is a voter in the latest view known to this node. */
     public boolean isVoter(NodeId node) {
         return control.replication().view() != null
                 && control.replication().view().voters().contains(node);
--- a/src/test/java/ringspindle/controlplane/SimulatedDisk.java
+++ b/src/test/java/ringspindle/controlplane/SimulatedDisk.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import ringspindle.protocol.Message;
 
-/** The synced records of one simulated machine, for the processes that run there one after the other. */
+/** The synced records of one simulated machine, shared by the processes that run on it one after another. */
 public final class SimulatedDisk {
     final List<Message> replication = new ArrayList<>();
     final List<Message> counters = new ArrayList<>();
--- a/src/test/java/ringspindle/controlplane/SimulatedStorage.java
+++ b/src/test/java/ringspindle/controlplane/SimulatedStorage.java
@@ -7,46 +7,49 @@
 import ringspindle.protocol.Message;
 import ringspindle.protocol.Message.Fact;
 
-/** Storage that keeps nothing on any disk, and tells after a delay that it does; a later process may take over its records. */
+/**
+ * Storage in memory that acknowledges writes after a delay. A later process may load the records of a {@link
+ * SimulatedDisk}.
+ */
 final class SimulatedStorage implements Storage {
     private static final int SYNC_MS = 2;
 
-    /** Records that are kept in memory, and only where somebody will ask for them. */
+    /** Keeps records in memory, or nowhere if the list is null. */
     private final class SimulatedRecordLog implements RecordLog {
-        private final List<Message> kept;
-        private LongConsumer stored;
+        private final List<Message> records;
+        private LongConsumer onStored;
 
-        SimulatedRecordLog(List<Message> kept) {
-            this.kept = kept;
+        SimulatedRecordLog(List<Message> records) {
+            this.records = records;
         }
 
         @Override
         public List<Message> load() {
-            return kept == null ? List.of() : List.copyOf(kept);
+            return records == null ? List.of() : List.copyOf(records);
         }
 
         @Override
-        public void open(LongConsumer then, Runnable compact) {
-            stored = then;
+        public void open(LongConsumer newOnStored, Runnable compact) {
+            onStored = newOnStored;
         }
 
         @Override
-        public void write(Write records) {
-            records.records().forEach(Codec::encode);
+        public void write(Write write) {
+            write.records().forEach(Codec::encode);
             scheduler.schedule(SYNC_MS, () -> {
-                keep(records);
-                stored.accept(records.token());
+                apply(write);
+                onStored.accept(write.token());
             });
         }
 
-        private void keep(Write records) {
-            if (kept == null) {
+        private void apply(Write write) {
+            if (records == null) {
                 return;
             }
-            if (records.snapshot()) {
-                kept.clear();
+            if (write.snapshot()) {
+                records.clear();
             }
-            kept.addAll(records.records());
+            records.addAll(write.records());
         }
     }
 
@@ -54,7 +57,7 @@
     private final RecordLog replication;
     private final RecordLog counters;
 
-    /** Keeps records on that disk, or nothing if it is null. */
+    /** Keeps records on the disk, or none if it is null. */
     SimulatedStorage(SimulatedControlNode.TaskScheduler scheduler, SimulatedDisk disk) {
         this.scheduler = scheduler;
         replication = new SimulatedRecordLog(disk == null ? null : disk.replication);
@@ -78,6 +81,6 @@
 
     @Override
     public void cacheEngines(Collection<Fact> engines) {
-        // a hint that nobody reads here
+        // never read back in simulations
     }
 }
--- a/src/test/java/ringspindle/controlplane/StoredDataTest.java
+++ b/src/test/java/ringspindle/controlplane/StoredDataTest.java
@@ -36,7 +36,7 @@
 import ringspindle.storage.Disk;
 import ringspindle.storage.UnreadableStorageException;
 
-/** The data folder of a control node as the code of commit 879a0b1 left it is read, and would be written the same today. */
+/** Data written by a control node at commit 879a0b1 can be read, and the current code writes the same bytes. */
 class StoredDataTest {
     private static final String RESOURCES = "/stored-data-879a0b1/";
     private static final String OLDER_SLOT = "slot-1";
@@ -51,14 +51,14 @@
     private static final List<NodeId> VOTERS = List.of(A, B, C);
     private static final View VIEW = new View(2, VOTERS, List.of(A, B), new Position(1, 2));
     private static final View NEXT_VIEW = new View(3, VOTERS, List.of(B, A), new Position(2, 10));
-    /** Promised and accepted for the next view, as the last record says. */
+    /** The promise and the accepted proposal for the next view, which is the last record. */
     private static final Vote LAST_VOTE = new Vote(3, 1026, 1026, NEXT_VIEW, VIEW);
 
     private static final long FIRST_DIGEST = -5275633259731157873L;
     private static final long SECOND_DIGEST = -5436588999356980419L;
     private static final long RULES_DIGEST = -4998462923779231862L;
     private static final long PATCH_DIGEST = 269719543056127170L;
-    /** Stands in place of a revision where the order was on serving rules. */
+    /** Placeholder for the revision of an order on serving rules. */
     private static final long NO_REVISION = -1;
 
     private static final String ROLLOUT = "{\"service\":\"chat\",\"target\":8,\"from\":7,\"atOnce\":2,\"floor\":0.75,"
@@ -141,16 +141,16 @@
         assertOp(records.get(6), 10, 2, 2, 3, PATCH_DIGEST, "", config(3, 30));
         assertEquals(new Vote(3, 1026, 0, null, VIEW), records.get(7));
         assertEquals(LAST_VOTE, records.get(8));
-        assertEquals(9, load().size(), "a second start finds as much");
+        assertEquals(9, load().size(), "a second load returns the same number of records");
     }
 
     @Test
-    void nodeStartsWithWhatItPromisedAndHeld() throws Exception {
-        // as a first start with other seeds would: the records count, not the settings
+    void nodeStartsWithStoredPromisesAndState() throws Exception {
+        // bootstrap flag and other seeds as in a first start: stored records override the settings
         ReplicatedState node = ReplicatedState.create(A, List.of(A), true, load(), 7, 1);
         assertFalse(node.relearning());
         assertEquals(VIEW, node.view());
-        assertNull(node.committed(), "not before a view confirms it");
+        assertNull(node.committed(), "not committed until a view confirms it");
         assertEquals(2, node.durable().size());
         assertEquals(LAST_VOTE, node.durable().get(0));
         State state = assertInstanceOf(State.class, node.durable().get(1));
@@ -183,7 +183,7 @@
         assertEquals(
                 UnreadableStorageException.Reason.LOST_SLOT,
                 assertThrows(UnreadableStorageException.class, this::load).reason(),
-                "the log says that there was a newer slot");
+                "the log refers to a newer slot");
         Files.delete(folder.resolve(LOG));
         List<Message> records = load();
         assertEquals(2, records.size());
@@ -216,7 +216,7 @@
     }
 
     @Test
-    void recordsAreAppendedBehindThoseFound() throws Exception {
+    void recordsAreAppendedAfterTheStoredOnes() throws Exception {
         Disk disk = Disk.open(folder);
         disk.load();
         disk.append(List.of(new Vote(4, 1, 0, null, NEXT_VIEW)));
