--- a/src/main/java/ringspindle/controlplane/fleet/DataNodeDirectory.java
+++ b/src/main/java/ringspindle/controlplane/fleet/DataNodeDirectory.java
@@ -20,69 +20,79 @@
 import ringspindle.protocol.NodeKind;
 
 /**
- * Data nodes as facts: told by the control node that holds the session, and good while that node is in touch. Owns when other
- * control nodes were last in touch; guarded by the fleet's lock.
+ * Data nodes as known from gossiped facts. The control node that holds a data node's session publishes its fact, which
+ * stays valid while that control node is in touch. Also tracks when each other control node was last in touch. Guarded
+ * by the fleet's lock.
  */
 public final class DataNodeDirectory {
-    /** A data node's fact holds for so long after it changed, whoever told it. */
-    private static final int CHANGED_HOLDS_MS = 3000;
-    /** It holds for so long after the control node that told it was last in touch. */
-    private static final int TELLER_LOST_HOLDS_MS = 2000;
-    /** While this node is cut off, what it knows of nodes in other regions holds for so long after it was last told. */
-    private static final int CUT_OFF_HOLDS_MS = 15_000;
+    /** A data node's fact is valid for this long after it changed, whichever control node published it. */
+    private static final int CHANGE_VALID_MS = 3000;
+    /** It is valid for this long after the control node that published it was last in touch. */
+    private static final int PUBLISHER_LOST_VALID_MS = 2000;
+    /**
+     * While this node is isolated, it uses facts of data nodes in other regions for this long after their publisher was
+     * last in touch.
+     */
+    private static final int ISOLATED_VALID_MS = 15_000;
 
-    /** A data node that was lost counts among those that share the budgets for so long. */
-    private static final int LOST_COUNTS_MS = 10_000;
+    /** A lost data node keeps its share of the budgets for this long. */
+    private static final int LOST_NODE_SHARE_MS = 10_000;
 
-    private final NodeId me;
+    private final NodeId self;
     private final SessionTable sessions;
     private final FleetFacts facts;
     private final DecodedFacts<DataNodeFact> nodes;
     /** When each other control node was last in touch, as of the last tick. */
     private final Map<NodeId, Long> lastLinkedMs = new HashMap<>();
 
-    DataNodeDirectory(NodeId me, SessionTable sessions, FleetFacts facts) {
-        this.me = me;
+    DataNodeDirectory(NodeId self, SessionTable sessions, FleetFacts facts) {
+        this.self = self;
         this.sessions = sessions;
         this.facts = facts;
         nodes = facts.nodes();
     }
 
-    /** A node's session is told once; told anew if it changes, or if whoever told it is out of touch. */
+    /**
+     * Publishes the session of a data node; publishes it again if it changed or if the control node that published it
+     * is out of touch.
+     */
     public void onHeartbeat(SessionTable.Peer peer, Heartbeat heartbeat) {
-        DecodedFacts.Entry<DataNodeFact> known = known(peer);
-        DataNodeFact told = known == null ? null : known.value();
-        boolean same = told != null
-                && told.flags() == heartbeat.flags()
-                && told.hello().life() == peer.hello().life()
-                && (told.via().equals(me) || sessions.linked(me, told.via()));
-        if (!same) {
+        DecodedFacts.Entry<DataNodeFact> entry = entry(peer);
+        DataNodeFact published = entry == null ? null : entry.value();
+        boolean unchanged = published != null
+                && published.flags() == heartbeat.flags()
+                && published.hello().life() == peer.hello().life()
+                && (published.via().equals(self) || sessions.linked(self, published.via()));
+        if (!unchanged) {
             facts.merge(List.of(fact(peer, heartbeat.flags(), heartbeat.n() * 2)));
         }
     }
 
-    private DecodedFacts.Entry<DataNodeFact> known(SessionTable.Peer peer) {
+    private DecodedFacts.Entry<DataNodeFact> entry(SessionTable.Peer peer) {
         return nodes.get(peer.hello().node().toString());
     }
 
-    /** The session of a data node is gone. If it has one with another control node in touch, that one speaks of it. */
+    /**
+     * Publishes that the session of a data node closed, unless the node has a session with another control node that is
+     * in touch.
+     */
     public void onSessionClosed(SessionTable.Peer peer) {
-        if (isToldElsewhere(peer)) {
+        if (isPublishedElsewhere(peer)) {
             return;
         }
         facts.merge(List.of(fact(peer, NodeFlags.NONE, peer.heartbeat().n() * 2 + 1)));
     }
 
-    private boolean isToldElsewhere(SessionTable.Peer peer) {
-        DecodedFacts.Entry<DataNodeFact> known = known(peer);
-        if (known == null) {
+    private boolean isPublishedElsewhere(SessionTable.Peer peer) {
+        DecodedFacts.Entry<DataNodeFact> entry = entry(peer);
+        if (entry == null) {
             return false;
         }
-        DataNodeFact told = known.value();
-        return !told.via().equals(me)
-                && !told.flags().isEmpty()
-                && told.hello().life() == peer.hello().life()
-                && sessions.linked(me, told.via());
+        DataNodeFact published = entry.value();
+        return !published.via().equals(self)
+                && !published.flags().isEmpty()
+                && published.hello().life() == peer.hello().life()
+                && sessions.linked(self, published.via());
     }
 
     private Fact fact(SessionTable.Peer peer, NodeFlags flags, long version) {
@@ -90,117 +100,120 @@
         return new Fact(
                 FactKind.NODE,
                 hello.node().toString(),
-                incarnation(known(peer), hello.life()),
+                incarnation(entry(peer), hello.life()),
                 version,
-                new DataNodeFact(flags, me, hello).value());
+                new DataNodeFact(flags, self, hello).value());
     }
 
-    /** A restart has a new incarnation that must win, though the time of day that it is drawn from may go back. */
-    private static long incarnation(DecodedFacts.Entry<DataNodeFact> known, long own) {
-        if (known == null) {
-            return own;
+    /**
+     * The incarnation to publish. A restarted node must supersede its earlier incarnation, though the number is taken
+     * from the wall clock, which may go back.
+     */
+    private static long incarnation(DecodedFacts.Entry<DataNodeFact> entry, long announced) {
+        if (entry == null) {
+            return announced;
         }
-        boolean restarted = known.value().hello().life() != own;
-        long incarnation = known.fact().life();
-        return restarted ? Math.max(own, incarnation + 1) : incarnation;
+        boolean restarted = entry.value().hello().life() != announced;
+        long published = entry.fact().life();
+        return restarted ? Math.max(announced, published + 1) : published;
     }
 
     /**
-     * Data nodes that take requests.
+     * Data nodes that accept requests.
      *
-     * @param inTouch true: by facts that still hold; false, for a node that is cut off: those with a session here
+     * @param inTouch whether a majority is in touch: if so, nodes with a valid fact; if not, those with a session here
      */
     List<Hello> ready(boolean inTouch, long nowMs) {
-        return nodesWhere(DataNodeFact::ready, (fact, node) -> counts(fact, node, inTouch, nowMs));
+        return nodesWhere(DataNodeFact::ready, (fact, node) -> isUsable(fact, node, inTouch, nowMs));
     }
 
-    /** Data nodes that shut down and still take requests; what counts is the same as of those that are ready. */
+    /** Data nodes that are shutting down and still accept requests, selected by the same rule as {@link #ready}. */
     List<Hello> leaving(boolean inTouch, long nowMs) {
-        return nodesWhere(DataNodeFact::servesWhileLeaving, (fact, node) -> counts(fact, node, inTouch, nowMs));
+        return nodesWhere(DataNodeFact::servesWhileLeaving, (fact, node) -> isUsable(fact, node, inTouch, nowMs));
     }
 
-    /** Data nodes that took requests when they were last told of, not too long ago; for a node that is cut off. */
-    List<Hello> readyAsLastTold(long nowMs) {
-        return nodesWhere(DataNodeFact::ready, (fact, node) -> lastToldWithin(CUT_OFF_HOLDS_MS, node, nowMs));
+    /** Data nodes that accepted requests by the last facts received, if these are recent; used while isolated. */
+    List<Hello> lastKnownReady(long nowMs) {
+        return nodesWhere(DataNodeFact::ready, (fact, node) -> publisherSeenWithin(ISOLATED_VALID_MS, node, nowMs));
     }
 
-    /** While this node is cut off, what others have told of data nodes may be old, and only sessions of its own count. */
-    private boolean counts(Fact fact, DataNodeFact node, boolean inTouch, long nowMs) {
-        return inTouch ? holds(fact, node, nowMs) : linkedHere(node);
+    /** While this node is isolated, facts from other control nodes may be stale, so only its own sessions count. */
+    private boolean isUsable(Fact fact, DataNodeFact node, boolean inTouch, long nowMs) {
+        return inTouch ? isValid(fact, node, nowMs) : hasSession(node);
     }
 
-    /** Data nodes that say so, where their facts count. */
-    private List<Hello> nodesWhere(Predicate<DataNodeFact> says, BiPredicate<Fact, DataNodeFact> counts) {
-        List<Hello> greetings = new ArrayList<>();
+    /** Data nodes that match the predicate and whose facts are usable now. */
+    private List<Hello> nodesWhere(Predicate<DataNodeFact> matches, BiPredicate<Fact, DataNodeFact> usable) {
+        List<Hello> hellos = new ArrayList<>();
         for (DecodedFacts.Entry<DataNodeFact> entry : nodes.all()) {
             Fact fact = entry.fact();
             DataNodeFact node = entry.value();
-            boolean takesClients = node.hello().kind() == NodeKind.DATA;
-            if (takesClients && says.test(node) && counts.test(fact, node)) {
-                greetings.add(node.hello());
+            boolean isDataNode = node.hello().kind() == NodeKind.DATA;
+            if (isDataNode && matches.test(node) && usable.test(fact, node)) {
+                hellos.add(node.hello());
             }
         }
-        return greetings;
+        return hellos;
     }
 
-    private boolean lastToldWithin(int periodMs, DataNodeFact dataNode, long nowMs) {
+    private boolean publisherSeenWithin(int periodMs, DataNodeFact dataNode, long nowMs) {
         return nowMs - lastLinkedMs.getOrDefault(dataNode.via(), SessionTable.NEVER_MS) < periodMs;
     }
 
-    /** Notes which control nodes are in touch: what one has told of data nodes does not outlast it by much. */
+    /** Records which control nodes are in touch; the facts that one published expire soon after it is lost. */
     public void tick(long nowMs) {
         for (SessionTable.Peer peer : sessions.peers()) {
             NodeId node = peer.hello().node();
-            if (peer.hello().kind() == NodeKind.CONTROL && sessions.linked(me, node)) {
+            if (peer.hello().kind() == NodeKind.CONTROL && sessions.linked(self, node)) {
                 lastLinkedMs.put(node, nowMs);
             }
         }
     }
 
-    private boolean linkedHere(DataNodeFact dataNode) {
+    private boolean hasSession(DataNodeFact dataNode) {
         SessionTable.Peer peer = sessions.peer(dataNode.hello().node());
         return peer != null && peer.linked();
     }
 
-    /** True while the control node that told a fact of a node is in touch, and a moment longer. */
-    private boolean holds(Fact fact, DataNodeFact dataNode, long nowMs) {
-        if (changedWithin(CHANGED_HOLDS_MS, fact, nowMs)) {
+    /** True while the control node that published the fact is in touch, and for a short time after. */
+    private boolean isValid(Fact fact, DataNodeFact dataNode, long nowMs) {
+        if (changedWithin(CHANGE_VALID_MS, fact, nowMs)) {
             return true;
         }
-        NodeId teller = dataNode.via();
-        if (teller.equals(me)) {
-            return linkedHere(dataNode);
+        NodeId publisher = dataNode.via();
+        if (publisher.equals(self)) {
+            return hasSession(dataNode);
         }
-        return sessions.linked(me, teller) || lastToldWithin(TELLER_LOST_HOLDS_MS, dataNode, nowMs);
+        return sessions.linked(self, publisher) || publisherSeenWithin(PUBLISHER_LOST_VALID_MS, dataNode, nowMs);
     }
 
     private boolean changedWithin(int periodMs, Fact fact, long nowMs) {
-        Long changedMs = facts.seenMs(FactKind.NODE, fact.key());
+        Long changedMs = facts.changedAtMs(FactKind.NODE, fact.key());
         return changedMs != null && nowMs - changedMs < periodMs;
     }
 
-    /** Data nodes as known here, and whether their facts still hold. */
+    /** All known nodes, each with whether it is ready by a valid fact. */
     public Map<DataNodeFact, Boolean> all(long nowMs) {
         Map<DataNodeFact, Boolean> dataNodes = new LinkedHashMap<>();
         for (DecodedFacts.Entry<DataNodeFact> entry : nodes.all()) {
             DataNodeFact dataNode = entry.value();
-            dataNodes.put(dataNode, dataNode.ready() && holds(entry.fact(), dataNode, nowMs));
+            dataNodes.put(dataNode, dataNode.ready() && isValid(entry.fact(), dataNode, nowMs));
         }
         return dataNodes;
     }
 
-    /** Data nodes as known here, for log lines: each with what it says and whether that counts. */
+    /** Describes the known nodes for log lines: the status of each, and whether its fact is used. */
     public String describe(boolean inTouch, long nowMs) {
         StringJoiner described = new StringJoiner(", ");
         for (DecodedFacts.Entry<DataNodeFact> entry : nodes.all()) {
             DataNodeFact node = entry.value();
-            boolean counts = counts(entry.fact(), node, inTouch, nowMs);
-            described.add(node.hello().name() + " " + says(node) + (counts ? "" : " (not counted)"));
+            boolean usable = isUsable(entry.fact(), node, inTouch, nowMs);
+            described.add(node.hello().name() + " " + status(node) + (usable ? "" : " (not counted)"));
         }
         return described.toString();
     }
 
-    private static String says(DataNodeFact node) {
+    private static String status(DataNodeFact node) {
         if (node.ready()) {
             return "ready";
         }
@@ -210,18 +223,18 @@
         return node.servesWhileLeaving() ? "leaving" : "not ready";
     }
 
-    /** How many data nodes take requests, as known here. */
+    /** Number of data nodes that accept requests, as known here. */
     public int readyCount() {
         return nodesWhere(DataNodeFact::ready, (fact, node) -> true).size();
     }
 
-    /** How many data nodes may be sending requests: those with a session, and those that lost theirs a moment ago. */
-    int sharing(long nowMs) {
-        int sharing = 0;
+    /** Number of nodes that may be sending requests: those with a session, and those that lost theirs recently. */
+    int countActive(long nowMs) {
+        int active = 0;
         for (DecodedFacts.Entry<DataNodeFact> entry : nodes.all()) {
             boolean inSession = !entry.value().flags().isEmpty();
-            sharing += inSession || changedWithin(LOST_COUNTS_MS, entry.fact(), nowMs) ? 1 : 0;
+            active += inSession || changedWithin(LOST_NODE_SHARE_MS, entry.fact(), nowMs) ? 1 : 0;
         }
-        return sharing;
+        return active;
     }
 }
--- a/src/main/java/ringspindle/controlplane/fleet/FactDissemination.java
+++ b/src/main/java/ringspindle/controlplane/fleet/FactDissemination.java
@@ -15,18 +15,19 @@
 import ringspindle.transport.Mesh;
 
 /**
- * Spreads facts to peers: to control nodes all, to data nodes what they use. Owns which data nodes were told that they know
- * all, and which peers stay apart from this node; guarded by the fleet's lock.
+ * Sends facts to peers: all of them to control nodes, the relevant ones to data nodes. Tracks which data nodes were
+ * told that their facts are complete, and starts a repair with peers whose digest keeps differing. Guarded by the
+ * fleet's lock.
  */
 public final class FactDissemination {
-    private static final int BATCH_MAX = 512;
-    /** A peer with more than this on its way, in bytes, may differ just because of that: nothing is sent to it again. */
-    private static final int REPAIR_BACKLOG_MAX = 64 << 10;
+    private static final int MAX_BATCH_FACTS = 512;
+    /** A peer with more queued bytes may differ only because of these, so that no repair is sent to it. */
+    private static final int MAX_REPAIR_BACKLOG_BYTES = 64 << 10;
 
     private final Mesh mesh;
     private final SessionTable sessions;
     private final FleetFacts facts;
-    private final Set<NodeId> filled = new TreeSet<>();
+    private final Set<NodeId> completeNodes = new TreeSet<>();
     private final RepairTrigger repairs = new RepairTrigger();
 
     FactDissemination(Mesh mesh, SessionTable sessions, FleetFacts facts) {
@@ -35,49 +36,50 @@
         this.facts = facts;
     }
 
-    /** A new session: its peer is told everything. */
+    /** A session opened: its peer is sent all facts. */
     public void onSessionOpened(NodeId peer) {
         facts.store().resetPeer(peer);
-        filled.remove(peer);
+        completeNodes.remove(peer);
         repairs.forget(peer);
     }
 
-    /** A session is gone. */
+    /** A session closed. */
     public void onSessionClosed(NodeId peer) {
         facts.store().removePeer(peer);
         repairs.forget(peer);
     }
 
-    /** A peer's heartbeat carries the digest of what it knows: it is asked to compare if it stays apart from this node. */
+    /** Compares the digest in a peer's heartbeat with the own one; starts a repair if they keep differing. */
     public void onHeartbeat(NodeId peer, long peerDigest) {
         if (peerDigest != 0 && repairs.onHeartbeat(peer, facts.store().digest(), peerDigest)) {
             mesh.send(peer, new Digest(facts.store().ranges()));
         }
     }
 
-    /** A data node acts on what it is told, so only a node that is proven to be up to date tells it anything. */
-    private static boolean mayTell(SessionTable.Peer peer, boolean quorate) {
+    /** A data node acts on the facts it is sent, so that only a node that is proven to be up to date sends it any. */
+    private static boolean maySendTo(SessionTable.Peer peer, boolean quorate) {
         return peer.hello().kind() == NodeKind.CONTROL || quorate;
     }
 
-    /** Answers a peer's digest with the facts that differ. */
+    /** Answers the digest of a peer with the facts that differ. */
     public void repair(NodeId from, Digest digest, boolean quorate) {
         SessionTable.Peer peer = sessions.peer(from);
         List<Fact> differing = facts.store().differing(digest.ranges());
-        boolean backlog = mesh.pendingBytes(from) > REPAIR_BACKLOG_MAX;
-        if (peer != null && mayTell(peer, quorate) && !backlog && !differing.isEmpty()) {
+        boolean backlog = mesh.pendingBytes(from) > MAX_REPAIR_BACKLOG_BYTES;
+        if (peer != null && maySendTo(peer, quorate) && !backlog && !differing.isEmpty()) {
             mesh.send(from, new News(false, differing));
         }
     }
 
     /**
-     * Passes on what peers have not been sent.
+     * Sends peers the facts that they have not been sent.
      *
-     * @param merged all that is committed here is among the facts, so that a data node may be told that it knows all
+     * @param merged whether the facts include all state committed here, so that a data node may be told that it has
+     *     them all
      */
     public void push(boolean quorate, boolean merged) {
         for (SessionTable.Peer peer : sessions.peers()) {
-            if (!mayTell(peer, quorate)) {
+            if (!maySendTo(peer, quorate)) {
                 continue;
             }
             if (peer.hello().kind() == NodeKind.CONTROL) {
@@ -89,11 +91,11 @@
     }
 
     /**
-     * The configuration, by far the longest fact, is not among these: a control node has it from the chain, or asks for it when
-     * digests show that it has not.
+     * Sends a control node all pending facts but the configuration, by far the longest one: a control node gets it from
+     * the chain, or by a repair if it lacks it.
      */
     private void pushToControlNode(NodeId node) {
-        List<Fact> pending = facts.store().pending(node, BATCH_MAX, fact -> fact.kind() != FactKind.CONFIG);
+        List<Fact> pending = facts.store().pending(node, MAX_BATCH_FACTS, fact -> fact.kind() != FactKind.CONFIG);
         if (!pending.isEmpty()) {
             mesh.send(node, new News(false, pending));
         }
@@ -102,20 +104,20 @@
     private void pushToDataNode(Hello peer, boolean merged) {
         NodeId node = peer.node();
         String region = peer.region();
-        List<Fact> pending = facts.store().pending(node, BATCH_MAX, fact -> isOfUse(fact, region));
-        boolean notFilled = merged && !filled.contains(node);
-        if (pending.isEmpty() && !notFilled) {
+        List<Fact> pending = facts.store().pending(node, MAX_BATCH_FACTS, fact -> isRelevant(fact, region));
+        boolean mayComplete = merged && !completeNodes.contains(node);
+        if (pending.isEmpty() && !mayComplete) {
             return;
         }
-        boolean full = notFilled && pending.size() < BATCH_MAX;
-        if (full) {
-            filled.add(node);
+        boolean complete = mayComplete && pending.size() < MAX_BATCH_FACTS;
+        if (complete) {
+            completeNodes.add(node);
         }
-        mesh.send(node, new News(full, pending));
+        mesh.send(node, new News(complete, pending));
     }
 
-    /** A data node needs the data nodes of its region, for gossip, and not what engines in turn still run. */
-    private boolean isOfUse(Fact fact, String region) {
+    /** A data node needs the nodes of its region, for gossip, and not the progress of engines in a roll-out step. */
+    private boolean isRelevant(Fact fact, String region) {
         return switch (fact.kind()) {
             case TURN -> false;
             case NODE -> facts.nodes().get(fact.key()).value().hello().region().equals(region);
--- a/src/main/java/ringspindle/controlplane/fleet/FleetState.java
+++ b/src/main/java/ringspindle/controlplane/fleet/FleetState.java
@@ -10,15 +10,15 @@
 import ringspindle.transport.Mesh;
 
 /**
- * What this node has learnt of the fleet: sessions with peers, facts, load and reports.
+ * What a control node knows of the fleet: sessions with peers, facts, load and reports.
  *
- * <p>All of it is guarded by {@link #lock}, and whoever uses a part holds the lock meanwhile; tests run with assertions that
- * check it. Messages that tell peers of it are sent while the lock is held: heartbeats carry numbers that must rise on a
- * connection, and what a peer has been sent is marked in the same step. Sending only queues. No other lock may be taken
+ * <p>All parts are guarded by {@link #lock}, and callers hold the lock while they use one; tests run with assertions
+ * that check it. Messages about this state are sent while the lock is held: the numbers of heartbeats must rise on a
+ * connection, and a fact is marked as sent to a peer in the same step. Sending only queues. No other lock may be taken
  * while this one is held.
  */
 public final class FleetState {
-    /** Guards everything here. */
+    /** Guards all parts of this state. */
     public final Object lock = new Object();
 
     private final SessionTable sessions;
@@ -33,22 +33,26 @@
     private final LedgerReportStore ledgerReports = new LedgerReportStore();
     private final OutcomeCollector outcomes = new OutcomeCollector();
 
-    /** Knows nothing of other nodes yet; the greeting is that of this node. */
-    public FleetState(NodeContext context, Hello self) {
-        NodeId me = context.self();
+    /**
+     * Creates the state of a node that knows no other nodes yet.
+     *
+     * @param hello the greeting that this node sends to its peers
+     */
+    public FleetState(NodeContext context, Hello hello) {
+        NodeId self = context.self();
         NodeConfig config = context.config();
         Mesh mesh = context.mesh();
-        sessions = SessionTable.forControl(me);
+        sessions = SessionTable.forControl(self);
         facts = new FleetFacts(config, context.clock());
-        dataNodes = new DataNodeDirectory(me, sessions, facts);
+        dataNodes = new DataNodeDirectory(self, sessions, facts);
         frontends = new FrontendResolver(dataNodes);
         homeRegions = new HomeRegions(facts.store());
-        loads = new LoadAggregator(config, self, mesh, sessions, facts);
+        loads = new LoadAggregator(config, hello, mesh, sessions, facts);
         dissemination = new FactDissemination(mesh, sessions, facts);
-        leases = new QuotaLeaseIssuer(me, facts, dataNodes);
+        leases = new QuotaLeaseIssuer(self, facts, dataNodes);
     }
 
-    /** Settings changed while running. */
+    /** Applies settings that changed while running. */
     public void updateSettings(NodeConfig config) {
         synchronized (lock) {
             facts.updateSettings(config);
@@ -69,7 +73,7 @@
         return sessions;
     }
 
-    /** Facts and when they were learnt; the lock is held. */
+    /** Facts and the times at which they changed; the lock is held. */
     public FleetFacts facts() {
         assert Thread.holdsLock(lock);
         return facts;
@@ -81,19 +85,19 @@
         return homeRegions;
     }
 
-    /** Which data nodes a client is told of; the lock is held. */
+    /** Selection of data nodes for clients; the lock is held. */
     public FrontendResolver frontends() {
         assert Thread.holdsLock(lock);
         return frontends;
     }
 
-    /** What clients were answered that asked where to go; the lock is held. */
+    /** Counts of resolutions by scope; the lock is held. */
     public ResolutionLog resolutions() {
         assert Thread.holdsLock(lock);
         return resolutions;
     }
 
-    /** Data nodes; the lock is held. */
+    /** Directory of data nodes; the lock is held. */
     public DataNodeDirectory dataNodes() {
         assert Thread.holdsLock(lock);
         return dataNodes;
@@ -105,25 +109,25 @@
         return loads;
     }
 
-    /** What peers have been sent; the lock is held. */
+    /** Dissemination of facts to peers; the lock is held. */
     public FactDissemination dissemination() {
         assert Thread.holdsLock(lock);
         return dissemination;
     }
 
-    /** Shares of the budgets; the lock is held. */
+    /** Leases on shares of the budgets; the lock is held. */
     public QuotaLeaseIssuer leases() {
         assert Thread.holdsLock(lock);
         return leases;
     }
 
-    /** What became of requests that take part in experiments; the lock is held. */
+    /** Outcomes of requests that are part of experiments; the lock is held. */
     public OutcomeCollector outcomes() {
         assert Thread.holdsLock(lock);
         return outcomes;
     }
 
-    /** The data nodes' request ledgers; the lock is held. */
+    /** Request ledgers that data nodes report; the lock is held. */
     public LedgerReportStore ledgerReports() {
         assert Thread.holdsLock(lock);
         return ledgerReports;
--- a/src/main/java/ringspindle/controlplane/fleet/FrontendResolver.java
+++ b/src/main/java/ringspindle/controlplane/fleet/FrontendResolver.java
@@ -10,12 +10,12 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * Selects the data nodes that a client is told to go to. A client is led out of its own region only where every request of
- * the host that it asks for is known to be allowed: the node that it is led to gets the bodies of its requests. Without state;
- * guarded by the owner of the directory.
+ * Selects the data nodes that a client is directed to. A client is directed out of its own region only to regions that
+ * are known to be allowed for every request of its host, because the selected node receives the bodies of its requests.
+ * Without state; guarded by the owner of the directory.
  */
 public final class FrontendResolver {
-    private static final int ADDRESSES_MAX = 64;
+    private static final int MAX_ADDRESSES = 64;
 
     private final DataNodeDirectory dataNodes;
 
@@ -24,21 +24,22 @@
     }
 
     /**
-     * Data nodes that take requests: those of the client's zone, else of its region, else of the regions that are known to
-     * be allowed, else the last of those that are shutting down. If this node is cut off from the majority, its region probably is: a client whose requests have to be
-     * served in other regions is then sent to these, as nodes here could only refuse them.
+     * Selects data nodes that accept requests: those in the client's zone, else in its region, else in the regions that
+     * are known to be allowed, else the one that serves longest of those that are shutting down. If this node is
+     * isolated from the majority, its region probably is too: a client whose requests must be served in other regions
+     * is then directed there, because nodes here could only reject them.
      *
-     * @param allowed where the host may be served; asked for only where it matters
-     * @param inTouch without a majority only those count near the client that this node itself is in touch with: what others
-     *     told may be old. What is known of the configuration may be old too, so that clients are led to homes by it, and
-     *     nowhere for want of homes
+     * @param allowed the regions that may serve the host; only evaluated if needed
+     * @param inTouch whether a majority is in touch. Without one, only data nodes with a session here count as near the
+     *     client, because facts from other control nodes may be stale. The configuration may be stale too: it still
+     *     directs clients to home regions, but no client of a host without home regions to another region
      */
     public Resolution resolve(
             String region, String zone, Supplier<AllowedRegions> allowed, boolean inTouch, long nowMs) {
         if (!inTouch) {
-            List<String> atHome = addressesAtHome(region, allowed.get(), nowMs);
-            if (!atHome.isEmpty()) {
-                return new Resolution(Scope.HOMES, atHome);
+            List<String> inHomes = homeAddresses(region, allowed.get(), nowMs);
+            if (!inHomes.isEmpty()) {
+                return new Resolution(Scope.HOMES, inHomes);
             }
         }
         List<Hello> ready = dataNodes.ready(inTouch, nowMs);
@@ -51,32 +52,32 @@
             return new Resolution(Scope.REGION, nearest);
         }
         AllowedRegions regions = allowed.get();
-        Resolution abroad = abroad(ready, regions, inTouch);
-        return abroad.addresses().isEmpty() ? lastServing(region, regions, inTouch, nowMs) : abroad;
+        Resolution remote = resolveRemote(ready, regions, inTouch);
+        return remote.addresses().isEmpty() ? lastServing(region, regions, inTouch, nowMs) : remote;
     }
 
     /**
-     * Where nobody else can be named: of the data nodes that are shutting down in the client's region, else in a home, the one
-     * that goes on taking requests for longest.
+     * The last resort: of the data nodes that are shutting down in the client's region, else in a home region, the one
+     * that continues to accept requests the longest.
      */
     private Resolution lastServing(String region, AllowedRegions allowed, boolean inTouch, long nowMs) {
         List<Hello> leaving = dataNodes.leaving(inTouch, nowMs);
-        List<String> last = lastOf(leaving, node -> node.region().equals(region));
+        List<String> last = lastServingAddresses(leaving, node -> node.region().equals(region));
         if (last.isEmpty() && allowed instanceof AllowedRegions.Only) {
-            last = lastOf(leaving, node -> allowed.allows(node.region()));
+            last = lastServingAddresses(leaving, node -> allowed.allows(node.region()));
         }
         return last.isEmpty() ? Resolution.NOWHERE : new Resolution(Scope.LEAVING, last);
     }
 
-    private static List<String> lastOf(List<Hello> leaving, Predicate<Hello> wanted) {
-        List<NodeId> nodes = leaving.stream().filter(wanted).map(Hello::node).toList();
+    private static List<String> lastServingAddresses(List<Hello> leaving, Predicate<Hello> filter) {
+        List<NodeId> nodes = leaving.stream().filter(filter).map(Hello::node).toList();
         return LastServing.of(nodes)
                 .map(last -> addressesWhere(leaving, node -> node.node().equals(last)))
                 .orElse(List.of());
     }
 
-    /** Data nodes in other regions than the client's. */
-    private static Resolution abroad(List<Hello> ready, AllowedRegions allowed, boolean inTouch) {
+    /** Selects data nodes in other regions than the client's. */
+    private static Resolution resolveRemote(List<Hello> ready, AllowedRegions allowed, boolean inTouch) {
         Scope scope = allowed instanceof AllowedRegions.Only ? Scope.HOMES : Scope.ANYWHERE;
         if (scope == Scope.ANYWHERE && !inTouch) {
             return Resolution.NOWHERE;
@@ -85,18 +86,18 @@
         return addresses.isEmpty() ? Resolution.NOWHERE : new Resolution(scope, addresses);
     }
 
-    /** Nodes in the homes as last told; none if the client's region is one of the homes, or there are no homes. */
-    private List<String> addressesAtHome(String region, AllowedRegions allowed, long nowMs) {
+    /** Data nodes last known in the home regions; none if the client's region is one of these, or if there are none. */
+    private List<String> homeAddresses(String region, AllowedRegions allowed, long nowMs) {
         if (!(allowed instanceof AllowedRegions.Only) || allowed.allows(region)) {
             return List.of();
         }
-        return addressesWhere(dataNodes.readyAsLastTold(nowMs), node -> allowed.allows(node.region()));
+        return addressesWhere(dataNodes.lastKnownReady(nowMs), node -> allowed.allows(node.region()));
     }
 
-    private static List<String> addressesWhere(List<Hello> nodes, Predicate<Hello> wanted) {
+    private static List<String> addressesWhere(List<Hello> nodes, Predicate<Hello> filter) {
         return nodes.stream()
-                .filter(wanted)
-                .limit(ADDRESSES_MAX)
+                .filter(filter)
+                .limit(MAX_ADDRESSES)
                 .map(node -> new NodeId(node.front()).toString())
                 .toList();
     }
--- a/src/main/java/ringspindle/controlplane/fleet/HeadLease.java
+++ b/src/main/java/ringspindle/controlplane/fleet/HeadLease.java
@@ -4,51 +4,51 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * Whether this node may act for the fleet: it is the head of the view, proven to be so by a majority, and whoever was before it
- * cannot act any more. A head acts on a proof that is 1.5 s old at most; one that takes over waits for longer than that. Confined to
- * its owner.
+ * Lease of the singleton role that belongs to the head of the view. It is in effect while this node is the head, a
+ * majority confirms that, and no earlier head can still act. A head acts on a confirmation that is at most 1.5 s old; a
+ * node that takes over waits for longer than that. Not thread safe; confined to its owner.
  */
 public final class HeadLease {
     private static final long NEVER = -1;
     private static final long FIRST_EPOCH = 1;
 
-    private final NodeId me;
+    private final NodeId self;
     private final int takeoverMs;
     /** The newest epoch in which this node held the role, {@link #NEVER} before the first. */
     private long heldEpoch = NEVER;
 
-    private long actFromMs;
+    private long effectiveFromMs;
 
     /**
-     * A lease of a role that this node does not have yet.
+     * Creates the lease for a node that does not hold the role yet.
      *
-     * @param takeoverMs for how long a node waits that takes the role over from another one
+     * @param takeoverMs how long a node waits after it takes the role over from another node
      */
-    public HeadLease(NodeId me, int takeoverMs) {
-        this.me = me;
+    public HeadLease(NodeId self, int takeoverMs) {
+        this.self = self;
         this.takeoverMs = takeoverMs;
     }
 
     /**
-     * True if this node may act now.
+     * Renews the lease, or starts to take the role over; returns true if the lease is in effect now.
      *
      * @param view the newest view, null if unknown
-     * @param quorate only then this node may act as the head
+     * @param quorate whether a majority confirms the view; without, the lease is not in effect
      */
     public boolean renew(View view, boolean quorate, long nowMs) {
-        if (view == null || !quorate || !view.head().equals(me)) {
+        if (view == null || !quorate || !view.head().equals(self)) {
             return false;
         }
-        if (!succeedsItself(view.epoch())) {
+        if (!isOwnSuccessor(view.epoch())) {
             boolean firstHeadEver = heldEpoch == NEVER && view.epoch() == FIRST_EPOCH;
-            actFromMs = firstHeadEver ? nowMs : nowMs + takeoverMs;
+            effectiveFromMs = firstHeadEver ? nowMs : nowMs + takeoverMs;
         }
         heldEpoch = view.epoch();
-        return nowMs >= actFromMs;
+        return nowMs >= effectiveFromMs;
     }
 
-    /** True if nobody else can have acted since this node did: no view of another head lies in between. */
-    private boolean succeedsItself(long epoch) {
+    /** True if no other node can have held the role since this one did: no view with another head lies in between. */
+    private boolean isOwnSuccessor(long epoch) {
         return heldEpoch != NEVER && epoch - heldEpoch <= 1;
     }
 }
--- a/src/main/java/ringspindle/controlplane/fleet/LedgerReportStore.java
+++ b/src/main/java/ringspindle/controlplane/fleet/LedgerReportStore.java
@@ -9,32 +9,33 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * The newest request ledger of each incarnation of each data node that reports here. Incarnations are in the order in which
- * they were first heard: their numbers come from the time of day, which may go back. Guarded by the fleet's lock.
+ * Stores the newest request ledger of each incarnation of each data node that reports here. Incarnations are kept in
+ * the order in which they first reported: their numbers come from the wall clock, which may go back. Guarded by the
+ * fleet's lock.
  */
 public final class LedgerReportStore {
-    private static final int INCARNATIONS_MAX = 4;
-    private static final int NODES_MAX = 10_000;
+    private static final int MAX_INCARNATIONS = 4;
+    private static final int MAX_NODES = 10_000;
 
     /**
      * The newest ledger of an incarnation.
      *
-     * @param newest the incarnation is the newest of its node
+     * @param newest whether the incarnation is the newest of its node
      */
     public record Entry(LedgerReport report, boolean newest) {}
 
     private final Map<NodeId, LinkedHashMap<Long, LedgerReport>> reportsByNode = new LinkedHashMap<>();
 
-    /** Keeps a report unless a newer one of the same incarnation is there; the oldest make room. */
+    /** Stores a report unless a newer one of the same incarnation is known; evicts the oldest above the limits. */
     public void put(NodeId node, LedgerReport report) {
         LinkedHashMap<Long, LedgerReport> reports =
-                reportsByNode.computeIfAbsent(node, unseen -> new LinkedHashMap<>());
+                reportsByNode.computeIfAbsent(node, absent -> new LinkedHashMap<>());
         LedgerReport known = reports.get(report.life());
         if (known == null || report.seq() > known.seq()) {
             reports.put(report.life(), report);
         }
-        removeEldestAbove(INCARNATIONS_MAX, reports);
-        removeEldestAbove(NODES_MAX, reportsByNode);
+        removeEldestAbove(MAX_INCARNATIONS, reports);
+        removeEldestAbove(MAX_NODES, reportsByNode);
     }
 
     private static <K> void removeEldestAbove(int max, Map<K, ?> map) {
@@ -43,7 +44,7 @@
         }
     }
 
-    /** All reports, by node; of each node the oldest incarnation first. */
+    /** All reports by node, the oldest incarnation of each node first. */
     public Map<NodeId, List<Entry>> all() {
         Map<NodeId, List<Entry>> entriesByNode = new TreeMap<>();
         reportsByNode.forEach((node, reports) -> {
--- a/src/main/java/ringspindle/controlplane/fleet/LoadAggregator.java
+++ b/src/main/java/ringspindle/controlplane/fleet/LoadAggregator.java
@@ -22,69 +22,69 @@
 import ringspindle.transport.Mesh;
 
 /**
- * Sums what data nodes saw of engines: what reports here, over the region, and by service over all regions. Guarded by the
- * fleet's lock.
+ * Aggregates the load of engines that data nodes report: over the reports to this node, over the region, and by service
+ * over all regions. Guarded by the fleet's lock.
  */
 public final class LoadAggregator {
-    /** Sums of up to so many engines of a region go to its data nodes each time. */
-    private static final int ROWS_A_SEND = 250;
-    /** However many engines there are, sums go to data nodes at least once in so many times. */
-    private static final int SENDS_SKIPPED_MAX = 4;
+    /** Data nodes get the load with each send if it has fewer rows, one per engine, than this. */
+    private static final int ROWS_PER_SEND = 250;
+    /** However many engines there are, data nodes get the load at least once in this many sends. */
+    private static final int MAX_UPDATE_INTERVAL_SENDS = 4;
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** A report counts for so long. */
+    /** A report counts for this long. */
     private static final int REPORT_TTL_MS = 2000;
-    /** A region's sum counts for so long. */
+    /** The load of a region counts for this long. */
     private static final int REGION_TTL_MS = 2500;
 
-    private final NodeId me;
+    private final NodeId self;
     private final long incarnation;
     private final Mesh mesh;
     private final SessionTable sessions;
     private final FleetFacts facts;
-    /** Reports of data nodes to this node. */
-    private final ReportCollector sources = new ReportCollector(REPORT_TTL_MS);
-    /** Sums of the region's other control nodes. */
-    private final ReportCollector peers = new ReportCollector(REPORT_TTL_MS);
+    /** Reports from data nodes to this node. */
+    private final ReportCollector dataNodeReports = new ReportCollector(REPORT_TTL_MS);
+    /** Totals from the region's other control nodes. */
+    private final ReportCollector controlNodeReports = new ReportCollector(REPORT_TTL_MS);
 
-    private final Map<String, Long> regionHeardMs = new TreeMap<>();
+    private final Map<String, Long> regionReceivedMs = new TreeMap<>();
     private final Map<String, List<RegionLoad>> regionLoads = new TreeMap<>();
     private String region;
     private long sequence;
     private LoadSummary total = LoadSummary.NONE;
 
-    LoadAggregator(NodeConfig config, Hello self, Mesh mesh, SessionTable sessions, FleetFacts facts) {
+    LoadAggregator(NodeConfig config, Hello hello, Mesh mesh, SessionTable sessions, FleetFacts facts) {
         region = config.region();
-        me = self.node();
-        incarnation = self.life();
+        self = hello.node();
+        incarnation = hello.life();
         this.mesh = mesh;
         this.sessions = sessions;
         this.facts = facts;
     }
 
-    /** Settings changed while running. */
+    /** Applies settings that changed while running. */
     void updateSettings(NodeConfig changed) {
         region = changed.region();
     }
 
-    /** A session says which incarnation of its node counts from now on. */
+    /** A session opened: from now on the reports of the incarnation that opened it count. */
     public void onSessionOpened(Hello peer) {
-        sources.onSessionOpened(peer.node(), peer.life());
-        peers.onSessionOpened(peer.node(), peer.life());
+        dataNodeReports.onSessionOpened(peer.node(), peer.life());
+        controlNodeReports.onSessionOpened(peer.node(), peer.life());
     }
 
-    /** The session of a data node is gone: what it said here counts no more. */
+    /** The session of a data node closed: its reports to this node no longer count. */
     public void onSessionClosed(NodeId peer) {
-        sources.onSessionClosed(peer);
+        dataNodeReports.onSessionClosed(peer);
     }
 
-    /** A report came; it counts only if it is of the incarnation that the session stands for. */
+    /** Takes a report; it counts only if it comes from the incarnation that opened the session. */
     public void onReport(NodeId from, Report report, long nowMs) {
         SessionTable.Peer peer = sessions.peer(from);
         if (peer == null || peer.hello().life() != report.life()) {
             return;
         }
-        ReportCollector collector = peer.hello().kind() == NodeKind.CONTROL ? peers : sources;
+        ReportCollector collector = peer.hello().kind() == NodeKind.CONTROL ? controlNodeReports : dataNodeReports;
         ReportVerdict verdict = collector.accept(from, report, nowMs);
         if (verdict.isRejected()) {
             LOG.atWarning()
@@ -96,16 +96,17 @@
         }
         if (verdict == ReportVerdict.NEWEST && peer.hello().kind() == NodeKind.CONTROL) {
             facts.presence().onPeerHeartbeats(LoadSummary.of(report), nowMs);
-            report.sources().forEach(source -> sources.onReportedElsewhere(source.node(), source.life(), source.seq()));
+            report.sources()
+                    .forEach(source -> dataNodeReports.onReportedElsewhere(source.node(), source.life(), source.seq()));
         }
     }
 
-    /** Another region's sums came. */
+    /** Takes the load of another region. */
     public void onRegionLoads(Load load, long nowMs) {
         for (RegionLoad reported : load.regions()) {
             String other = reported.region();
             if (!other.equals(region)) {
-                regionHeardMs.put(other, nowMs);
+                regionReceivedMs.put(other, nowMs);
                 regionLoads.put(other, loadsOf(other, load));
             }
         }
@@ -117,66 +118,72 @@
                 .toList();
     }
 
-    /** Sums go to the region's other control nodes, back to data nodes, and by service to other regions. */
+    /**
+     * Sends the aggregated load to the region's other control nodes and to data nodes, and by service to other regions.
+     */
     public void send(long nowMs) {
-        LoadSummary own = sources.sum(nowMs);
-        total = own.merge(peers.sum(nowMs));
+        LoadSummary own = dataNodeReports.sum(nowMs);
+        total = own.merge(controlNodeReports.sum(nowMs));
         sequence++;
-        boolean speaks = sendToRegion(own, nowMs).equals(me);
+        boolean isRepresentative = sendToRegion(own, nowMs).equals(self);
         List<RegionLoad> ownRegion = LoadTotals.byService(total, facts.loadMembers(), region);
-        Load toDataNodes = new Load(incarnation, sequence, LoadTotals.byEngine(total), allRegions(ownRegion, nowMs));
-        Set<NodeId> reporting = isDueToDataNodes(toDataNodes.engines().size()) ? sources.sources(nowMs) : Set.of();
+        Load dataNodeLoad = new Load(incarnation, sequence, LoadTotals.byEngine(total), allRegions(ownRegion, nowMs));
+        Set<NodeId> reporting =
+                isDueForDataNodes(dataNodeLoad.engines().size()) ? dataNodeReports.sources(nowMs) : Set.of();
         for (SessionTable.Peer peer : sessions.peers()) {
             Hello hello = peer.hello();
             if (hello.kind() != NodeKind.CONTROL && reporting.contains(hello.node())) {
-                mesh.send(hello.node(), toDataNodes);
+                mesh.send(hello.node(), dataNodeLoad);
             } else if (hello.kind() == NodeKind.CONTROL
-                    && speaks
+                    && isRepresentative
                     && !hello.region().equals(region)) {
                 mesh.send(hello.node(), new Load(incarnation, sequence, List.of(), ownRegion));
             }
         }
     }
 
-    /** Sums go to data nodes more rarely the longer they are, so that they take no more than a share of a link. */
-    private boolean isDueToDataNodes(int rows) {
-        long everySends = Math.min(SENDS_SKIPPED_MAX, 1 + rows / ROWS_A_SEND);
-        return sequence % everySends == 0;
+    /** Data nodes get the load less often the more rows it has, which bounds the share of a link that it takes. */
+    private boolean isDueForDataNodes(int rows) {
+        long sendInterval = Math.min(MAX_UPDATE_INTERVAL_SENDS, 1 + rows / ROWS_PER_SEND);
+        return sequence % sendInterval == 0;
     }
 
-    /** Notes this region's sums and returns those of all regions that still count. */
+    /** Records the load of this region and returns that of all regions which has not expired. */
     private List<RegionLoad> allRegions(List<RegionLoad> ownRegion, long nowMs) {
         regionLoads.put(region, ownRegion);
-        regionHeardMs.put(region, nowMs);
-        regionHeardMs.values().removeIf(heardMs -> nowMs - heardMs > REGION_TTL_MS);
-        regionLoads.keySet().retainAll(regionHeardMs.keySet());
+        regionReceivedMs.put(region, nowMs);
+        regionReceivedMs.values().removeIf(receivedMs -> nowMs - receivedMs > REGION_TTL_MS);
+        regionLoads.keySet().retainAll(regionReceivedMs.keySet());
         List<RegionLoad> all = new ArrayList<>();
         regionLoads.values().forEach(all::addAll);
         return all;
     }
 
-    /** Tells the region's other control nodes; returns the lowest of all of them, which speaks for the region. */
+    /**
+     * Reports to the region's other control nodes; returns the lowest of all of them, which represents the region to
+     * others.
+     */
     private NodeId sendToRegion(LoadSummary own, long nowMs) {
         Report report = new Report(
                 incarnation,
                 sequence,
                 own.toReport(incarnation, sequence).tallies(),
                 facts.presence().ownHeartbeats(nowMs),
-                sources.countedReports(nowMs));
-        NodeId speaker = me;
+                dataNodeReports.countedReports(nowMs));
+        NodeId representative = self;
         for (SessionTable.Peer peer : sessions.peers()) {
             Hello hello = peer.hello();
             if (hello.kind() == NodeKind.CONTROL
                     && peer.linked()
                     && hello.region().equals(region)) {
                 mesh.send(hello.node(), report);
-                speaker = hello.node().compareTo(speaker) < 0 ? hello.node() : speaker;
+                representative = hello.node().compareTo(representative) < 0 ? hello.node() : representative;
             }
         }
-        return speaker;
+        return representative;
     }
 
-    /** The sums as this node last made them. */
+    /** The load of the region as this node last aggregated it. */
     public LoadSummary total() {
         return total;
     }
--- a/src/main/java/ringspindle/controlplane/fleet/NodeContext.java
+++ b/src/main/java/ringspindle/controlplane/fleet/NodeContext.java
@@ -8,12 +8,12 @@
 import ringspindle.transport.Mesh;
 
 /**
- * What the parts of a control node work with. Without state of its own.
+ * Dependencies that the parts of a control node share. Without state of its own.
  *
- * @param self this node's identity among nodes
+ * @param self the address that identifies this node
  * @param settings the settings in force, which may change while running
  * @param mesh connections to other nodes; sending only queues
- * @param executor runs what must not hold up the caller
+ * @param executor runs work that must not block the caller
  */
 public record NodeContext(
         NodeId self, Supplier<NodeConfig> settings, MonotonicClock clock, Mesh mesh, Executor executor) {
--- a/src/main/java/ringspindle/controlplane/fleet/QuotaLeaseIssuer.java
+++ b/src/main/java/ringspindle/controlplane/fleet/QuotaLeaseIssuer.java
@@ -9,40 +9,41 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * Grants every data node its share of the budgets, as a lease: the singleton role of the head of the view. Guarded by the
- * fleet's lock.
+ * Grants each data node its share of the budgets as a lease, which is a singleton role of the head of the view. Guarded
+ * by the fleet's lock.
  */
 public final class QuotaLeaseIssuer {
-    private static final int TTL_MS = 3000;
-    /** What another head granted has run out so long after this node took the role over. */
-    private static final int TAKEOVER_MS = TTL_MS + 500;
+    private static final int LEASE_TTL_MS = 3000;
+    private static final int TAKEOVER_MARGIN_MS = 500;
+    /** Leases that another head granted have expired this long after this node took the role over. */
+    private static final int TAKEOVER_MS = LEASE_TTL_MS + TAKEOVER_MARGIN_MS;
 
-    private static final int PERIOD_TICKS = 10;
+    private static final int GRANT_PERIOD_TICKS = 10;
 
     private final FleetFacts facts;
     private final DataNodeDirectory dataNodes;
     private final HeadLease lease;
 
-    QuotaLeaseIssuer(NodeId me, FleetFacts facts, DataNodeDirectory dataNodes) {
+    QuotaLeaseIssuer(NodeId self, FleetFacts facts, DataNodeDirectory dataNodes) {
         this.facts = facts;
         this.dataNodes = dataNodes;
-        lease = new HeadLease(me, TAKEOVER_MS);
+        lease = new HeadLease(self, TAKEOVER_MS);
     }
 
     /**
-     * Grants leases if they are due and this node is the head.
+     * Grants leases if they are due and this node holds the role.
      *
      * @param view the newest view, null if unknown
-     * @param quorate only then this node may act as the head
+     * @param quorate whether a majority confirms the view; without, nothing is granted
      */
     public void tick(View view, boolean quorate, long ticks, long nowMs) {
-        if (lease.renew(view, quorate, nowMs) && ticks % PERIOD_TICKS == 0) {
+        if (lease.renew(view, quorate, nowMs) && ticks % GRANT_PERIOD_TICKS == 0) {
             grant(view.epoch(), nowMs);
         }
     }
 
     private void grant(long epoch, long nowMs) {
-        int sharers = dataNodes.sharing(nowMs);
+        int sharers = dataNodes.countActive(nowMs);
         if (sharers == 0) {
             return;
         }
@@ -51,6 +52,6 @@
                 "",
                 epoch,
                 facts.nextVersion(FactKind.LEASE, "", epoch),
-                Codec.encode(new Lease(epoch, sharers, TTL_MS)))));
+                Codec.encode(new Lease(epoch, sharers, LEASE_TTL_MS)))));
     }
 }
--- a/src/main/java/ringspindle/controlplane/fleet/Resolution.java
+++ b/src/main/java/ringspindle/controlplane/fleet/Resolution.java
@@ -3,28 +3,31 @@
 import java.util.List;
 
 /**
- * What a client is answered that asks where to go: {@code new Resolution(Scope.ZONE, List.of("10.1.0.10:8161"))}.
+ * The data nodes that a client is directed to: {@code new Resolution(Scope.ZONE, List.of("10.1.0.10:8161"))}.
  *
- * @param scope how the data nodes were found
- * @param addresses where they take requests, empty if {@link Scope#NOWHERE}
+ * @param scope how near to the client the data nodes are
+ * @param addresses where the data nodes accept requests, empty if the scope is {@link Scope#NOWHERE}
  */
 public record Resolution(Scope scope, List<String> addresses) {
-    /** No data node can be named. */
+    /** No data node is available. */
     static final Resolution NOWHERE = new Resolution(Scope.NOWHERE, List.of());
 
-    /** How near to the client the named data nodes are; the nearest that has any is chosen. */
+    /** How near to the client the data nodes are; the nearest scope that has any is selected. */
     public enum Scope {
         /** In the client's zone. */
         ZONE,
         /** In the client's region. */
         REGION,
-        /** In another region, which is a home of all routes of the host that have homes. */
+        /** In another region, which is a home region of all routes of the host that have home regions. */
         HOMES,
-        /** In another region, as no route of the host has homes. */
+        /** In another region, because no route of the host has home regions. */
         ANYWHERE,
-        /** In the client's region, else in a home: the one that serves longest of those that are shutting down. */
+        /**
+         * In the client's region, else in a home region: of the nodes that are shutting down, the one that serves
+         * longest.
+         */
         LEAVING,
-        /** No data node can be named. */
+        /** No data node is available. */
         NOWHERE
     }
 }
--- a/src/main/java/ringspindle/controlplane/fleet/ResolutionLog.java
+++ b/src/main/java/ringspindle/controlplane/fleet/ResolutionLog.java
@@ -13,38 +13,38 @@
 import ringspindle.logging.LogField;
 
 /**
- * Counts answers of the directory by scope. Logs the first answer of each scope that is not near the clients of a region, and
- * the first near one after such answers. Guarded by its owner.
+ * Counts resolutions by scope. For the clients of each region it logs the first resolution of each scope that is not
+ * near them, and the first near one after these. Guarded by its owner.
  */
 public final class ResolutionLog {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** Regions are named by clients; what is remembered of them is bounded. */
-    private static final int REGIONS_MAX = 256;
+    /** Clients choose the names of regions, so the number of regions that are remembered is bounded. */
+    private static final int MAX_REGIONS = 256;
 
-    private static final Set<Scope> NEAR = EnumSet.of(Scope.ZONE, Scope.REGION);
+    private static final Set<Scope> NEAR_SCOPES = EnumSet.of(Scope.ZONE, Scope.REGION);
 
     private final Map<Scope, Long> counts = new EnumMap<>(Scope.class);
-    /** By region, the scopes that were logged since the last near answer. */
+    /** By region, the scopes that were logged since the last near resolution. */
     private final Map<String, Set<Scope>> logged = new HashMap<>();
 
     /**
-     * An answer was given.
+     * Records a resolution.
      *
      * @param region the client's region
-     * @param basis what the answer rests on; asked for only if a line is logged
+     * @param basis describes what the resolution is based on; only evaluated if a line is logged
      */
     public void recordAnswer(String region, Scope scope, Supplier<String> basis) {
         counts.merge(scope, 1L, Long::sum);
-        if (NEAR.contains(scope)) {
+        if (NEAR_SCOPES.contains(scope)) {
             if (logged.remove(region) != null) {
                 log(region, scope, basis);
             }
             return;
         }
-        if (logged.size() >= REGIONS_MAX) {
+        if (logged.size() >= MAX_REGIONS) {
             logged.clear();
         }
-        if (logged.computeIfAbsent(region, unknown -> EnumSet.noneOf(Scope.class))
+        if (logged.computeIfAbsent(region, absent -> EnumSet.noneOf(Scope.class))
                 .add(scope)) {
             log(region, scope, basis);
         }
@@ -55,10 +55,10 @@
                 .with(LogField.REGION, region)
                 .with(LogField.OUTCOME, scope)
                 .with(LogField.REASON, basis.get())
-                .log("directory answers");
+                .log("resolution scope changed");
     }
 
-    /** How many answers of each scope this node has given; scopes that never occurred are 0. */
+    /** Number of resolutions of each scope on this node, 0 for a scope that never occurred. */
     public Map<String, Long> counts() {
         Map<String, Long> byScope = new TreeMap<>();
         for (Scope scope : Scope.values()) {
