--- a/src/main/java/ringspindle/controlplane/server/ApiExchange.java
+++ b/src/main/java/ringspindle/controlplane/server/ApiExchange.java
@@ -17,26 +17,28 @@
 import ringspindle.proxy.BoundedBody;
 
 /**
- * One HTTP call and its answer.
+ * One HTTP request to the control plane's API and its response.
  *
- * @param operation what is called
- * @param argument the last part of the path, such as an engine's id
+ * @param operation the requested operation, null if there is none for the method and path
+ * @param argument the last segment of the path, such as an engine's id
  */
 record ApiExchange(Request request, Response response, Callback callback, Operation operation, String argument) {
-    /** The body of answers that have none. */
+    /** The body of responses without content. */
     static final byte[] NO_BODY = {};
 
     private static final JsonProvider JSON = JsonProvider.provider();
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final String RETRY_AFTER_S = "0.2";
 
-    /** A query parameter, empty if it is not given. */
+    /** The value of a query parameter, empty if it is absent. */
     String query(String name) {
         Fields.Field field = Request.extractQueryParameters(request).get(name);
         return field == null ? "" : field.getValue();
     }
 
-    /** The revision that an order builds on by its If-Match header, 0 without one; empty if it cannot be read. */
+    /**
+     * The revision in the If-Match header, on which a change is based: 0 without the header, empty if it is malformed.
+     */
     OptionalLong baseRevision() {
         String tag = request.getHeaders().get(HttpHeader.IF_MATCH);
         if (tag == null) {
@@ -50,7 +52,7 @@
         }
     }
 
-    /** Reads the body and passes it on; one that is longer than {@code maxBytes} or breaks off is answered here. */
+    /** Reads the body and passes it on; responds with an error if it is longer than {@code maxBytes} or incomplete. */
     void readBody(int maxBytes, Consumer<byte[]> reader) {
         new BoundedBody(
                         request,
@@ -66,24 +68,25 @@
                 .run();
     }
 
-    /** Answers with an outcome alone. */
+    /** Responds with an outcome and no text. */
     void respond(Outcome outcome) {
         respond(outcome, NO_BODY);
     }
 
-    /** Answers with a JSON object. */
+    /** Responds with a JSON object. */
     void respond(JsonObject body) {
         respond(Outcome.TAKEN, body.toString().getBytes(UTF_8));
     }
 
     /**
-     * Answers with an outcome.
+     * Responds with an outcome.
      *
-     * @param body JSON if the call was taken; else text, which goes out in a JSON object that names the error
+     * @param body JSON if the outcome is {@link Outcome#TAKEN}; else a text, which is sent in a JSON object that names
+     *     the error
      */
     void respond(Outcome outcome, byte[] body) {
         response.setStatus(outcome.status());
-        byte[] content = outcome == Outcome.TAKEN ? body : error(outcome, body);
+        byte[] content = outcome == Outcome.TAKEN ? body : errorBody(outcome, body);
         if (outcome.status() == SERVICE_UNAVAILABLE) {
             response.getHeaders().put("Retry-After", RETRY_AFTER_S);
         }
@@ -94,7 +97,7 @@
         response.write(true, ByteBuffer.wrap(content), callback);
     }
 
-    private static byte[] error(Outcome outcome, byte[] text) {
+    private static byte[] errorBody(Outcome outcome, byte[] text) {
         return JSON.createObjectBuilder()
                 .add("error", outcome.name())
                 .add("text", new String(text, UTF_8))
--- a/src/main/java/ringspindle/controlplane/server/ApiResource.java
+++ b/src/main/java/ringspindle/controlplane/server/ApiResource.java
@@ -1,7 +1,7 @@
 package ringspindle.controlplane.server;
 
-/** Answers the HTTP calls of one resource. Thread safe. */
+/** Handles HTTP requests for one resource. Thread safe. */
 interface ApiResource {
-    /** Answers a call, now or later, and exactly once. */
+    /** Handles a request and responds exactly once, now or later. */
     void handle(ApiExchange exchange);
 }
--- a/src/main/java/ringspindle/controlplane/server/ConfigurationResource.java
+++ b/src/main/java/ringspindle/controlplane/server/ConfigurationResource.java
@@ -8,7 +8,7 @@
 
 /** Reads and changes the fleet's configuration. */
 final class ConfigurationResource {
-    private static final int BODY_MAX = 16 << 20;
+    private static final int MAX_BODY_BYTES = 16 << 20;
 
     private final ControlNode node;
 
@@ -16,7 +16,7 @@
         this.node = node;
     }
 
-    /** Answers with the committed configuration. */
+    /** Responds with the committed configuration. */
     void get(ApiExchange exchange) {
         node.replication()
                 .call(
@@ -45,6 +45,6 @@
             return;
         }
         exchange.readBody(
-                BODY_MAX, body -> node.replication().call(kind, base.getAsLong(), "", body, exchange::respond));
+                MAX_BODY_BYTES, body -> node.replication().call(kind, base.getAsLong(), "", body, exchange::respond));
     }
 }
--- a/src/main/java/ringspindle/controlplane/server/ControlApiHandler.java
+++ b/src/main/java/ringspindle/controlplane/server/ControlApiHandler.java
@@ -11,14 +11,14 @@
 import ringspindle.controlplane.ControlNode;
 import ringspindle.controlplane.ServingState;
 
-/** The HTTP calls of engines, operators and clients on a control node: each goes to the class of its resource. */
+/** Handles HTTP requests from engines, operators and clients to a control node by dispatching each to its resource. */
 public final class ControlApiHandler extends Handler.Abstract {
     private final ServingState serving;
     private final Map<Operation, ApiResource> resources = new EnumMap<>(Operation.class);
 
-    /** Answers calls from what that node knows. */
+    /** Creates a handler that serves the state of the given node. */
     public ControlApiHandler(ControlNode node) {
-        // resources pass calls on and are told the outcome later: none of them waits
+        // resources forward requests and get the outcome in a callback: none of them blocks
         super(InvocationType.NON_BLOCKING);
         serving = node.serving();
         resources.put(Operation.RESOLVE, new ResolutionResource(node));
@@ -54,7 +54,7 @@
         resources.put(Operation.ROLLOUTS, ifUpToDate(exchange -> exchange.respond(RolloutsPage.of(node))));
     }
 
-    /** For answers from what this node knows of the whole fleet; the status page says itself how far it counts. */
+    /** Guards a resource that reports on the whole fleet; the status page itself tells how far its content is valid. */
     private ApiResource ifUpToDate(ApiResource resource) {
         return exchange -> {
             if (serving.upToDate()) {
--- a/src/main/java/ringspindle/controlplane/server/ControlPlaneMetrics.java
+++ b/src/main/java/ringspindle/controlplane/server/ControlPlaneMetrics.java
@@ -12,7 +12,7 @@
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeKind;
 
-/** The figures that a control node tells; docs/ON-CALL.md says which symptom each is for. */
+/** Metrics of a control node; docs/ON-CALL.md relates each to the symptoms that it explains. */
 final class ControlPlaneMetrics {
     private static final double MS_PER_S = 1000;
 
--- a/src/main/java/ringspindle/controlplane/server/CounterResource.java
+++ b/src/main/java/ringspindle/controlplane/server/CounterResource.java
@@ -13,13 +13,12 @@
 import ringspindle.config.Validated;
 import ringspindle.controlplane.ControlNode;
 
-/** Adds to replicated counters and reads their totals; both work on either side of a partition. */
+/** Increments replicated counters and reads their totals; both work on either side of a partition. */
 final class CounterResource {
-    private static final int BODY_MAX = 4096;
-    /** Characters of a name or an id. */
-    private static final int TEXT_MAX = 256;
+    private static final int MAX_BODY_BYTES = 4096;
+    private static final int MAX_NAME_CHARS = 256;
 
-    /** An increment as it was asked for. */
+    /** A requested increment; the instance id identifies it across retries. */
     private record Increment(String instance, long amount) {}
 
     private final ControlNode node;
@@ -28,7 +27,7 @@
         this.node = node;
     }
 
-    /** Answers with a total. */
+    /** Responds with the total of a counter. */
     void get(ApiExchange exchange) {
         Optional<String> name = name(exchange);
         if (name.isEmpty()) {
@@ -43,9 +42,9 @@
         exchange.respond(Outcome.TAKEN, ("{\"total\":" + total.get() + "}").getBytes(UTF_8));
     }
 
-    /** Adds to a counter. */
+    /** Increments a counter. */
     void add(ApiExchange exchange) {
-        exchange.readBody(BODY_MAX, body -> add(exchange, body));
+        exchange.readBody(MAX_BODY_BYTES, body -> add(exchange, body));
     }
 
     private void add(ApiExchange exchange, byte[] body) {
@@ -59,22 +58,22 @@
                 .add(name.get(), increment.get().instance(), increment.get().amount(), exchange::respond);
     }
 
-    /** The counter's name, which the path holds with escapes; empty if it is no proper one. */
+    /** The counter's name, percent-decoded from the path; empty if it is invalid. */
     private static Optional<String> name(ApiExchange exchange) {
         try {
-            // a plus sign stands for itself in a path
-            return proper(URLDecoder.decode(exchange.argument().replace("+", "%2B"), UTF_8));
+            // URLDecoder decodes a plus sign to a space, but in a path it is literal
+            return validate(URLDecoder.decode(exchange.argument().replace("+", "%2B"), UTF_8));
         } catch (IllegalArgumentException badEscape) {
             return Optional.empty();
         }
     }
 
-    private static Optional<String> proper(String text) {
-        boolean fits = !text.isEmpty() && text.length() <= TEXT_MAX;
-        return fits && text.chars().noneMatch(Character::isISOControl) ? Optional.of(text) : Optional.empty();
+    private static Optional<String> validate(String text) {
+        boolean validLength = !text.isEmpty() && text.length() <= MAX_NAME_CHARS;
+        return validLength && text.chars().noneMatch(Character::isISOControl) ? Optional.of(text) : Optional.empty();
     }
 
-    /** Reads an increment: an id, and any whole number of 64 bits, which may be zero or negative. */
+    /** Parses an increment: an id and a signed 64-bit integer, which may be zero; empty if it is malformed. */
     private static Optional<Increment> increment(byte[] body) {
         if (!(FleetConfig.json(body) instanceof Validated.Valid<JsonObject> json)
                 || !(json.value().get("instanceId") instanceof JsonString instance)
@@ -82,9 +81,9 @@
             return Optional.empty();
         }
         try {
-            long exact = amount.longValueExact();
-            return proper(instance.getString()).map(id -> new Increment(id, exact));
-        } catch (ArithmeticException noWholeNumberOfThatSize) {
+            long exactAmount = amount.longValueExact();
+            return validate(instance.getString()).map(id -> new Increment(id, exactAmount));
+        } catch (ArithmeticException notALong) {
             return Optional.empty();
         }
     }
--- a/src/main/java/ringspindle/controlplane/server/CountersPage.java
+++ b/src/main/java/ringspindle/controlplane/server/CountersPage.java
@@ -7,13 +7,13 @@
 import ringspindle.controlplane.ControlNode;
 import ringspindle.counter.CounterStatus;
 
-/** The counters of one control node, for operators. */
+/** The operators' page of one control node's counters. */
 final class CountersPage {
     private static final JsonProvider JSON = JsonProvider.provider();
 
     private CountersPage() {}
 
-    /** What this node knows, whether or not others are in touch. */
+    /** Renders the counters as this node knows them, also while it is isolated. */
     static JsonObject of(ControlNode node) {
         CounterStatus status = node.counters().status();
         JsonObjectBuilder totals = JSON.createObjectBuilder();
--- a/src/main/java/ringspindle/controlplane/server/EnginesPage.java
+++ b/src/main/java/ringspindle/controlplane/server/EnginesPage.java
@@ -16,15 +16,15 @@
 import ringspindle.telemetry.EngineKey;
 import ringspindle.telemetry.LoadSummary;
 
-/** The page on which a control node shows operators the engines. Tools read it: names and order are fixed. */
+/** The operators' page of engines. Tools parse it, so its member names and their order are fixed. */
 public final class EnginesPage {
     private static final JsonProvider JSON = JsonProvider.provider();
-    /** What an engine in turn of a roll-out still runs is shown for so long after it was told. */
+    /** The progress of an engine in a roll-out step is shown for this long after its last update. */
     private static final int TURN_TTL_MS = 3000;
 
     private EnginesPage() {}
 
-    /** The page as it is now. */
+    /** Renders the page from the current state. */
     public static JsonObject of(ControlNode node) {
         LoadSummary load = node.queries().load();
         JsonArrayBuilder engines = JSON.createArrayBuilder();
--- a/src/main/java/ringspindle/controlplane/server/EvacuationResource.java
+++ b/src/main/java/ringspindle/controlplane/server/EvacuationResource.java
@@ -4,7 +4,7 @@
 import ringspindle.controlplane.ControlNode;
 import ringspindle.replication.CallKind;
 
-/** Takes zones out of service and back. */
+/** Takes zones out of service and returns them to service. */
 final class EvacuationResource {
     private final ControlNode node;
 
@@ -14,15 +14,15 @@
 
     /** Takes a zone out of service. */
     void evacuate(ApiExchange exchange) {
-        order(exchange, CallKind.EVACUATE);
+        commit(exchange, CallKind.EVACUATE);
     }
 
-    /** Takes a zone back into service. */
+    /** Returns a zone to service. */
     void restore(ApiExchange exchange) {
-        order(exchange, CallKind.RESTORE);
+        commit(exchange, CallKind.RESTORE);
     }
 
-    private void order(ApiExchange exchange, CallKind kind) {
+    private void commit(ApiExchange exchange, CallKind kind) {
         if (!node.serving().inTouch()) {
             exchange.respond(Outcome.UNCLEAR);
             return;
--- a/src/main/java/ringspindle/controlplane/server/ExperimentResource.java
+++ b/src/main/java/ringspindle/controlplane/server/ExperimentResource.java
@@ -4,10 +4,10 @@
 import ringspindle.experiment.ExperimentDocument;
 import ringspindle.replication.CallKind;
 
-/** Takes the operators' orders on experiments. */
+/** Accepts operators' orders on experiments. */
 final class ExperimentResource implements ApiResource {
-    /** An order holds a document and little more. */
-    private static final int BODY_MAX = ExperimentDocument.MAX_BYTES + 1024;
+    /** An order consists of a document and a few short members. */
+    private static final int MAX_BODY_BYTES = ExperimentDocument.MAX_BYTES + 1024;
 
     private final ControlNode node;
 
@@ -17,7 +17,7 @@
 
     @Override
     public void handle(ApiExchange exchange) {
-        exchange.readBody(BODY_MAX, body -> node.replication()
+        exchange.readBody(MAX_BODY_BYTES, body -> node.replication()
                 .call(CallKind.EXPERIMENT, 0, exchange.argument(), body, exchange::respond));
     }
 }
--- a/src/main/java/ringspindle/controlplane/server/ExperimentsPage.java
+++ b/src/main/java/ringspindle/controlplane/server/ExperimentsPage.java
@@ -19,35 +19,35 @@
 import ringspindle.protocol.Message.View;
 
 /**
- * The page on which a control node shows operators the experiments; the one in charge adds what was counted. Tools read it:
- * names and order are fixed.
+ * The operators' page of experiments; the node that evaluates them adds the counted outcomes. Tools parse it, so its
+ * member names and their order are fixed.
  */
 final class ExperimentsPage {
     private static final JsonProvider JSON = JsonProvider.provider();
 
     private ExperimentsPage() {}
 
-    /** The page as it is now. */
+    /** Renders the page from the current state. */
     static JsonObject of(ControlNode node) {
         View view = node.replication().view();
-        boolean judges = view != null && view.head().equals(node.me());
+        boolean isEvaluator = view != null && view.head().equals(node.me());
         JsonArrayBuilder experiments = JSON.createArrayBuilder();
         for (Fact fact : node.fleet().read(store -> new ArrayList<>(store.all(FactKind.EXPERIMENT)))) {
-            experiments.add(experiment(node, new String(fact.value(), UTF_8), judges));
+            experiments.add(experiment(node, new String(fact.value(), UTF_8), isEvaluator));
         }
         return JSON.createObjectBuilder()
-                .add("judges", judges)
+                .add("judges", isEvaluator)
                 .add("experiments", experiments)
                 .build();
     }
 
-    private static JsonObjectBuilder experiment(ControlNode node, String stored, boolean judges) {
+    private static JsonObjectBuilder experiment(ControlNode node, String stored, boolean isEvaluator) {
         Experiment experiment = Experiment.read(stored);
         JsonObjectBuilder page;
         try (JsonReader reader = JSON.createReader(new StringReader(stored))) {
             page = JSON.createObjectBuilder(reader.readObject());
         }
-        if (judges && experiment.isOpen()) {
+        if (isEvaluator && experiment.isOpen()) {
             addCounts(page, node, experiment);
         }
         return page;
--- a/src/main/java/ringspindle/controlplane/server/InstanceResource.java
+++ b/src/main/java/ringspindle/controlplane/server/InstanceResource.java
@@ -15,14 +15,14 @@
 import ringspindle.protocol.NodeId;
 import ringspindle.replication.CallKind;
 
-/** Heartbeats of engines, by which they register, and their removal. */
+/** Registers engines by their heartbeats, and removes them. */
 final class InstanceResource {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private static final int BODY_MAX = 64 << 10;
-    /** Stands for a number that an engine does not tell. */
-    private static final int NOT_TOLD = -1;
+    private static final int MAX_BODY_BYTES = 64 << 10;
+    /** Value of a number that an engine does not report. */
+    private static final int UNREPORTED = -1;
 
-    /** An engine and the number of its heartbeat. */
+    /** An engine and the sequence number of its heartbeat. */
     private record Registration(Engine engine, long sequence) {}
 
     private final ControlNode node;
@@ -42,9 +42,9 @@
                         (outcome, body) -> exchange.respond(outcome));
     }
 
-    /** Takes an engine's heartbeat. */
+    /** Accepts a heartbeat of an engine. */
     void heartbeat(ApiExchange exchange) {
-        exchange.readBody(BODY_MAX, body -> heartbeat(exchange, body));
+        exchange.readBody(MAX_BODY_BYTES, body -> heartbeat(exchange, body));
     }
 
     private void heartbeat(ApiExchange exchange, byte[] body) {
@@ -58,37 +58,37 @@
         }
         String id = exchange.argument();
         Registration registration;
-        boolean taken;
+        boolean accepted;
         try {
-            registration = registration(json.value());
-            taken = node.engines().heartbeat(id, registration.engine(), registration.sequence());
-        } catch (RuntimeException unreadable) {
+            registration = parseRegistration(json.value());
+            accepted = node.engines().heartbeat(id, registration.engine(), registration.sequence());
+        } catch (RuntimeException malformed) {
             LOG.atInfo()
                     .with(LogField.ENGINE, id)
-                    .with(LogField.REASON, unreadable)
-                    .log("heartbeat of an engine cannot be read");
+                    .with(LogField.REASON, malformed)
+                    .log("malformed engine heartbeat");
             exchange.respond(Outcome.MALFORMED);
             return;
         }
-        if (taken) {
+        if (accepted) {
             acknowledge(exchange, id, registration.engine());
         } else {
             exchange.respond(Outcome.UNCLEAR);
         }
     }
 
-    /** Reads a heartbeat; throws what the JSON library throws if a member is missing or of another type. */
-    private static Registration registration(JsonObject json) {
-        long weights = NOT_TOLD;
+    /** Parses a heartbeat; throws a runtime exception if a member is missing or has another type. */
+    private static Registration parseRegistration(JsonObject json) {
+        long weights = UNREPORTED;
         if (json.get("models") instanceof JsonArray models && !models.isEmpty()) {
-            weights = models.getJsonObject(0).getInt("revision", NOT_TOLD);
+            weights = models.getJsonObject(0).getInt("revision", UNREPORTED);
         }
         boolean draining = json.getString("state", "ready").equals("draining");
         Engine engine = new Engine(
                 json.getInt("capacity", 1),
                 integer(json, "warmupLeftMs", 0),
                 draining,
-                integer(json, "remainingMs", NOT_TOLD),
+                integer(json, "remainingMs", UNREPORTED),
                 weights,
                 json.getString("service"),
                 NodeId.of(json.getString("address")).toString(),
@@ -98,11 +98,11 @@
         return new Registration(engine, sequence);
     }
 
-    private static int integer(JsonObject json, String name, int otherwise) {
-        return json.get(name) instanceof JsonNumber number ? number.intValue() : otherwise;
+    private static int integer(JsonObject json, String name, int defaultValue) {
+        return json.get(name) instanceof JsonNumber number ? number.intValue() : defaultValue;
     }
 
-    /** Answers where the next heartbeat should go, once a draining engine is committed as such. */
+    /** Responds with the target of the next heartbeat; if the engine drains, after its draining state is committed. */
     private void acknowledge(ApiExchange exchange, String id, Engine engine) {
         String nearest = node.queries().nearestControlNode(engine.zone());
         String text = nearest.isEmpty() ? "{}" : "{\"heartbeatTarget\":\"" + nearest + "\"}";
--- a/src/main/java/ringspindle/controlplane/server/LedgerPage.java
+++ b/src/main/java/ringspindle/controlplane/server/LedgerPage.java
@@ -20,15 +20,15 @@
 import ringspindle.routing.ServingRules;
 
 /**
- * The page on which a control node shows operators what data nodes that report to it say of their requests and rules, and
- * which data nodes there are. Tools read it: names and order are fixed.
+ * The operators' page of request ledgers: the data nodes of the fleet, and the requests and rules of those that report
+ * to this control node. Tools parse it, so its member names and their order are fixed.
  */
 public final class LedgerPage {
     private static final JsonProvider JSON = JsonProvider.provider();
 
     private LedgerPage() {}
 
-    /** The page as it is now. */
+    /** Renders the page from the current state. */
     public static JsonObject of(ControlNode node) {
         State state = node.replication().committed();
         ServingRules rules = rules(state);
@@ -36,13 +36,13 @@
                 .add("node", node.config().name())
                 .add("revision", rules == null ? 0 : rules.revision())
                 .add("digest", rules == null ? "" : Long.toHexString(rules.digest()))
-                .add("idle", idle(state, rules))
+                .add("idle", idleRules(state, rules))
                 .add("nodes", dataNodes(node.queries()))
                 .add("ledgers", ledgers(node.queries()))
                 .build();
     }
 
-    /** The committed rules, null if there are none that can be read. */
+    /** The committed rules, null if there are none or if this version cannot parse them. */
     private static ServingRules rules(State state) {
         if (state == null) {
             return null;
@@ -56,8 +56,8 @@
         return null;
     }
 
-    /** Rules that fit nothing in the committed configuration. */
-    private static JsonArrayBuilder idle(State state, ServingRules rules) {
+    /** The rules that match nothing in the committed configuration. */
+    private static JsonArrayBuilder idleRules(State state, ServingRules rules) {
         JsonArrayBuilder idle = JSON.createArrayBuilder();
         if (rules != null
                 && state.config().length > 0
--- a/src/main/java/ringspindle/controlplane/server/ResolutionResource.java
+++ b/src/main/java/ringspindle/controlplane/server/ResolutionResource.java
@@ -6,13 +6,13 @@
 import ringspindle.controlplane.ControlNode;
 import ringspindle.controlplane.fleet.Resolution;
 
-/** Tells clients the addresses of data nodes. */
+/** Resolves a host to the addresses of data nodes for a client. */
 final class ResolutionResource implements ApiResource {
     private static final JsonProvider JSON = JsonProvider.provider();
-    /** No client keeps addresses for longer, so that a data node that leaves is soon left alone. */
-    private static final int TTL_MAX_S = 2;
-    /** Where all data nodes of a region shut down, the named one goes as soon as another is back. */
-    private static final int TTL_LEAVING_S = 1;
+    /** Bounds how long clients cache addresses, so that they soon stop using a data node that leaves. */
+    private static final int MAX_TTL_S = 2;
+    /** While all data nodes of a region shut down, clients must soon move to the first one that is back. */
+    private static final int MAX_TTL_LEAVING_S = 1;
 
     private final ControlNode node;
 
@@ -28,15 +28,15 @@
             exchange.respond(Outcome.UNCLEAR);
             return;
         }
-        JsonArrayBuilder array = JSON.createArrayBuilder();
-        resolution.addresses().forEach(array::add);
+        JsonArrayBuilder addresses = JSON.createArrayBuilder();
+        resolution.addresses().forEach(addresses::add);
         exchange.respond(JSON.createObjectBuilder()
-                .add("addresses", array)
-                .add("ttlS", Math.min(ttlMaxS(resolution.scope()), node.config().ttlS()))
+                .add("addresses", addresses)
+                .add("ttlS", Math.min(maxTtlS(resolution.scope()), node.config().ttlS()))
                 .build());
     }
 
-    private static int ttlMaxS(Resolution.Scope scope) {
-        return scope == Resolution.Scope.LEAVING ? TTL_LEAVING_S : TTL_MAX_S;
+    private static int maxTtlS(Resolution.Scope scope) {
+        return scope == Resolution.Scope.LEAVING ? MAX_TTL_LEAVING_S : MAX_TTL_S;
     }
 }
--- a/src/main/java/ringspindle/controlplane/server/RetirementResource.java
+++ b/src/main/java/ringspindle/controlplane/server/RetirementResource.java
@@ -7,7 +7,7 @@
 import ringspindle.protocol.FactKind;
 import ringspindle.replication.CallKind;
 
-/** Storage nodes that are to be emptied and taken away. */
+/** Retires storage nodes: empties them so that they can be removed. */
 final class RetirementResource {
     private static final JsonProvider JSON = JsonProvider.provider();
 
@@ -17,7 +17,7 @@
         this.node = node;
     }
 
-    /** Asks for a node to be emptied. */
+    /** Starts to empty a node. */
     void start(ApiExchange exchange) {
         if (!node.serving().upToDate()) {
             exchange.respond(Outcome.UNCLEAR);
@@ -27,7 +27,7 @@
         StorageNodes nodes = node.storageNodes();
         if (!nodes.isKnown(name)) {
             exchange.respond(Outcome.NO_SUCH);
-        } else if (!isAsked(name) && !nodes.mayLose(name)) {
+        } else if (!isRetiring(name) && !nodes.mayLose(name)) {
             exchange.respond(Outcome.CLASH);
         } else {
             node.replication()
@@ -35,15 +35,15 @@
         }
     }
 
-    private boolean isAsked(String name) {
+    private boolean isRetiring(String name) {
         return node.fleet().read(store -> store.get(FactKind.RETIREMENT, name)) != null;
     }
 
-    /** Tells whether a node is empty. */
+    /** Responds with whether a node has been emptied. */
     void get(ApiExchange exchange) {
         if (!node.serving().upToDate()) {
             exchange.respond(Outcome.UNCLEAR);
-        } else if (!isAsked(exchange.argument())) {
+        } else if (!isRetiring(exchange.argument())) {
             exchange.respond(Outcome.NO_SUCH);
         } else {
             boolean empty = node.storageNodes().isEmptied(exchange.argument());
--- a/src/main/java/ringspindle/controlplane/server/RolloutResource.java
+++ b/src/main/java/ringspindle/controlplane/server/RolloutResource.java
@@ -13,12 +13,12 @@
 import ringspindle.replication.CallKind;
 import ringspindle.rollout.RolloutPlanner;
 
-/** Takes the operators' orders for the roll-out of a service. */
+/** Accepts operators' orders for the roll-out of a service. */
 final class RolloutResource implements ApiResource {
     private static final JsonProvider JSON = JsonProvider.provider();
-    private static final int BODY_MAX = 64 << 10;
+    private static final int MAX_BODY_BYTES = 64 << 10;
     private static final double DEFAULT_FLOOR = 0.5;
-    /** The weights' revision of a service whose engines tell none. */
+    /** The revision of the weights of a service whose engines report none. */
     private static final long UNKNOWN_WEIGHTS = -1;
 
     private final ControlNode node;
@@ -29,12 +29,12 @@
 
     @Override
     public void handle(ApiExchange exchange) {
-        exchange.readBody(BODY_MAX, body -> order(exchange, body));
+        exchange.readBody(MAX_BODY_BYTES, body -> order(exchange, body));
     }
 
     private void order(ApiExchange exchange, byte[] body) {
         if (!node.serving().upToDate()) {
-            // whether a roll-out can start is judged by the engines known here
+            // whether a roll-out can start depends on the engines known here
             exchange.respond(Outcome.UNCLEAR);
             return;
         }
@@ -53,14 +53,14 @@
             exchange.respond(Outcome.INVALID, "with this floor some region could never take its turn".getBytes(UTF_8));
             return;
         }
-        commit(exchange, order.containsKey("from") ? body : withPresentWeights(order, members));
+        commit(exchange, order.containsKey("from") ? body : withCurrentWeights(order, members));
     }
 
-    private static byte[] withPresentWeights(JsonObject order, List<RolloutPlanner.Member> members) {
-        long present =
+    private static byte[] withCurrentWeights(JsonObject order, List<RolloutPlanner.Member> members) {
+        long current =
                 members.stream().mapToLong(RolloutPlanner.Member::weights).max().orElse(UNKNOWN_WEIGHTS);
         return JSON.createObjectBuilder(order)
-                .add("from", present)
+                .add("from", current)
                 .build()
                 .toString()
                 .getBytes(UTF_8);
--- a/src/main/java/ringspindle/controlplane/server/RolloutsPage.java
+++ b/src/main/java/ringspindle/controlplane/server/RolloutsPage.java
@@ -12,13 +12,13 @@
 import ringspindle.protocol.FactKind;
 import ringspindle.protocol.Message.Fact;
 
-/** The page on which a control node shows operators the roll-outs. Tools read it: names and order are fixed. */
+/** The operators' page of roll-outs. Tools parse it, so its member names and their order are fixed. */
 public final class RolloutsPage {
     private static final JsonProvider JSON = JsonProvider.provider();
 
     private RolloutsPage() {}
 
-    /** The page as it is now. */
+    /** Renders the page from the current state. */
     public static JsonObject of(ControlNode node) {
         JsonArrayBuilder rollouts = JSON.createArrayBuilder();
         for (Fact fact : node.fleet().read(store -> new ArrayList<>(store.all(FactKind.ROLLOUT)))) {
--- a/src/main/java/ringspindle/controlplane/server/RulesResource.java
+++ b/src/main/java/ringspindle/controlplane/server/RulesResource.java
@@ -21,7 +21,7 @@
         this.node = node;
     }
 
-    /** Answers with the committed rules. */
+    /** Responds with the committed rules. */
     void get(ApiExchange exchange) {
         node.replication()
                 .call(
@@ -48,7 +48,7 @@
             exchange.respond(Outcome.UNCLEAR);
             return;
         }
-        List<ConfigError> errors = errors(body);
+        List<ConfigError> errors = validate(body);
         if (!errors.isEmpty()) {
             String text = errors.stream().map(ConfigError::text).collect(Collectors.joining("; "));
             exchange.respond(Outcome.INVALID, text.getBytes(UTF_8));
@@ -57,13 +57,15 @@
         node.replication().call(CallKind.RULES, base, "", body, exchange::respond);
     }
 
-    /** Regions are known here; routes and models are known to the head of the chain, which checks them. */
-    private List<ConfigError> errors(byte[] body) {
-        Validated<ServingRules> read = ServingRules.read(body);
-        if (read instanceof Validated.Invalid<ServingRules> invalid) {
+    /**
+     * Validates the rules against the known regions; the head of the chain validates routes and models, which it knows.
+     */
+    private List<ConfigError> validate(byte[] body) {
+        Validated<ServingRules> parsed = ServingRules.read(body);
+        if (parsed instanceof Validated.Invalid<ServingRules> invalid) {
             return invalid.errors();
         }
-        ServingRules rules = ((Validated.Valid<ServingRules>) read).value();
+        ServingRules rules = ((Validated.Valid<ServingRules>) parsed).value();
         return ServingRulesValidator.validate(rules, null, node.config().regions());
     }
 }
--- a/src/main/java/ringspindle/controlplane/server/StatusPage.java
+++ b/src/main/java/ringspindle/controlplane/server/StatusPage.java
@@ -27,13 +27,13 @@
 import ringspindle.shard.ShardCondition;
 import ringspindle.shard.ShardMember;
 
-/** The page on which a control node shows operators how it is. Tools read it: names and order are fixed. */
+/** The operators' page of a control node's status. Tools parse it, so its member names and their order are fixed. */
 public final class StatusPage {
     private static final JsonProvider JSON = JsonProvider.provider();
 
     private StatusPage() {}
 
-    /** The page as it is now. */
+    /** Renders the page from the current state. */
     public static JsonObject of(ControlNode node) {
         ServingState serving = node.serving();
         JsonObjectBuilder page = JSON.createObjectBuilder()
@@ -76,7 +76,7 @@
                                 .add("epoch", view.epoch()));
     }
 
-    /** What this node holds may be old while no majority is proven: then only its number is shown. */
+    /** Without a proven majority the state of this node may be stale: then only its sequence number is shown. */
     private static void addState(JsonObjectBuilder page, State state, ServingState serving) {
         if (state == null) {
             return;
@@ -111,7 +111,7 @@
         return array;
     }
 
-    /** Shards of batch jobs, where there are storage nodes. */
+    /** Adds the shards of batch jobs; there are none without storage nodes. */
     private static void addShards(JsonObjectBuilder page, StorageNodes storageNodes) {
         Map<Integer, ShardCondition> conditions = storageNodes.conditions();
         if (conditions.isEmpty()) {
--- a/src/main/java/ringspindle/controlplane/server/VersionResource.java
+++ b/src/main/java/ringspindle/controlplane/server/VersionResource.java
@@ -13,10 +13,10 @@
 import ringspindle.replication.CallKind;
 import ringspindle.replication.VersionRollout;
 
-/** Roll-outs of versions of services' software. */
+/** Starts roll-outs of software versions of services, and reports their progress. */
 final class VersionResource {
     private static final JsonProvider JSON = JsonProvider.provider();
-    private static final int BODY_MAX = 64 << 10;
+    private static final int MAX_BODY_BYTES = 64 << 10;
 
     private final ControlNode node;
 
@@ -24,9 +24,9 @@
         this.node = node;
     }
 
-    /** Starts one. */
+    /** Starts a roll-out. */
     void start(ApiExchange exchange) {
-        exchange.readBody(BODY_MAX, body -> {
+        exchange.readBody(MAX_BODY_BYTES, body -> {
             if (!node.serving().inTouch()) {
                 exchange.respond(Outcome.UNCLEAR);
                 return;
@@ -41,7 +41,7 @@
         });
     }
 
-    /** Tells how far one is. */
+    /** Responds with the state of a roll-out. */
     void get(ApiExchange exchange) {
         if (!node.serving().upToDate()) {
             exchange.respond(Outcome.UNCLEAR);
