--- a/src/test/java/ringspindle/controlplane/fleet/DataNodeDirectoryTest.java
+++ b/src/test/java/ringspindle/controlplane/fleet/DataNodeDirectoryTest.java
@@ -23,9 +23,9 @@
 import ringspindle.protocol.NodeId;
 import ringspindle.protocol.NodeKind;
 
-/** Clients are sent to data nodes that run, near them, and never abroad while a home of what they ask for has one. */
+/** Clients are directed to ready data nodes near them, and to another region only if the host may be served there. */
 class DataNodeDirectoryTest {
-    private static final NodeId ME = NodeId.of("10.0.0.1:7000");
+    private static final NodeId SELF = NodeId.of("10.0.0.1:7000");
     private static final NodeId OTHER = NodeId.of("10.0.0.2:7000");
     private static final Set<String> NO_HOMES = Set.of();
     private static final long LONG_AGO_MS = 60_000;
@@ -39,13 +39,15 @@
 
     @BeforeEach
     void create() {
-        sessions = SessionTable.forControl(ME);
+        sessions = SessionTable.forControl(SELF);
         facts = new FleetFacts(ControlNodeSettings.create(), () -> nowMs);
-        directory = new DataNodeDirectory(ME, sessions, facts);
+        directory = new DataNodeDirectory(SELF, sessions, facts);
         resolver = new FrontendResolver(directory);
     }
 
-    /** A data node as that control node tells of it; its address ends with its number. */
+    /**
+     * Merges the fact of a data node as the given control node publishes it; the node's address ends with its number.
+     */
     private void dataNode(int number, String region, boolean ready, NodeId via) {
         dataNode(number, region, ready ? NodeFlags.READY : NodeFlags.NONE, via);
     }
@@ -72,16 +74,16 @@
         return "10.1.0." + number + ":80";
     }
 
-    /** The other control node answers a heartbeat, so that both have heard each other. */
-    private void hearFromOther(long number) {
+    /** The other control node answers a heartbeat, so that both nodes are in touch. */
+    private void receiveHeartbeatFromOther(long number) {
         Heartbeat sent = sessions.nextHeartbeat(OTHER, NodeFlags.NONE, 0, 0, 0, nowMs);
-        sessions.received(OTHER, new Heartbeat(number, sent.n(), NodeFlags.NONE, 0, 0, 0, List.of(ME)), nowMs);
+        sessions.received(OTHER, new Heartbeat(number, sent.n(), NodeFlags.NONE, 0, 0, 0, List.of(SELF)), nowMs);
         sessions.advance(nowMs);
         directory.tick(nowMs);
     }
 
     @Test
-    void clientOfARegionWithoutNodesIsSentToAHome() {
+    void clientOfARegionWithoutNodesIsDirectedToAHomeRegion() {
         dataNode(1, "a", true, OTHER);
         dataNode(2, "b", false, OTHER);
         dataNode(3, "c", true, OTHER);
@@ -91,7 +93,7 @@
     }
 
     @Test
-    void nobodyIsNamedIfNeitherTheClientsRegionNorAHomeHasANode() {
+    void noNodeIsReturnedIfNeitherTheClientsRegionNorAHomeRegionHasOne() {
         dataNode(1, "a", false, OTHER);
         dataNode(2, "b", false, OTHER);
         dataNode(3, "c", true, OTHER);
@@ -101,7 +103,7 @@
     }
 
     @Test
-    void whereAllShutDownTheOneThatServesLongestIsNamedAndNeverAbroad() {
+    void whileAllNodesShutDownTheLastServingOneInAnAllowedRegionIsReturned() {
         NodeFlags leaving = NodeFlags.LEAVING.and(NodeFlags.STILL_SERVING);
         dataNode(1, "a", leaving, OTHER);
         dataNode(2, "a", leaving, OTHER);
@@ -110,13 +112,13 @@
         assertEquals(List.of(address(2)), addresses("a", Set.of("a", "b")));
         assertEquals(List.of(address(2)), addresses("b", Set.of("a", "b")));
         assertEquals(List.of(address(4)), addresses("c", Set.of("a", "b")), "its own region is always allowed");
-        assertEquals(List.of(), addresses("b", NO_HOMES), "no last resort abroad");
+        assertEquals(List.of(), addresses("b", NO_HOMES), "no last resort in another region");
         dataNode(5, "b", true, OTHER);
-        assertEquals(List.of(address(5)), addresses("a", Set.of("a", "b")), "who does not leave goes first");
+        assertEquals(List.of(address(5)), addresses("a", Set.of("a", "b")), "a node that stays is preferred");
     }
 
     @Test
-    void whereNothingIsKnownOfTheHostOnlyTheClientsOwnRegionIsNamed() {
+    void unknownHostIsServedInTheClientsRegionOnly() {
         dataNode(1, "a", true, OTHER);
         assertEquals(Resolution.NOWHERE, resolver.resolve("b", "zb", () -> AllowedRegions.UNKNOWN, true, nowMs));
         assertEquals(
@@ -126,26 +128,26 @@
     }
 
     @Test
-    void hostWhoseRoutesHaveNoHomeInCommonIsServedInTheClientsRegionOnly() {
+    void hostWhoseRoutesHaveNoCommonHomeRegionIsServedInTheClientsRegionOnly() {
         dataNode(1, "a", true, OTHER);
         AllowedRegions none = new AllowedRegions.Only(Set.of());
         assertEquals(Resolution.NOWHERE, resolver.resolve("b", "zb", () -> none, true, nowMs));
     }
 
     @Test
-    void nodeThatIsCutOffLeadsNobodyToItsOwnRegionForWantOfNodesInTheClients() {
-        dataNodesHereAndAbroad();
-        assertEquals(List.of(), addressesWhileCutOff("a", Set.of("a")));
-        assertEquals(List.of(), addressesWhileCutOff("a", NO_HOMES), "what is known of the homes may be old");
+    void isolatedNodeDirectsNoClientOfAnotherRegionToItsOwn() {
+        addDataNodesInBothRegions();
+        assertEquals(List.of(), addressesWhileIsolated("a", Set.of("a")));
+        assertEquals(List.of(), addressesWhileIsolated("a", NO_HOMES), "the known home regions may be stale");
     }
 
     @Test
-    void nodesOfALostControlNodeAreNotNamedHoweverLateTheFirstQuestionComes() {
+    void nodesOfALostControlNodeExpireHoweverLateTheFirstResolutionComes() {
         sessions.opened(new Hello(OTHER, 1, NodeKind.CONTROL, 0, "o", "zb", "b"), nowMs);
         dataNode(2, "b", true, OTHER);
         for (int number = 1; number < 50; number++) {
             nowMs += 100;
-            hearFromOther(number);
+            receiveHeartbeatFromOther(number);
         }
         assertEquals(List.of(address(2)), addresses("b", NO_HOMES));
         nowMs += LONG_AGO_MS;
@@ -154,59 +156,60 @@
         assertEquals(List.of(), addresses("b", NO_HOMES));
     }
 
-    private List<String> addressesWhileCutOff(String region, Set<String> homes) {
+    private List<String> addressesWhileIsolated(String region, Set<String> homes) {
         return resolver.resolve(region, "z" + region, () -> allowed(homes), false, nowMs)
                 .addresses();
     }
 
-    /** A data node of region b with a session here, and one of region a that the other control node tells of. */
-    private void dataNodesHereAndAbroad() {
-        NodeId near = NodeId.of("10.1.0.2:7000");
-        Hello hello = new Hello(near, 1, NodeKind.DATA, NodeId.of(address(2)).bits(), "d", "zb", "b");
+    /** Adds a data node of region b with a session here, and one of region a that the other control node publishes. */
+    private void addDataNodesInBothRegions() {
+        NodeId node = NodeId.of("10.1.0.2:7000");
+        Hello hello = new Hello(node, 1, NodeKind.DATA, NodeId.of(address(2)).bits(), "d", "zb", "b");
         sessions.opened(new Hello(OTHER, 1, NodeKind.CONTROL, 0, "o", "za", "a"), nowMs);
         sessions.opened(hello, nowMs);
         dataNode(1, "a", true, OTHER);
-        dataNode(2, "b", true, ME);
-        hearFromOther(1);
-        hearFromNear(near, 1);
+        dataNode(2, "b", true, SELF);
+        receiveHeartbeatFromOther(1);
+        receiveHeartbeat(node, 1);
     }
 
-    private void hearFromNear(NodeId near, long number) {
-        Heartbeat sent = sessions.nextHeartbeat(near, NodeFlags.NONE, 0, 0, 0, nowMs);
-        sessions.received(near, new Heartbeat(number, sent.n(), NodeFlags.READY, 0, 0, 0, List.of()), nowMs);
+    private void receiveHeartbeat(NodeId node, long number) {
+        Heartbeat sent = sessions.nextHeartbeat(node, NodeFlags.NONE, 0, 0, 0, nowMs);
+        sessions.received(node, new Heartbeat(number, sent.n(), NodeFlags.READY, 0, 0, 0, List.of()), nowMs);
     }
 
     @Test
-    void clientOfACutOffRegionIsSentToTheHomesOfWhatItAsksFor() {
-        dataNodesHereAndAbroad();
-        assertEquals(List.of(address(2)), addresses("b", Set.of("a")), "while in touch the region's own nodes");
-        assertEquals(List.of(address(1)), addressesWhileCutOff("b", Set.of("a")));
-        assertEquals(List.of(address(2)), addressesWhileCutOff("b", Set.of("a", "b")), "its own region is a home");
-        assertEquals(List.of(address(2)), addressesWhileCutOff("b", NO_HOMES));
+    void clientOfAnIsolatedRegionIsDirectedToTheHomeRegionsOfItsHost() {
+        addDataNodesInBothRegions();
+        assertEquals(
+                List.of(address(2)), addresses("b", Set.of("a")), "while in touch, the nodes of the client's region");
+        assertEquals(List.of(address(1)), addressesWhileIsolated("b", Set.of("a")));
+        assertEquals(List.of(address(2)), addressesWhileIsolated("b", Set.of("a", "b")), "its own region is a home");
+        assertEquals(List.of(address(2)), addressesWhileIsolated("b", NO_HOMES));
     }
 
     @Test
-    void whatIsKnownOfOtherRegionsIsTrustedForAWhileOnly() {
-        dataNodesHereAndAbroad();
+    void factsOfOtherRegionsExpireWhileIsolated() {
+        addDataNodesInBothRegions();
         nowMs += 14_000;
-        hearFromNear(NodeId.of("10.1.0.2:7000"), 2);
-        assertEquals(List.of(address(1)), addressesWhileCutOff("b", Set.of("a")));
+        receiveHeartbeat(NodeId.of("10.1.0.2:7000"), 2);
+        assertEquals(List.of(address(1)), addressesWhileIsolated("b", Set.of("a")));
         nowMs += 2_000;
-        hearFromNear(NodeId.of("10.1.0.2:7000"), 3);
-        assertEquals(List.of(address(2)), addressesWhileCutOff("b", Set.of("a")));
+        receiveHeartbeat(NodeId.of("10.1.0.2:7000"), 3);
+        assertEquals(List.of(address(2)), addressesWhileIsolated("b", Set.of("a")));
     }
 
     @Test
-    void sessionThatMovedToAnotherControlNodeStaysReadyWhenTheOldOneCloses() {
-        dataNodesHereAndAbroad();
+    void dataNodeThatMovedToAnotherControlNodeStaysReadyWhenItsOldSessionCloses() {
+        addDataNodesInBothRegions();
         dataNode(2, "b", true, OTHER);
         directory.onSessionClosed(sessions.peer(NodeId.of("10.1.0.2:7000")));
         assertEquals(List.of(address(2)), addresses("b", NO_HOMES));
     }
 
     @Test
-    void sessionThatOnlyThisNodeHeldIsGoneWhenItCloses() {
-        dataNodesHereAndAbroad();
+    void dataNodeWithoutAnotherSessionIsGoneWhenItsSessionCloses() {
+        addDataNodesInBothRegions();
         directory.onSessionClosed(sessions.peer(NodeId.of("10.1.0.2:7000")));
         assertEquals(
                 List.of(),
@@ -214,7 +217,7 @@
     }
 
     @Test
-    void homesOfAHostAreThoseOfAllItsRoutes() {
+    void homeRegionsOfAHostAreThoseThatAllItsRoutesShare() {
         String route = "{\"name\":\"%s\",\"host\":\"h.example\",\"pathPrefix\":\"/%s/\",\"routeKind\":\"streaming\","
                 + "\"deadlineMs\":1000,\"targetLatencyMs\":100,\"priority\":0,\"service\":\"s\",\"maxAttempts\":1,"
                 + "\"homeRegions\":[%s]}";
--- a/src/test/java/ringspindle/controlplane/fleet/QuotaLeaseIssuerTest.java
+++ b/src/test/java/ringspindle/controlplane/fleet/QuotaLeaseIssuerTest.java
@@ -18,9 +18,9 @@
 import ringspindle.protocol.NodeId;
 import ringspindle.protocol.NodeKind;
 
-/** A new holder grants nothing before the leases of the one before it have run out. */
+/** A new head grants no leases before those of the previous head have expired. */
 class QuotaLeaseIssuerTest {
-    private static final NodeId ME = NodeId.of("10.0.0.1:7000");
+    private static final NodeId SELF = NodeId.of("10.0.0.1:7000");
     private static final NodeId OTHER = NodeId.of("10.0.0.2:7000");
     private static final int TICK_MS = 100;
     private static final long START_MS = 1_000_000;
@@ -33,7 +33,7 @@
     @BeforeEach
     void create() {
         facts = new FleetFacts(ControlNodeSettings.create(), () -> nowMs);
-        issuer = new QuotaLeaseIssuer(ME, facts, new DataNodeDirectory(ME, SessionTable.forControl(ME), facts));
+        issuer = new QuotaLeaseIssuer(SELF, facts, new DataNodeDirectory(SELF, SessionTable.forControl(SELF), facts));
         NodeId node = NodeId.of("10.1.0.1:7000");
         Hello hello = new Hello(node, 1, NodeKind.DATA, node.bits(), "d", "za", "a");
         facts.merge(List.of(new Fact(
@@ -41,7 +41,7 @@
     }
 
     private static View view(long epoch, NodeId head) {
-        return new View(epoch, List.of(ME, OTHER), List.of(head));
+        return new View(epoch, List.of(SELF, OTHER), List.of(head));
     }
 
     private void run(View view, boolean quorate, int forMs) {
@@ -57,41 +57,41 @@
     }
 
     @Test
-    void theVeryFirstHeadGrantsAtOnce() {
-        run(view(1, ME), false, 1000);
-        run(view(1, ME), true, 1500);
+    void firstHeadEverGrantsImmediately() {
+        run(view(1, SELF), false, 1000);
+        run(view(1, SELF), true, 1500);
         assertEquals(1, grantedEpoch());
     }
 
-    /** As after a restart of the whole control plane: the head knows its view before it knows a quorum. */
+    /** After a restart of the whole control plane, the head knows its view before it has a quorum. */
     @Test
-    void headThatFindsItsQuorumLaterWaitsAllTheSame() {
-        run(view(5, ME), false, 1000);
-        run(view(5, ME), true, 3000);
-        assertEquals(0, grantedEpoch(), "leases of the head before may still hold");
-        run(view(5, ME), true, 2000);
+    void headThatGetsItsQuorumLaterStillWaits() {
+        run(view(5, SELF), false, 1000);
+        run(view(5, SELF), true, 3000);
+        assertEquals(0, grantedEpoch(), "leases of the previous head may still be valid");
+        run(view(5, SELF), true, 2000);
         assertEquals(5, grantedEpoch());
     }
 
     @Test
     void headThatMissedTheViewsOfOthersWaits() {
-        run(view(1, ME), true, 1500);
-        run(view(4, ME), true, 3000);
+        run(view(1, SELF), true, 1500);
+        run(view(4, SELF), true, 3000);
         assertEquals(1, grantedEpoch());
-        run(view(4, ME), true, 2000);
+        run(view(4, SELF), true, 2000);
         assertEquals(4, grantedEpoch());
     }
 
     @Test
-    void headThatSucceedsItselfGoesOn() {
-        run(view(1, ME), true, 1500);
-        run(view(1, ME), false, 1500);
-        run(view(2, ME), true, 1500);
+    void headThatSucceedsItselfContinues() {
+        run(view(1, SELF), true, 1500);
+        run(view(1, SELF), false, 1500);
+        run(view(2, SELF), true, 1500);
         assertEquals(2, grantedEpoch());
     }
 
     @Test
-    void whoIsNotTheHeadGrantsNothing() {
+    void nodeThatIsNotTheHeadGrantsNothing() {
         run(view(1, OTHER), true, 9000);
         assertEquals(0, grantedEpoch());
     }
--- a/src/test/java/ringspindle/controlplane/fleet/ResolutionHistoryTest.java
+++ b/src/test/java/ringspindle/controlplane/fleet/ResolutionHistoryTest.java
@@ -24,19 +24,19 @@
 import ringspindle.protocol.NodeKind;
 
 /**
- * Seeded histories of planned work and partitions as one control node sees them: data nodes leave, end and come back in
- * overlapping series, this node is restarted with nothing known, loses and finds the majority, and configurations come and
- * change. Whatever it knows, it never names a data node to a client that is neither in the client's region nor in a home of
- * every route of the host that has homes.
+ * Seeded random histories of maintenance and partitions as one control node sees them: data nodes leave, stop and
+ * return in overlapping series, this node restarts without state, loses and regains the majority, and the configuration
+ * changes. In every state, a client is only directed to data nodes in its own region or in a home region of every route
+ * of the host that has home regions.
  */
 class ResolutionHistoryTest {
     private static final int HISTORIES = 300;
     private static final int STEPS = 120;
-    private static final int NODES_A_REGION = 2;
+    private static final int NODES_PER_REGION = 2;
     private static final List<String> REGIONS = List.of("a", "b", "c");
-    private static final NodeId ME = NodeId.of("10.0.0.1:7000");
+    private static final NodeId SELF = NodeId.of("10.0.0.1:7000");
     private static final NodeId OTHER = NodeId.of("10.0.0.2:7000");
-    /** Homes of each host's routes; one route without homes stands beside them. */
+    /** Home regions of each host's routes; each host also has a route without home regions. */
     private static final Map<String, List<Set<String>>> HOMES_OF = Map.of(
             "one.example", List.of(Set.of("a")),
             "two.example", List.of(Set.of("a", "b")),
@@ -44,15 +44,15 @@
             "none.example", List.of(Set.of("a"), Set.of("b")),
             "free.example", List.of());
 
-    /** What data nodes say of themselves. */
+    /** Flags that data nodes report. */
     private static final List<NodeFlags> FLAGS =
             List.of(NodeFlags.READY, NodeFlags.NONE, NodeFlags.LEAVING, NodeFlags.LEAVING.and(NodeFlags.STILL_SERVING));
 
     private final List<String> violations = new ArrayList<>();
 
-    /** One control node and what it has been told; a restart makes a new one. */
+    /** One control node and its state; a restart replaces it by a new one. */
     private static final class Node {
-        private final SessionTable sessions = SessionTable.forControl(ME);
+        private final SessionTable sessions = SessionTable.forControl(SELF);
         private final FleetFacts facts;
         private final DataNodeDirectory directory;
         private final FrontendResolver resolver;
@@ -62,16 +62,16 @@
         Node(long[] clock) {
             this.clock = clock;
             facts = new FleetFacts(ControlNodeSettings.create(), () -> clock[0]);
-            directory = new DataNodeDirectory(ME, sessions, facts);
+            directory = new DataNodeDirectory(SELF, sessions, facts);
             resolver = new FrontendResolver(directory);
             homes = new HomeRegions(facts.store());
             sessions.opened(new Hello(OTHER, 1, NodeKind.CONTROL, 0, "o", "zb", "b"), clock[0]);
         }
 
-        void hears(NodeId peer, NodeFlags flags, long number) {
+        void receiveHeartbeat(NodeId peer, NodeFlags flags, long number) {
             Heartbeat sent = sessions.nextHeartbeat(peer, NodeFlags.NONE, 0, 0, 0, clock[0]);
             if (sent != null) {
-                sessions.received(peer, new Heartbeat(number, sent.n(), flags, 0, 0, 0, List.of(ME)), clock[0]);
+                sessions.received(peer, new Heartbeat(number, sent.n(), flags, 0, 0, 0, List.of(SELF)), clock[0]);
             }
         }
 
@@ -115,7 +115,7 @@
                 + "\"service\":\"s\",\"maxAttempts\":1,\"homeRegions\":[" + regions + "]}";
     }
 
-    private void play(long seed) {
+    private void run(long seed) {
         Random random = new Random(seed);
         long[] clock = {1_000_000};
         Node node = new Node(clock);
@@ -124,7 +124,7 @@
         for (int step = 0; step < STEPS; step++) {
             clock[0] += random.nextInt(800);
             version++;
-            Hello hello = dataNode(1 + random.nextInt(NODES_A_REGION * REGIONS.size()));
+            Hello hello = dataNode(1 + random.nextInt(NODES_PER_REGION * REGIONS.size()));
             NodeFlags flags = FLAGS.get(random.nextInt(FLAGS.size()));
             switch (random.nextInt(8)) {
                 case 0 -> node = new Node(clock);
@@ -132,22 +132,22 @@
                 case 2 -> node.facts.merge(List.of(configuration(version)));
                 case 3 -> {
                     node.sessions.opened(hello, clock[0]);
-                    node.hears(hello.node(), flags, version);
-                    node.facts.merge(List.of(fact(hello, flags, ME, version)));
+                    node.receiveHeartbeat(hello.node(), flags, version);
+                    node.facts.merge(List.of(fact(hello, flags, SELF, version)));
                 }
                 default -> node.facts.merge(List.of(fact(hello, flags, OTHER, version)));
             }
             if (random.nextBoolean()) {
-                node.hears(OTHER, NodeFlags.NONE, version);
+                node.receiveHeartbeat(OTHER, NodeFlags.NONE, version);
             }
             node.advance();
             check(node, inTouch, "seed " + seed + " step " + step);
         }
     }
 
-    private void check(Node node, boolean inTouch, String when) {
+    private void check(Node node, boolean inTouch, String location) {
         Map<String, String> regionOf = new HashMap<>();
-        for (int number = 1; number <= NODES_A_REGION * REGIONS.size(); number++) {
+        for (int number = 1; number <= NODES_PER_REGION * REGIONS.size(); number++) {
             regionOf.put(
                     new NodeId(dataNode(number).front()).toString(),
                     dataNode(number).region());
@@ -158,7 +158,7 @@
                         node.resolver.resolve(region, "z" + region, () -> node.homes.of(host), inTouch, node.clock[0]);
                 for (String address : resolution.addresses()) {
                     if (!allowed(host, region, regionOf.get(address))) {
-                        violations.add(when + ": a client in " + region + " asking for " + host + " is led to "
+                        violations.add(location + ": a client in " + region + " asking for " + host + " is directed to "
                                 + regionOf.get(address) + ", " + resolution.scope());
                     }
                 }
@@ -171,9 +171,9 @@
     }
 
     @Test
-    void noClientIsEverLedToARegionThatIsNeitherItsOwnNorAHome() {
+    void clientsAreDirectedOnlyToTheirOwnRegionOrToHomeRegions() {
         for (long seed = 1; seed <= HISTORIES; seed++) {
-            play(seed);
+            run(seed);
         }
         assertEquals(List.of(), violations.stream().limit(5).toList(), violations.size() + " in all");
     }
