--- a/src/main/java/ringspindle/loadbalancing/AttemptWindow.java
+++ b/src/main/java/ringspindle/loadbalancing/AttemptWindow.java
@@ -7,11 +7,11 @@
 import ringspindle.telemetry.RequestKind;
 
 /**
- * Attempts of this node at one engine, by kind of request: what runs now, and how attempts ended in the last {@value
- * #BUCKETS} buckets of {@value #BUCKET_MS} ms of steady time.
+ * Sliding window over this node's attempts at one engine, by kind of request: attempts in flight, and outcomes and
+ * latencies of the last {@value #BUCKETS} buckets of {@value #BUCKET_MS} ms of monotonic time.
  *
- * <p>Counts lie in one array, as there is a window for each engine and each attempt goes through it. Confined to the lock of
- * {@link EngineTableLoadBalancer}.
+ * <p>All counts are in one flat array, because every engine has a window and every attempt updates it. Confined to the
+ * lock of {@link EngineTableLoadBalancer}.
  */
 final class AttemptWindow {
     private static final int BUCKETS = 4;
@@ -19,7 +19,7 @@
     private static final int KINDS = RequestKind.COUNT;
     private static final long UNSET = Long.MIN_VALUE;
 
-    /** Columns of the array; latencies have one for each bucket of {@link LatencyHistogram}. */
+    /** Columns of the array; latencies have one column for each bucket of {@link LatencyHistogram}. */
     private static final int ANSWERED = 0;
 
     private static final int NOT_RUN = 1;
@@ -28,70 +28,70 @@
     private static final int COLUMNS = LATENCIES + LatencyHistogram.BUCKETS;
 
     private final int[] counts = new int[BUCKETS * KINDS * COLUMNS];
-    /** Sums of all buckets, by kind and column. */
+    /** Sums over all buckets, by kind and column. */
     private final int[] sums = new int[KINDS * COLUMNS];
 
     private final int[] running = new int[KINDS];
-    private final long[] tokens = new long[KINDS];
+    private final long[] tokensInFlight = new long[KINDS];
     private long bucket = UNSET;
-    /** Counted cells of all buckets together. */
-    private int endedInWindow;
+    /** Sum of {@link #counts}; 0 if no attempt was counted within the window. */
+    private int totalCount;
 
-    /** An attempt starts. */
+    /** Records the start of an attempt. */
     void start(RequestKind kind, long attemptTokens, long nowMs) {
         advance(nowMs);
         running[kind.code()]++;
-        tokens[kind.code()] += attemptTokens;
+        tokensInFlight[kind.code()] += attemptTokens;
     }
 
     /**
-     * An attempt ends.
+     * Records the end of an attempt.
      *
-     * @param firstMs time to the first byte, in ms; below 0 if none came
+     * @param firstByteMs time to first byte, in ms; negative if no byte was received
      */
-    void end(RequestKind kind, long attemptTokens, AttemptOutcome outcome, long firstMs, long nowMs) {
+    void end(RequestKind kind, long attemptTokens, AttemptOutcome outcome, long firstByteMs, long nowMs) {
         advance(nowMs);
-        int k = kind.code();
-        running[k] = Math.max(0, running[k] - 1);
-        // without attempts there are no tokens, whatever was counted
-        tokens[k] = running[k] == 0 ? 0 : Math.max(0, tokens[k] - attemptTokens);
+        int kindCode = kind.code();
+        running[kindCode] = Math.max(0, running[kindCode] - 1);
+        // no running attempts means no tokens in flight, whatever was counted
+        tokensInFlight[kindCode] = running[kindCode] == 0 ? 0 : Math.max(0, tokensInFlight[kindCode] - attemptTokens);
         if (outcome == AttemptOutcome.ANSWERED) {
-            count(kind, ANSWERED);
-            if (firstMs >= 0) {
-                count(kind, LATENCIES + LatencyHistogram.bucketOf(firstMs));
+            increment(kind, ANSWERED);
+            if (firstByteMs >= 0) {
+                increment(kind, LATENCIES + LatencyHistogram.bucketOf(firstByteMs));
             }
         } else if (outcome == AttemptOutcome.NOT_RUN) {
-            count(kind, NOT_RUN);
+            increment(kind, NOT_RUN);
         } else if (outcome.againstEngine()) {
-            count(kind, FAILED);
+            increment(kind, FAILED);
         }
     }
 
-    private void count(RequestKind kind, int column) {
+    private void increment(RequestKind kind, int column) {
         int cell = kind.code() * COLUMNS + column;
-        counts[bucketStart(bucket) + cell]++;
+        counts[bucketOffset(bucket) + cell]++;
         sums[cell]++;
-        endedInWindow++;
+        totalCount++;
     }
 
-    /** True if nothing runs and no attempt ended within the window. */
+    /** Returns true if no attempt is running and none was counted within the window. */
     boolean isEmpty(long nowMs) {
         advance(nowMs);
-        boolean runs = false;
-        for (int ofKind : running) {
-            runs |= ofKind > 0;
+        boolean anyRunning = false;
+        for (int runningOfKind : running) {
+            anyRunning |= runningOfKind > 0;
         }
-        return !runs && endedInWindow == 0;
+        return !anyRunning && totalCount == 0;
     }
 
-    /** What the window holds of one kind. */
+    /** Returns the counts of one kind of request. */
     AttemptCounts counts(RequestKind kind, long nowMs) {
         advance(nowMs);
-        int k = kind.code();
-        if (endedInWindow == 0 && running[k] == 0) {
+        int kindCode = kind.code();
+        if (totalCount == 0 && running[kindCode] == 0) {
             return AttemptCounts.NONE;
         }
-        int row = k * COLUMNS;
+        int row = kindCode * COLUMNS;
         int latency = row + LATENCIES;
         LatencyHistogram latencies = new LatencyHistogram(
                 sums[latency],
@@ -101,10 +101,15 @@
                 sums[latency + 4],
                 sums[latency + 5]);
         return new AttemptCounts(
-                sums[row + ANSWERED], sums[row + NOT_RUN], sums[row + FAILED], running[k], tokens[k], latencies);
+                sums[row + ANSWERED],
+                sums[row + NOT_RUN],
+                sums[row + FAILED],
+                running[kindCode],
+                tokensInFlight[kindCode],
+                latencies);
     }
 
-    /** What the window holds of all kinds together. */
+    /** Returns the counts summed over all kinds of request. */
     AttemptCounts countsOfAllKinds(long nowMs) {
         AttemptCounts sum = AttemptCounts.NONE;
         for (RequestKind kind : RequestKind.values()) {
@@ -113,39 +118,39 @@
         return sum;
     }
 
-    /** Moves on to now and clears the buckets that are entered; time never goes back. */
+    /** Moves the window to the current time and clears the buckets that it enters. Time must not go backwards. */
     private void advance(long nowMs) {
         long now = Math.floorDiv(nowMs, BUCKET_MS);
         if (bucket != UNSET && now <= bucket) {
             return;
         }
-        if (endedInWindow > 0) {
+        if (totalCount > 0) {
             if (now - bucket >= BUCKETS) {
                 Arrays.fill(counts, 0);
                 Arrays.fill(sums, 0);
-                endedInWindow = 0;
+                totalCount = 0;
             } else {
-                for (long entered = bucket + 1; entered <= now; entered++) {
-                    clear(entered);
+                for (long newBucket = bucket + 1; newBucket <= now; newBucket++) {
+                    clear(newBucket);
                 }
             }
         }
         bucket = now;
     }
 
-    private void clear(long entered) {
-        int from = bucketStart(entered);
+    private void clear(long newBucket) {
+        int from = bucketOffset(newBucket);
         for (int cell = 0; cell < KINDS * COLUMNS; cell++) {
-            int old = counts[from + cell];
-            if (old > 0) {
-                sums[cell] -= old;
-                endedInWindow -= old;
+            int expired = counts[from + cell];
+            if (expired > 0) {
+                sums[cell] -= expired;
+                totalCount -= expired;
                 counts[from + cell] = 0;
             }
         }
     }
 
-    private static int bucketStart(long bucket) {
+    private static int bucketOffset(long bucket) {
         return (int) Math.floorMod(bucket, BUCKETS) * KINDS * COLUMNS;
     }
 }
--- a/src/main/java/ringspindle/loadbalancing/CandidateFilter.java
+++ b/src/main/java/ringspindle/loadbalancing/CandidateFilter.java
@@ -6,35 +6,40 @@
 import ringspindle.loadbalancing.LoadBalancer.SelectionRequest;
 
 /**
- * Narrows the table to the engines that a request may be sent to: what the request permits, what is in service, what is
- * not ejected, and of degraded engines only now and then one. Confined to the lock of {@link EngineTableLoadBalancer}.
+ * Finds the engines that a request may be sent to: those that the request permits, that are in service and that are not
+ * ejected. Degraded engines are included for a small sample of the requests only. Confined to the lock of {@link
+ * EngineTableLoadBalancer}.
  */
 final class CandidateFilter {
-    /** A degraded engine still gets a sixteenth of its share, so that it can show that it has recovered. */
-    private static final int TRICKLE_MASK = 15;
+    /** Degraded engines keep 1/16 of their traffic, so that their recovery can be observed. */
+    private static final int DEGRADED_SAMPLE_MASK = 15;
 
     private final EngineTable engines;
     private final ZoneEvacuations evacuations;
-    private final RolloutTurns rolloutTurns;
+    private final RolloutExclusions rolloutExclusions;
     private final CostModel costModel;
 
-    CandidateFilter(EngineTable engines, ZoneEvacuations evacuations, RolloutTurns rolloutTurns, CostModel costModel) {
+    CandidateFilter(
+            EngineTable engines,
+            ZoneEvacuations evacuations,
+            RolloutExclusions rolloutExclusions,
+            CostModel costModel) {
         this.engines = engines;
         this.evacuations = evacuations;
-        this.rolloutTurns = rolloutTurns;
+        this.rolloutExclusions = rolloutExclusions;
         this.costModel = costModel;
     }
 
     /**
-     * The candidates of a request. Engines that have been silent for too long are ejected on the way.
+     * Returns the candidates of a request. As a side effect, ejects engines that have not responded for too long.
      *
-     * @param maxConnections how many connections this node may hold to one engine
+     * @param maxConnections maximum number of connections from this node to one engine
      */
     Candidates find(SelectionRequest request, int maxConnections, long nowMs) {
         List<EngineEntry> healthy = new ArrayList<>(engines.all().size());
         List<EngineEntry> permitted = request.preference() == null ? List.of() : new ArrayList<>();
-        Set<String> inTurn = rolloutTurns.ids(request.service());
-        String withheld = rolloutTurns.withheldVersion(request.service());
+        Set<String> inRollout = rolloutExclusions.engineIds(request.service());
+        String excludedVersion = rolloutExclusions.softwareVersion(request.service());
         boolean anyAvailable = false;
         boolean anyReachable = false;
         for (EngineEntry engine : engines.all()) {
@@ -44,17 +49,17 @@
             if (request.preference() != null) {
                 permitted.add(engine);
             }
-            if (!isInService(engine, inTurn) || engine.runsSoftware(withheld)) {
+            if (!isInService(engine, inRollout) || engine.runsSoftware(excludedVersion)) {
                 continue;
             }
             anyAvailable = true;
-            engine.ejection().checkSilence(engine.load(), costModel.tokenMs(), nowMs);
+            engine.ejection().ejectIfUnresponsive(engine.load(), costModel.tokenMs(), nowMs);
             if (!engine.ejection().isEjected()) {
                 healthy.add(engine);
                 anyReachable |= engine.isReachable();
             }
         }
-        spareDegraded(healthy, request.random(), nowMs);
+        limitDegraded(healthy, request.random(), nowMs);
         return new Candidates(healthy, permitted, anyAvailable, anyReachable, maxConnections);
     }
 
@@ -65,22 +70,25 @@
                 && engine.runsWeights(request.weightsVersion());
     }
 
-    private boolean isInService(EngineEntry engine, Set<String> inTurn) {
-        return !engine.isDraining() && !evacuations.contains(engine.zone()) && !inTurn.contains(engine.id());
+    private boolean isInService(EngineEntry engine, Set<String> inRollout) {
+        return !engine.isDraining() && !evacuations.contains(engine.zone()) && !inRollout.contains(engine.id());
     }
 
-    /** Leaves out most degraded engines, unless so many are degraded that the rest could not carry the load. */
-    private static void spareDegraded(List<EngineEntry> healthy, long random, long nowMs) {
+    /**
+     * Leaves out degraded engines for most requests. Keeps them all if more than half of the healthy engines are
+     * degraded, because the others could not serve the load alone.
+     */
+    private static void limitDegraded(List<EngineEntry> healthy, long random, long nowMs) {
         int degraded = 0;
         for (EngineEntry engine : healthy) {
             degraded += engine.failureRate().isDegraded(nowMs) ? 1 : 0;
         }
         if (degraded > 0 && degraded * 2 <= healthy.size()) {
-            healthy.removeIf(engine -> engine.failureRate().isDegraded(nowMs) && !isInTrickle(engine, random));
+            healthy.removeIf(engine -> engine.failureRate().isDegraded(nowMs) && !isSampled(engine, random));
         }
     }
 
-    private static boolean isInTrickle(EngineEntry engine, long random) {
-        return (RendezvousHash.mix(random * 31 ^ engine.key()) & TRICKLE_MASK) == 0;
+    private static boolean isSampled(EngineEntry engine, long random) {
+        return (RendezvousHash.mix(random * 31 ^ engine.key()) & DEGRADED_SAMPLE_MASK) == 0;
     }
 }
--- a/src/main/java/ringspindle/loadbalancing/Candidates.java
+++ b/src/main/java/ringspindle/loadbalancing/Candidates.java
@@ -5,11 +5,11 @@
 /**
  * Engines that one request may be sent to.
  *
- * @param healthy engines that may be selected, in the order of the table
- * @param permitted engines that the request allows, whatever their state; empty if the request has no preference
- * @param anyAvailable whether an engine is permitted and in service, ejected or not
- * @param anyReachable whether an engine that is not ejected is heard of
- * @param maxConnections how many connections this node may hold to one engine
+ * @param healthy permitted engines that are in service and not ejected, without most degraded ones, in table order
+ * @param permitted engines that the request permits, in any state; empty if the request has no routing preference
+ * @param anyAvailable whether any permitted engine is in service, even if it is ejected
+ * @param anyReachable whether any permitted engine in service that is not ejected is reachable
+ * @param maxConnections maximum number of connections from this node to one engine
  */
 record Candidates(
         List<EngineEntry> healthy,
@@ -17,13 +17,13 @@
         boolean anyAvailable,
         boolean anyReachable,
         int maxConnections) {
-    /** True for an engine that a request may be sent to at once. */
-    boolean isOpen(EngineEntry engine) {
-        return !isPassedOver(engine) && engine.load().ownRunning() < maxConnections;
+    /** Returns true if the engine is not skipped as unreachable and this node has a free connection to it. */
+    boolean isSelectable(EngineEntry engine) {
+        return !isSkippedAsUnreachable(engine) && engine.load().ownRunning() < maxConnections;
     }
 
-    /** True for an engine that is not heard of while others are. */
-    boolean isPassedOver(EngineEntry engine) {
+    /** Returns true if the engine is unreachable while another candidate is reachable. */
+    boolean isSkippedAsUnreachable(EngineEntry engine) {
         return anyReachable && !engine.isReachable();
     }
 }
--- a/src/main/java/ringspindle/loadbalancing/ConnectionLimit.java
+++ b/src/main/java/ringspindle/loadbalancing/ConnectionLimit.java
@@ -1,19 +1,19 @@
 package ringspindle.loadbalancing;
 
 /**
- * This node's share of the connections that one engine accepts from all nodes together.
+ * This node's share of the connections that one engine accepts from all nodes.
  *
- * @param max how many this node may hold, at least 1
- * @param keepsIdle false where there are more nodes than connections to share out: each node then holds one only while it is in use,
- *     so that those that are idle elsewhere do not use up what the engine accepts
+ * @param max maximum number of connections from this node, at least 1
+ * @param keepsIdle whether idle connections may stay open; false if there are more nodes than connections to share, so
+ *     that idle connections of some nodes do not exhaust the engine's limit
  */
 public record ConnectionLimit(int max, boolean keepsIdle) {
-    /** Part of an engine's connections that the nodes share out. */
-    private static final double SHARED_PART = 0.9;
+    /** Fraction of an engine's connections that is divided among the nodes. */
+    private static final double SHARED_FRACTION = 0.9;
 
-    /** The share of one of so many nodes in the connections that an engine accepts. */
+    /** Returns the share of one node in the connections that an engine accepts. */
     static ConnectionLimit shareOf(int accepted, int nodes) {
-        int share = (int) (accepted * SHARED_PART / nodes);
+        int share = (int) (accepted * SHARED_FRACTION / nodes);
         return new ConnectionLimit(Math.max(1, share), share >= 1);
     }
 }
--- a/src/main/java/ringspindle/loadbalancing/EngineChoice.java
+++ b/src/main/java/ringspindle/loadbalancing/EngineChoice.java
@@ -1,10 +1,10 @@
 package ringspindle.loadbalancing;
 
 /**
- * What a policy chose.
+ * Result of a {@link SelectionPolicy}.
  *
- * @param engine the engine, or null if no candidate will do
- * @param limitedByWarmup for no engine: whether one would do if it were not warming up
+ * @param engine the chosen engine, or null if no candidate is suitable
+ * @param limitedByWarmup if there is no engine, whether one was rejected only because it is warming up
  */
 record EngineChoice(EngineEntry engine, boolean limitedByWarmup) {
     static EngineChoice of(EngineEntry engine) {
--- a/src/main/java/ringspindle/loadbalancing/EngineEntry.java
+++ b/src/main/java/ringspindle/loadbalancing/EngineEntry.java
@@ -6,10 +6,13 @@
 import ringspindle.telemetry.EngineKey;
 
 /**
- * One engine as this node knows it: what it last reported of itself, and the state that each concern keeps of it. Entries
- * are compared by identity. Confined to the lock of {@link EngineTableLoadBalancer}.
+ * State of one engine on this node: its latest report, and its in-flight load, recent attempts, ejection and slow
+ * start. Entries are compared by identity. Confined to the lock of {@link EngineTableLoadBalancer}.
  */
 final class EngineEntry {
+    /** Added to the configured warm-up time. */
+    private static final int WARMUP_MARGIN_MS = 1000;
+
     private final String id;
     private final long key;
     private final InFlightLoad load = new InFlightLoad();
@@ -22,8 +25,8 @@
     private NodeId address;
     private RegionState region;
     private boolean draining;
-    /** Nothing of this node ran there lately, and it is not ejected. */
-    private boolean quiet = true;
+    /** Whether the engine is idle, had no recent attempts of this node, and is not ejected. */
+    private boolean inactive = true;
 
     private boolean heartbeatMissing;
     private long heartbeatChangedMs;
@@ -38,7 +41,7 @@
         slowStart = new SlowStart(nowMs);
     }
 
-    /** Takes over what the engine reported of itself. An engine that drains never stops draining. */
+    /** Stores a report of the engine. A draining engine never returns to service. */
     void update(Engine newReport, NodeId newAddress, RegionState newRegion, long newVersion) {
         report = newReport;
         address = newAddress;
@@ -51,7 +54,7 @@
         return id;
     }
 
-    /** Hash of the id by which load summaries and rendezvous hashing know the engine. */
+    /** Returns the hash of the id, which identifies the engine in load summaries and in rendezvous hashing. */
     long key() {
         return key;
     }
@@ -60,9 +63,9 @@
         return version;
     }
 
-    /** True if it runs that version of its software; not if that is empty. */
-    boolean runsSoftware(String version) {
-        return !version.isEmpty() && report.revision().equals(version);
+    /** Returns true if the engine runs that version of its software; false for an empty version. */
+    boolean runsSoftware(String softwareVersion) {
+        return !softwareVersion.isEmpty() && report.revision().equals(softwareVersion);
     }
 
     NodeId address() {
@@ -81,12 +84,14 @@
         return region;
     }
 
-    /** How many requests the engine runs at once. */
+    /** Returns how many requests the engine runs concurrently. */
     int capacity() {
         return report.capacity();
     }
 
-    /** Whether the engine runs these model weights; a version below 0, on either side, is any. */
+    /**
+     * Returns true if the engine runs this version of the model weights; a negative version on either side matches any.
+     */
     boolean runsWeights(long weightsVersion) {
         return weightsVersion < 0 || report.weights() < 0 || report.weights() == weightsVersion;
     }
@@ -110,29 +115,29 @@
         }
     }
 
-    /** Whether heartbeats have been missing for longer than that while nothing of this node runs there. */
-    boolean isAbandoned(long afterMs, long nowMs) {
+    /** Returns true if heartbeats have been missing for longer than that and no request of this node is running. */
+    boolean isExpired(long afterMs, long nowMs) {
         return load.isIdle() && heartbeatMissing && nowMs - heartbeatChangedMs > afterMs;
     }
 
-    /** False if neither the engine's heartbeats nor its region is heard of. */
+    /** Returns true if neither the engine's heartbeats are missing nor its region is unreachable. */
     boolean isReachable() {
         return !heartbeatMissing && !region.isUnreachable();
     }
 
-    /** True if there is nothing to report of it and nothing to ask it: periodic work passes it over. */
-    boolean isQuiet() {
-        return quiet;
+    /** Returns true if periodic reports and health checks can skip the engine. */
+    boolean isInactive() {
+        return inactive;
     }
 
-    /** Something is sent there. */
-    void markBusy() {
-        quiet = false;
+    /** Marks the engine as active because it gets a request. */
+    void markActive() {
+        inactive = false;
     }
 
-    /** Its load is reported now: it is quiet from now on if nothing runs, nothing ended lately, and it is not ejected. */
-    void updateQuiet(long nowMs) {
-        quiet = load.isIdle() && !ejection.isEjected() && attempts.isEmpty(nowMs);
+    /** Updates whether the engine is inactive; to be called after its load was reported. */
+    void updateInactive(long nowMs) {
+        inactive = load.isIdle() && !ejection.isEjected() && attempts.isEmpty(nowMs);
     }
 
     InFlightLoad load() {
@@ -155,9 +160,9 @@
         return slowStart;
     }
 
-    /** The engine comes back after a pause, without what its cache held: it warms up for as long as its service needs. */
+    /** Starts a slow start for the warm-up time of the service: the engine returns to service with an empty cache. */
     void restartSlowStart(FleetConfig.Service service, long nowMs) {
         long warmupMs = service == null ? 0 : (long) (service.warmupS() * 1000);
-        slowStart.extend(nowMs + warmupMs + 1000, nowMs);
+        slowStart.extend(nowMs + warmupMs + WARMUP_MARGIN_MS, nowMs);
     }
 }
--- a/src/main/java/ringspindle/loadbalancing/EngineTable.java
+++ b/src/main/java/ringspindle/loadbalancing/EngineTable.java
@@ -12,14 +12,14 @@
 import java.util.Set;
 
 /**
- * The engines that this node knows, by id and by key, and what it has been told of engines that it may not know yet:
- * which drain, which were removed, whose heartbeats are missing.
+ * The engines that this node knows, by id and by key. Draining, removal and missing heartbeats are also recorded by id,
+ * because they may be announced before the engine itself.
  *
- * <p>The order of {@link #all} decides between engines of the same cost, so the kind of map is part of the behaviour.
- * Confined to the lock of {@link EngineTableLoadBalancer}.
+ * <p>The iteration order of {@link #all} decides between engines of equal cost, so the map implementation affects which
+ * engines are selected. Confined to the lock of {@link EngineTableLoadBalancer}.
  */
 final class EngineTable {
-    /** Ids of removed engines are remembered, so that a late report does not bring one back; the oldest are forgotten. */
+    /** Removed ids are kept so that a late report does not add the engine again; the oldest are dropped. */
     private static final int MAX_REMOVED_IDS = 1000;
 
     private final Map<String, EngineEntry> byId = new Object2ObjectOpenHashMap<>();
@@ -30,22 +30,21 @@
     private final Set<String> removedIds = new LinkedHashSet<>();
     private long ejections;
 
-    /** Ejections of engines since the start, of those that are gone too. */
+    /** Returns the number of ejections since process start, including those of engines that were removed since. */
     long ejections() {
         return ejections;
     }
 
-    /** All engines. */
     Collection<EngineEntry> all() {
         return byId.values();
     }
 
-    /** The engine with that id, or null. */
+    /** Returns the engine with that id, or null. */
     EngineEntry get(String id) {
         return byId.get(id);
     }
 
-    /** The engine with that key, or null. */
+    /** Returns the engine with that key, or null. */
     EngineEntry getByKey(long key) {
         return byKey.get(key);
     }
@@ -58,12 +57,12 @@
         return regions.values();
     }
 
-    /** The state of a region, which is kept for as long as the process runs. */
+    /** Returns the state of a region, which is kept until the process ends. */
     RegionState region(String name) {
         return regions.computeIfAbsent(name, RegionState::new);
     }
 
-    /** Adds an engine that is not known yet; the caller updates it with what it reported. */
+    /** Adds a new engine, which the caller must then update with its report. */
     EngineEntry add(String id, long nowMs) {
         EngineEntry engine = new EngineEntry(
                 id, drainingIds.contains(id), heartbeatMissingIds.contains(id), nowMs, () -> ejections++);
@@ -84,7 +83,7 @@
         }
     }
 
-    /** The engine is gone for good. Its entry stays until this node's requests there have ended. */
+    /** Marks an engine as permanently removed. Its entry stays until the requests of this node have ended there. */
     void markRemoved(String id) {
         EngineEntry engine = byId.get(id);
         if (engine != null && engine.load().isIdle()) {
@@ -112,17 +111,17 @@
         byKey.remove(engine.key());
     }
 
-    /** Forgets engines whose heartbeats have been missing for longer than that and where nothing runs. */
-    void removeAbandoned(long afterMs, long nowMs) {
+    /** Removes idle engines whose heartbeats have been missing for longer than that. */
+    void removeExpired(long afterMs, long nowMs) {
         if (heartbeatMissingIds.isEmpty()) {
             return;
         }
         byId.values().removeIf(engine -> {
-            boolean abandoned = engine.isAbandoned(afterMs, nowMs);
-            if (abandoned) {
+            boolean expired = engine.isExpired(afterMs, nowMs);
+            if (expired) {
                 byKey.remove(engine.key());
             }
-            return abandoned;
+            return expired;
         });
     }
 }
--- a/src/main/java/ringspindle/loadbalancing/EngineTableLoadBalancer.java
+++ b/src/main/java/ringspindle/loadbalancing/EngineTableLoadBalancer.java
@@ -17,21 +17,21 @@
 import ringspindle.telemetry.RequestKind;
 
 /**
- * Load balancer over a table of engines that are judged anew at each selection.
+ * Load balancer over a table of engines; each selection evaluates the candidates again.
  *
- * <p>This class owns the lock: each public method holds the object's monitor throughout, and all other state of the package
- * is reached through this object only, so that the classes behind it need no locks of their own. No method calls out to a
- * listener, blocks, or reads a clock.
+ * <p>This class owns the lock: every public method holds the object's monitor until it returns, and all other state of
+ * the package is reached only through this object, so the classes behind it need no locks of their own. No method calls
+ * a listener, blocks, or reads a clock.
  */
 final class EngineTableLoadBalancer implements LoadBalancer {
-    /** An engine's own word on its warm-up is taken for so much longer, in ms. */
+    /** Added to the remaining warm-up time that an engine reports. */
     private static final int REPORTED_WARMUP_MARGIN_MS = 300;
-    /** Engines of a zone whose evacuation ended warm up for so much longer than their service needs, in ms. */
+    /** Added to the services' longest warm-up time when the evacuation of a zone ends. */
     private static final int EVACUATION_WARMUP_MARGIN_MS = 1000;
-    /** An engine is forgotten when it misses so many heartbeats. */
-    private static final long ABANDONED_HEARTBEATS = 20;
+    /** Idle engines are removed after missing heartbeats for this many heartbeat intervals. */
+    private static final long EXPIRY_HEARTBEATS = 20;
 
-    private static final ConnectionLimit DEFAULT_CONNECTIONS = new ConnectionLimit(16, true);
+    private static final ConnectionLimit DEFAULT_CONNECTION_LIMIT = new ConnectionLimit(16, true);
     private static final String DEFAULT_HEALTH_PATH = "/health";
 
     private static final int RETRY_AFTER_WARMUP_MS = 250;
@@ -40,9 +40,9 @@
 
     private final EngineTable engines = new EngineTable();
     private final ZoneEvacuations evacuations = new ZoneEvacuations();
-    private final RolloutTurns rolloutTurns = new RolloutTurns();
+    private final RolloutExclusions rolloutExclusions = new RolloutExclusions();
     private final QuotaShare quotaShare = new QuotaShare();
-    private final FleetLoadUpdate fleetLoadUpdate = new FleetLoadUpdate(engines);
+    private final FleetLoadUpdater fleetLoadUpdater = new FleetLoadUpdater(engines);
     private final RetryBudget retryBudget;
     private final WarmupLimiter warmupLimiter;
     private final CostModel costModel;
@@ -57,7 +57,7 @@
         retryBudget = new RetryBudget(settings, quotaShare);
         warmupLimiter = new WarmupLimiter(settings, quotaShare);
         costModel = new CostModel(settings, quotaShare);
-        candidateFilter = new CandidateFilter(engines, evacuations, rolloutTurns, costModel);
+        candidateFilter = new CandidateFilter(engines, evacuations, rolloutExclusions, costModel);
         leastCostPolicy = new LeastCostPolicy(costModel, warmupLimiter);
         routingRulePolicy = new RoutingRulePolicy(settings, costModel, warmupLimiter);
     }
@@ -152,7 +152,7 @@
     public synchronized LoadSummary summarizeLoad(long nowMs) {
         List<LoadSummary> summaries = new ArrayList<>();
         for (EngineEntry engine : engines.all()) {
-            if (engine.isQuiet()) {
+            if (engine.isInactive()) {
                 continue;
             }
             engine.load().markReported();
@@ -162,42 +162,42 @@
                     summaries.add(LoadSummary.of(engine.key(), kind, counts));
                 }
             }
-            engine.updateQuiet(nowMs);
+            engine.updateInactive(nowMs);
         }
         return LoadSummary.mergeAll(summaries);
     }
 
     @Override
     public synchronized void updateRegionLoad(Load load, long nowMs) {
-        fleetLoadUpdate.apply(load, settings.region(), nowMs);
+        fleetLoadUpdater.apply(load, settings.region(), nowMs);
     }
 
     @Override
     public synchronized void setEnginesInRollout(String service, Set<String> ids, long nowMs) {
-        for (String id : rolloutTurns.ids(service)) {
+        for (String id : rolloutExclusions.engineIds(service)) {
             EngineEntry engine = engines.get(id);
             if (engine != null && !ids.contains(id)) {
                 engine.restartSlowStart(service(service), nowMs);
             }
         }
-        rolloutTurns.set(service, ids);
+        rolloutExclusions.setEngineIds(service, ids);
     }
 
     @Override
     public synchronized void setExcludedSoftwareVersion(String service, String version) {
-        rolloutTurns.setExcludedSoftwareVersion(service, version);
+        rolloutExclusions.setSoftwareVersion(service, version);
     }
 
     @Override
     public synchronized int capacityInService(String service) {
         int capacity = 0;
         for (EngineEntry engine : engines.all()) {
-            boolean serves = engine.service().equals(service)
+            boolean inService = engine.service().equals(service)
                     && !engine.isDraining()
                     && !engine.isHeartbeatMissing()
                     && !engine.ejection().isEjected()
                     && !evacuations.contains(engine.zone());
-            capacity += serves ? engine.capacity() : 0;
+            capacity += inService ? engine.capacity() : 0;
         }
         return capacity;
     }
@@ -205,13 +205,13 @@
     @Override
     public synchronized Selection select(SelectionRequest request, long nowMs) {
         FleetConfig.Service service = service(request.service());
-        ConnectionLimit connections = connections(service);
-        Candidates candidates = candidateFilter.find(request, connections.max(), nowMs);
+        ConnectionLimit connectionLimit = connectionLimit(service);
+        Candidates candidates = candidateFilter.find(request, connectionLimit.max(), nowMs);
         SelectionPolicy policy = request.preference() == null ? leastCostPolicy : routingRulePolicy;
         EngineChoice choice = policy.choose(request, service, candidates, nowMs);
         return choice.engine() == null
                 ? noCapacity(candidates, choice.limitedByWarmup())
-                : selected(choice.engine(), request, service, connections, nowMs);
+                : recordSelection(choice.engine(), request, service, connectionLimit, nowMs);
     }
 
     private static NoCapacity noCapacity(Candidates candidates, boolean limitedByWarmup) {
@@ -221,23 +221,23 @@
         return new NoCapacity(Outcome.NO_ROOM, limitedByWarmup ? RETRY_AFTER_WARMUP_MS : RETRY_AFTER_NO_CAPACITY_MS);
     }
 
-    /** Counts the request as running there. */
-    private SelectedEngine selected(
+    /** Counts the request as running at the engine. */
+    private SelectedEngine recordSelection(
             EngineEntry engine,
             SelectionRequest request,
             FleetConfig.Service service,
-            ConnectionLimit connections,
+            ConnectionLimit connectionLimit,
             long nowMs) {
         warmupLimiter.take(engine, service, nowMs);
-        engine.markBusy();
+        engine.markActive();
         engine.load().start(request.tokensInFlight());
         engine.attempts().start(request.kind(), request.tokensInFlight(), nowMs);
-        return new SelectedEngine(engine.id(), engine.address(), engine.zone(), connections);
+        return new SelectedEngine(engine.id(), engine.address(), engine.zone(), connectionLimit);
     }
 
-    private ConnectionLimit connections(FleetConfig.Service service) {
+    private ConnectionLimit connectionLimit(FleetConfig.Service service) {
         return service == null
-                ? DEFAULT_CONNECTIONS
+                ? DEFAULT_CONNECTION_LIMIT
                 : ConnectionLimit.shareOf(service.maxConnections(), quotaShare.maxNodes());
     }
 
@@ -258,24 +258,24 @@
         EngineEntry engine = engines.get(id);
         if (engine != null) {
             engine.ejection().onResponseBytes(nowMs);
-            engine.region().onAnswer(nowMs);
+            engine.region().onResponse(nowMs);
         }
     }
 
     @Override
     public synchronized void onAttemptEnded(
-            String id, SelectionRequest request, AttemptOutcome outcome, long firstMs, long nowMs) {
+            String id, SelectionRequest request, AttemptOutcome outcome, long firstByteMs, long nowMs) {
         EngineEntry engine = engines.get(id);
         if (engine == null) {
             return;
         }
-        boolean stale = firstMs == STALE_CONNECTION;
-        boolean countsAsFailure = outcome.againstEngine() && !stale;
-        countEnd(engine, request, stale ? AttemptOutcome.PARENT_ENDED : outcome, firstMs, nowMs);
+        boolean staleConnection = firstByteMs == STALE_CONNECTION;
+        boolean countsAsFailure = outcome.againstEngine() && !staleConnection;
+        recordEnd(engine, request, staleConnection ? AttemptOutcome.PARENT_ENDED : outcome, firstByteMs, nowMs);
         if (countsAsFailure) {
-            AttemptCounts own = engine.attempts().countsOfAllKinds(nowMs);
-            // what this node sees alone is judged as if no other engine failed
-            engine.failureRate().update(own.answered(), own.failed(), 1, 0, nowMs);
+            AttemptCounts ownCounts = engine.attempts().countsOfAllKinds(nowMs);
+            // own counts are compared with an assumed failure rate of 0 at the other engines
+            engine.failureRate().update(ownCounts.answered(), ownCounts.failed(), 1, 0, nowMs);
         }
         if (engine.load().isIdle()) {
             engine.ejection().onIdle();
@@ -285,20 +285,20 @@
             }
         }
         if (outcome == AttemptOutcome.MISDIRECTED) {
-            // another engine has the address, so that this one is gone
+            // another engine now has this address, so the engine that was selected no longer exists
             engine.markDraining();
             return;
         }
         engine.ejection().onAttemptEnded(outcome, countsAsFailure, nowMs);
         if (outcome == AttemptOutcome.ANSWERED) {
-            costModel.learn(engine, request, firstMs);
+            costModel.learn(engine, request, firstByteMs);
         }
     }
 
-    private static void countEnd(
-            EngineEntry engine, SelectionRequest request, AttemptOutcome counted, long firstMs, long nowMs) {
+    private static void recordEnd(
+            EngineEntry engine, SelectionRequest request, AttemptOutcome counted, long firstByteMs, long nowMs) {
         engine.load().end(request.tokensInFlight());
-        engine.attempts().end(request.kind(), request.tokensInFlight(), counted, firstMs, nowMs);
+        engine.attempts().end(request.kind(), request.tokensInFlight(), counted, firstByteMs, nowMs);
     }
 
     @Override
@@ -315,11 +315,11 @@
     public synchronized List<HealthProbe> dueHealthProbes(long nowMs) {
         List<HealthProbe> probes = new ArrayList<>();
         for (EngineEntry engine : engines.all()) {
-            if (engine.isQuiet()) {
+            if (engine.isInactive()) {
                 continue;
             }
             OutlierEjection ejection = engine.ejection();
-            ejection.checkSilence(engine.load(), costModel.tokenMs(), nowMs);
+            ejection.ejectIfUnresponsive(engine.load(), costModel.tokenMs(), nowMs);
             if (!ejection.isProbeDue(nowMs) || engine.isDraining()) {
                 continue;
             }
@@ -328,7 +328,7 @@
                 probes.add(new HealthProbe(engine.id(), engine.address(), healthPath(engine)));
             }
         }
-        engines.removeAbandoned(ABANDONED_HEARTBEATS * settings.engineBeatMs(), nowMs);
+        engines.removeExpired(EXPIRY_HEARTBEATS * settings.engineBeatMs(), nowMs);
         return probes;
     }
 
@@ -338,12 +338,12 @@
     }
 
     @Override
-    public synchronized void onHealthProbeResult(String id, boolean healthy, int coldMs, long nowMs) {
+    public synchronized void onHealthProbeResult(String id, boolean healthy, int remainingWarmupMs, long nowMs) {
         EngineEntry engine = engines.get(id);
         if (engine == null) {
             return;
         }
-        extendReportedSlowStart(engine, coldMs, nowMs);
+        extendReportedSlowStart(engine, remainingWarmupMs, nowMs);
         if (healthy) {
             engine.ejection().onProbeSucceeded(engine.load(), nowMs);
         }
--- a/src/main/java/ringspindle/loadbalancing/FleetLoadUpdate.java
+++ b/src/main/java/ringspindle/loadbalancing/FleetLoadUpdater.java
@@ -10,11 +10,11 @@
 import ringspindle.protocol.Message.RegionLoad;
 
 /**
- * Takes over what the control plane summed over all nodes: load and failures of the engines of this region, means of the
- * other regions, and which regions are heard of. Confined to the lock of {@link EngineTableLoadBalancer}.
+ * Applies the load that the control plane aggregates over all nodes: load and failures of each engine of this region,
+ * mean loads of the other regions, and which regions report. Confined to the lock of {@link EngineTableLoadBalancer}.
  */
-final class FleetLoadUpdate {
-    /** Attempts at all engines of one service. */
+final class FleetLoadUpdater {
+    /** Attempt counts summed over all engines of one service. */
     private static final class ServiceAttempts {
         int answered;
         int failed;
@@ -22,7 +22,7 @@
 
     private final EngineTable engines;
 
-    FleetLoadUpdate(EngineTable engines) {
+    FleetLoadUpdater(EngineTable engines) {
         this.engines = engines;
     }
 
--- a/src/main/java/ringspindle/loadbalancing/InFlightLoad.java
+++ b/src/main/java/ringspindle/loadbalancing/InFlightLoad.java
@@ -1,29 +1,30 @@
 package ringspindle.loadbalancing;
 
 /**
- * What runs at one engine: requests of this node, which are counted here, and requests of the other nodes, as the control
- * plane summed them a moment ago. Confined to the lock of {@link EngineTableLoadBalancer}.
+ * Requests and tokens in flight at one engine: those of this node, which are counted here, and those of the other
+ * nodes, which the control plane aggregates and which are slightly out of date. Confined to the lock of {@link
+ * EngineTableLoadBalancer}.
  */
 final class InFlightLoad {
-    /** For so long the other nodes' load counts; after that a node relies on what it sees itself. */
-    private static final int OTHERS_VALID_MS = 2500;
+    /** How long the other nodes' load is used without an update; after that only this node's load counts. */
+    private static final int OTHER_NODES_LOAD_TTL_MS = 2500;
 
     private int ownRunning;
     private double ownTokens;
-    /** Own load as it was last reported, which the sums of the control plane contain. */
+    /** Own load as last reported, which the totals from the control plane include. */
     private int reportedRunning;
 
     private long reportedTokens;
-    private int othersRunning;
-    private long othersTokens;
-    private long othersAtMs = Long.MIN_VALUE / 2;
+    private int otherNodesRunning;
+    private long otherNodesTokens;
+    private long otherNodesUpdatedMs = Long.MIN_VALUE / 2;
 
-    /** Requests of this node that run there. */
+    /** Returns the number of requests of this node in flight. */
     int ownRunning() {
         return ownRunning;
     }
 
-    /** Tokens of this node's requests that run there. */
+    /** Returns the tokens of this node's requests in flight. */
     double ownTokens() {
         return ownTokens;
     }
@@ -32,18 +33,18 @@
         return ownRunning == 0;
     }
 
-    /** Requests of all nodes that run there, as far as is known. */
+    /** Returns the number of requests of all nodes in flight, as far as known. */
     int running(long nowMs) {
-        return ownRunning + (othersAreValid(nowMs) ? othersRunning : 0);
+        return ownRunning + (isOtherNodesLoadValid(nowMs) ? otherNodesRunning : 0);
     }
 
-    /** Tokens of all nodes' requests that run there, as far as is known. */
+    /** Returns the tokens of all nodes' requests in flight, as far as known. */
     double tokens(long nowMs) {
-        return ownTokens + (othersAreValid(nowMs) ? othersTokens : 0);
+        return ownTokens + (isOtherNodesLoadValid(nowMs) ? otherNodesTokens : 0);
     }
 
-    private boolean othersAreValid(long nowMs) {
-        return nowMs - othersAtMs < OTHERS_VALID_MS;
+    private boolean isOtherNodesLoadValid(long nowMs) {
+        return nowMs - otherNodesUpdatedMs < OTHER_NODES_LOAD_TTL_MS;
     }
 
     void start(int tokens) {
@@ -53,27 +54,27 @@
 
     void end(int tokens) {
         ownRunning = Math.max(0, ownRunning - 1);
-        // without requests there are no tokens, whatever was counted
+        // no running requests means no tokens in flight, whatever was counted
         ownTokens = ownRunning == 0 ? 0 : Math.max(0, ownTokens - tokens);
     }
 
-    /** Own load goes out in a report now. */
+    /** Remembers the own load that is being reported to the control plane. */
     void markReported() {
         reportedRunning = ownRunning;
         reportedTokens = (long) ownTokens;
     }
 
-    /** The control plane's sum for this engine, own load included. */
+    /** Updates the other nodes' load from the control plane's total for this engine, which includes the own load. */
     void updateTotals(int totalRunning, long totalTokens, long nowMs) {
-        othersRunning = Math.max(0, totalRunning - reportedRunning);
-        othersTokens = Math.max(0, totalTokens - reportedTokens);
-        othersAtMs = nowMs;
+        otherNodesRunning = Math.max(0, totalRunning - reportedRunning);
+        otherNodesTokens = Math.max(0, totalTokens - reportedTokens);
+        otherNodesUpdatedMs = nowMs;
     }
 
-    /** The mean of the engine's region, where the control plane sums by region only. */
+    /** Uses the mean load of the engine's region, for regions that the control plane aggregates only as a whole. */
     void updateRegionMean(int meanRunning, long nowMs) {
-        othersRunning = meanRunning;
-        othersTokens = 0;
-        othersAtMs = nowMs;
+        otherNodesRunning = meanRunning;
+        otherNodesTokens = 0;
+        otherNodesUpdatedMs = nowMs;
     }
 }
--- a/src/main/java/ringspindle/loadbalancing/LeastCostPolicy.java
+++ b/src/main/java/ringspindle/loadbalancing/LeastCostPolicy.java
@@ -5,7 +5,7 @@
 import ringspindle.config.FleetConfig;
 import ringspindle.loadbalancing.LoadBalancer.SelectionRequest;
 
-/** Requests without a serving rule: the engine of the least cost, where a cached prefix makes an engine cheaper. */
+/** Policy for requests without a serving rule: selects the engine of the lowest cost, which a cached prefix reduces. */
 final class LeastCostPolicy implements SelectionPolicy {
     private final CostModel costModel;
     private final WarmupLimiter warmupLimiter;
@@ -19,27 +19,27 @@
     public EngineChoice choose(
             SelectionRequest request, FleetConfig.Service service, Candidates candidates, long nowMs) {
         EngineEntry prefixHolder = request.affinityKey() == 0 ? null : prefixHolder(request, candidates, nowMs);
-        List<EngineEntry> open = new ArrayList<>(candidates.healthy().size());
+        List<EngineEntry> selectable = new ArrayList<>(candidates.healthy().size());
         boolean limitedByWarmup = false;
         for (EngineEntry engine : candidates.healthy()) {
-            if (!candidates.isOpen(engine)) {
+            if (!candidates.isSelectable(engine)) {
                 continue;
             }
             if (!warmupLimiter.permits(engine, service, nowMs)) {
                 limitedByWarmup = true;
                 continue;
             }
-            open.add(engine);
+            selectable.add(engine);
         }
-        EngineEntry best = costModel.cheapest(open, prefixHolder, request, nowMs);
+        EngineEntry best = costModel.cheapest(selectable, prefixHolder, request, nowMs);
         return best == null ? EngineChoice.none(limitedByWarmup) : EngineChoice.of(best);
     }
 
-    /** The first engine by rank that has no more than its share of the load; null if there is none. */
+    /** Returns the first engine by prefix rank that is selectable and not overloaded; null if there is none. */
     private static EngineEntry prefixHolder(SelectionRequest request, Candidates candidates, long nowMs) {
         double meanTokens = meanTokens(candidates.healthy(), nowMs);
         for (EngineEntry engine : PrefixAffinity.rank(candidates.healthy(), request)) {
-            if (candidates.isOpen(engine)
+            if (candidates.isSelectable(engine)
                     && PrefixAffinity.isBalanced(
                             engine, request, request.costWeights().maxImbalance(), meanTokens, nowMs)) {
                 return engine;
--- a/src/main/java/ringspindle/loadbalancing/LoadBalancer.java
+++ b/src/main/java/ringspindle/loadbalancing/LoadBalancer.java
@@ -17,37 +17,38 @@
 import ringspindle.telemetry.RequestKind;
 
 /**
- * Selects the engine that serves a request: by who may serve it, what it costs there, who has the prompt's prefix in its
- * cache, and who has capacity. It learns of engines from the control plane, and from the events of this node's own
- * requests. Thread safe; no method blocks.
+ * Selects the engine that serves a request, considering which engines are permitted and have capacity, what the request
+ * is expected to cost there, and which engine has the prompt's prefix cached. Engine state comes from the control plane
+ * and from the events of this node's own requests. Thread safe; no method blocks.
  *
  * <pre>{@code
  * Selection selection = loadBalancer.select(request, nowMs);
  * if (selection instanceof SelectedEngine engine) {
  *     loadBalancer.onRequestSent(engine.id(), nowMs);
  *     ...
- *     loadBalancer.onAttemptEnded(engine.id(), request, AttemptOutcome.ANSWERED, firstMs, nowMs);
+ *     loadBalancer.onAttemptEnded(engine.id(), request, AttemptOutcome.ANSWERED, firstByteMs, nowMs);
  * }
  * }</pre>
  */
 public interface LoadBalancer {
-    /** Value of a time to first byte in {@link #onAttemptEnded}: an idle connection had been closed by the peer. */
+    /** Time to first byte in {@link #onAttemptEnded} if the peer had closed the idle connection that was used. */
     long STALE_CONNECTION = -2;
 
     /**
-     * A request that needs an engine.
+     * Requirements of a request on the engine to select.
      *
-     * @param service name of the service that must serve it
-     * @param allowedRegions regions whose engines may serve it
-     * @param affinityKey hash of the shared prompt prefix; 0 if nothing is shared
-     * @param sharedPrefixTokens tokens of the shared prefix, which an engine with the prefix in its cache need not read
-     * @param uncachedTokens the other tokens of the prompt, which any engine must read
-     * @param outputTokens expected tokens of the answer
-     * @param excludedEngineIds engines that were attempted already
-     * @param weightsVersion version of the model weights that the engine must run; below 0 if any will do
-     * @param random uniformly distributed bits for breaking ties
-     * @param preference what a serving rule says of the choice, or null
-     * @param costWeights weights of the cost by which engines are compared
+     * @param service name of the service whose engines may serve the request
+     * @param allowedRegions regions whose engines may serve the request
+     * @param affinityKey hash of the shared prompt prefix; 0 if the prompt shares none
+     * @param sharedPrefixTokens tokens of the shared prefix, which an engine that has the prefix cached does not
+     *     process
+     * @param uncachedTokens other tokens of the prompt, which every engine must process
+     * @param outputTokens expected tokens of the response
+     * @param excludedEngineIds engines that were already tried
+     * @param weightsVersion version of the model weights that the engine must run; negative for any
+     * @param random uniformly distributed bits, for tie-breaking and sampling
+     * @param preference preference from a serving rule, or null
+     * @param costWeights weights of the cost model
      */
     record SelectionRequest(
             String service,
@@ -61,25 +62,25 @@
             long random,
             RoutingPreference preference,
             CostWeights costWeights) {
-        /** Tokens that count as in flight at the engine while the request runs there. */
+        /** Returns the tokens that count as in flight at the engine while the request runs. */
         int tokensInFlight() {
             return uncachedTokens + outputTokens;
         }
 
-        /** The kind that load summaries count the request under. */
+        /** Returns the kind under which load summaries count the request. */
         RequestKind kind() {
             return RequestKind.of(uncachedTokens + sharedPrefixTokens, sharedPrefixTokens);
         }
     }
 
     /**
-     * What a serving rule says of the choice. It narrows the engines that may be selected and never widens them.
+     * Preference from a serving rule. It restricts the engines that may be selected and never adds any.
      *
-     * @param reservedShare share of an engine's capacity that is reserved for other classes, 0 to 1
-     * @param maxImbalance how many times the mean load the preferred engine may have before it counts as busy
-     * @param whenBusy fallback targets, in order, while the preferred engine is busy
-     * @param whenUnavailable fallback targets, in order, while the preferred engine is unavailable
-     * @param waitedMs how long the request has waited for capacity, in ms
+     * @param reservedShare share of an engine's capacity that is reserved for other request classes, 0 to 1
+     * @param maxImbalance load above which the preferred engine counts as busy, as a multiple of the mean load
+     * @param whenBusy ordered fallback targets for a busy preferred engine
+     * @param whenUnavailable ordered fallback targets for an unavailable preferred engine
+     * @param waitedMs how long the request has already waited for capacity, in ms
      */
     record RoutingPreference(
             double reservedShare,
@@ -92,113 +93,116 @@
     sealed interface Selection {}
 
     /**
-     * The engine that was selected.
+     * A selected engine.
      *
-     * @param connectionLimit how many connections this node may hold to it
+     * @param connectionLimit limit on the connections from this node to the engine
      */
     record SelectedEngine(String id, NodeId address, String zone, ConnectionLimit connectionLimit)
             implements Selection {}
 
     /**
-     * No engine has capacity now.
+     * No engine can take the request now.
      *
-     * @param outcome {@link Outcome#NO_ROOM} if there are engines, {@link Outcome#NO_ENGINE} if there is none
-     * @param retryAfterMs when to come back, in ms
+     * @param outcome {@link Outcome#NO_ROOM} if a permitted engine is in service, {@link Outcome#NO_ENGINE} if none is
+     * @param retryAfterMs delay after which the client may retry, in ms
      */
     record NoCapacity(Outcome outcome, long retryAfterMs) implements Selection {}
 
-    /** A health check that is due now. */
+    /** A health probe that is due now. */
     record HealthProbe(String id, NodeId address, String healthPath) {}
 
-    /** Takes over a configuration. */
+    /** Applies a new fleet configuration. */
     void updateConfiguration(FleetConfig configuration);
 
-    /** This node's own settings changed. */
+    /** Applies new settings of this node. */
     void updateSettings(NodeConfig settings);
 
     /**
-     * An engine reported of itself. A version that is not newer than the last one is ignored.
+     * Applies a report of an engine. A report whose version is not newer than the last one is ignored.
      *
-     * @param nowMs steady time of this node, in ms; as in all methods, it may not go back
+     * @param nowMs monotonic time of this node, in ms; as in all methods, it must not go backwards
      */
     void updateEngine(String id, Engine report, long version, long nowMs);
 
     /**
-     * An engine drains: it gets nothing new, and never will.
+     * Marks an engine as draining: it gets no new requests and does not return to service.
      *
-     * @param removed whether it is gone for good, so that it is forgotten when its last request here has ended
+     * @param removed whether the engine is permanently removed; its state is dropped when the last request of this node
+     *     at the engine has ended
      */
     void markDraining(String id, boolean removed, long nowMs);
 
-    /** A zone was evacuated, or its evacuation was taken back, after which its engines warm up. */
+    /** Starts or ends the evacuation of a zone; when it ends, the engines of the zone warm up. */
     void setZoneEvacuated(String zone, boolean evacuated, long nowMs);
 
-    /** Control nodes have not heard an engine's heartbeat for a while, or hear it again. */
+    /** Sets whether control nodes miss an engine's heartbeats. */
     void setHeartbeatMissing(String id, boolean missing, long nowMs);
 
-    /** Takes a lease from the control plane: how many nodes share the retry budget. */
+    /** Applies a lease from the control plane, which has the number of nodes that share the quotas. */
     void updateLease(Lease lease, long nowMs);
 
-    /** Takes what all nodes of the region saw, summed; it may come at any time, or never. */
+    /** Applies the load of all nodes, aggregated by the control plane. Updates may come at any time or not at all. */
     void updateRegionLoad(Load load, long nowMs);
 
-    /** What this node saw of engines in its window, and what runs now. */
+    /** Summarizes this node's attempts by engine: those within the sliding window and those in flight. */
     LoadSummary summarizeLoad(long nowMs);
 
-    /** The engines of a service whose turn it is in a rollout: they get nothing new, and warm up when they return. */
+    /** Sets the engines of a service that a rollout is updating: they get no new requests, and warm up afterwards. */
     void setEnginesInRollout(String service, Set<String> ids, long nowMs);
 
-    /** Engines of a service that run that version of its software get nothing; empty for none. */
+    /** Excludes the engines of a service that run that software version; empty to exclude none. */
     void setExcludedSoftwareVersion(String service, String version);
 
-    /** How many requests the engines of a service run at a time, of those that are in service now. */
+    /** Returns how many requests the engines of a service that are in service now can run concurrently. */
     int capacityInService(String service);
 
-    /** Selects an engine and counts the request as running there: {@link #onAttemptEnded} must follow. */
+    /** Selects an engine and counts the request as running there; {@link #onAttemptEnded} must follow. */
     Selection select(SelectionRequest request, long nowMs);
 
-    /** The request went out to the engine. */
+    /** Records that the request was sent to the engine. */
     void onRequestSent(String id, long nowMs);
 
-    /** Bytes came from the engine. */
+    /** Records that bytes were received from the engine. */
     void onResponseBytes(String id, long nowMs);
 
     /**
-     * The attempt at an engine that {@link #select} returned is over.
+     * Records the end of the attempt at an engine that {@link #select} returned.
      *
-     * @param request the request as it was given to {@link #select}
-     * @param firstMs time to the first byte, in ms; below 0 if none came, and {@link #STALE_CONNECTION} if none came because an idle
-     *     connection had been closed by the peer, which says nothing of the engine
+     * @param request the request as given to {@link #select}
+     * @param firstByteMs time to first byte, in ms; negative if no byte was received. {@link #STALE_CONNECTION} if the
+     *     peer had closed the idle connection that was used, which does not count against the engine
      */
-    void onAttemptEnded(String id, SelectionRequest request, AttemptOutcome outcome, long firstMs, long nowMs);
+    void onAttemptEnded(String id, SelectionRequest request, AttemptOutcome outcome, long firstByteMs, long nowMs);
 
-    /** A client's request for a service came in, which earns a part of a retry. */
+    /** Records a client's request for a service, which adds to the retry budget. */
     void onRequestReceived(String service, long nowMs);
 
-    /** Takes one retry of the service's budget on this node; false if none is left. */
+    /** Takes one retry from this node's budget for the service; false if none is left. */
     boolean tryAcquireRetry(String service, long nowMs);
 
-    /** Health probes of ejected engines that are due; each is due again after a gap that grows. */
+    /**
+     * Returns the health probes of ejected engines that are due; the interval between the probes of an engine grows.
+     */
     List<HealthProbe> dueHealthProbes(long nowMs);
 
     /**
-     * A health probe ended.
+     * Records the result of a health probe.
      *
-     * @param healthy whether the engine answered that it serves
-     * @param coldMs for how long the engine says it will warm up, in ms; 0 if it does not
+     * @param healthy whether the engine reported that it is in service
+     * @param remainingWarmupMs remaining warm-up time that the engine reported, in ms; 0 for none
      */
-    void onHealthProbeResult(String id, boolean healthy, int coldMs, long nowMs);
+    void onHealthProbeResult(String id, boolean healthy, int remainingWarmupMs, long nowMs);
 
     /**
-     * What a node that watches this one wants to know.
+     * Statistics of the load balancer, for metrics.
      *
      * @param known engines in the table
-     * @param ejected those that get nothing until a health probe succeeds
-     * @param draining those that get nothing new
-     * @param heartbeatMissing those that control nodes do not hear
-     * @param ejections ejections since the start of the process
-     * @param retriesGranted retries that the budget let go
-     * @param retriesRefused retries that it did not
+     * @param ejected engines that get no requests until a health probe succeeds
+     * @param draining engines that get no new requests
+     * @param heartbeatMissing engines whose heartbeats control nodes miss
+     * @param ejections ejections since process start
+     * @param retriesGranted retries that the budget granted since process start
+     * @param retriesRefused retries that the budget refused since process start
      */
     record Stats(
             int known,
@@ -209,13 +213,13 @@
             long retriesGranted,
             long retriesRefused) {}
 
-    /** Figures of the table as it is now. */
+    /** Returns the current statistics. */
     Stats stats();
 
-    /** Ids of the engines that are known, for closing connections to all others. */
+    /** Returns the ids of all known engines; connections to other engines can be closed. */
     Set<String> knownEngineIds();
 
-    /** A load balancer that knows no engines yet. */
+    /** Creates a load balancer with an empty engine table. */
     static LoadBalancer create(NodeConfig settings) {
         return new EngineTableLoadBalancer(settings);
     }
--- a/src/main/java/ringspindle/loadbalancing/OutlierEjection.java
+++ b/src/main/java/ringspindle/loadbalancing/OutlierEjection.java
@@ -3,21 +3,24 @@
 import ringspindle.retry.AttemptOutcome;
 
 /**
- * Whether one engine is ejected, and when to ask it whether it is back.
+ * Ejection state of one engine and the schedule of its health probes.
  *
- * <p>An engine is ejected when it is silent while requests wait, when no connection to it comes up, when an attempt runs
- * into its time limit, or after {@value #EJECTING_FAILURES} failures in a row. It gets no requests until a health probe
- * succeeds; probes are spaced by a gap that grows from {@value #FIRST_PROBE_GAP_MS} to {@value #MAX_PROBE_GAP_MS} ms.
+ * <p>An engine is ejected when it sends no bytes while requests wait, when a connection to it cannot be established,
+ * when an attempt times out, or after {@value #EJECTION_FAILURE_THRESHOLD} consecutive failures. It gets no requests
+ * until a health probe succeeds; the interval between probes grows from {@value #MIN_PROBE_INTERVAL_MS} to {@value
+ * #MAX_PROBE_INTERVAL_MS} ms.
  *
  * <p>Confined to the lock of {@link EngineTableLoadBalancer}.
  */
 final class OutlierEjection {
-    private static final int EJECTING_FAILURES = 3;
-    /** Silence that ejects, in ms, beyond the time that the engine may need for the tokens it was given. */
-    private static final int SILENCE_MS = 900;
+    private static final int EJECTION_FAILURE_THRESHOLD = 3;
+    /**
+     * Time without bytes after which an engine is ejected, in addition to the time allowed for its tokens in flight.
+     */
+    private static final int RESPONSE_TIMEOUT_MS = 900;
 
-    private static final int FIRST_PROBE_GAP_MS = 400;
-    private static final int MAX_PROBE_GAP_MS = 2000;
+    private static final int MIN_PROBE_INTERVAL_MS = 400;
+    private static final int MAX_PROBE_INTERVAL_MS = 2000;
     private static final long NOT_WAITING = -1;
 
     private final Runnable onEjected;
@@ -25,9 +28,9 @@
     private int consecutiveFailures;
     private long waitingSinceMs = NOT_WAITING;
     private long nextProbeMs;
-    private long probeGapMs;
+    private long probeIntervalMs;
 
-    /** The ejection of one engine; each time that it is ejected, the given action runs. */
+    /** Creates the state of an engine that is not ejected; {@code onEjected} runs on every ejection. */
     OutlierEjection(Runnable onEjected) {
         this.onEjected = onEjected;
     }
@@ -36,35 +39,35 @@
         return ejected;
     }
 
-    /** A request went out: silence counts from now, unless something waits already. */
+    /** Starts the response timeout, unless another request is already waiting. */
     void onRequestSent(long nowMs) {
         if (waitingSinceMs < 0) {
             waitingSinceMs = nowMs;
         }
     }
 
-    /** Bytes came: silence counts from now. */
+    /** Restarts the response timeout and resets the failure count. */
     void onResponseBytes(long nowMs) {
         waitingSinceMs = nowMs;
         consecutiveFailures = 0;
     }
 
-    /** Nothing of this node runs there any more. */
+    /** Stops the response timeout, as no request of this node is running any more. */
     void onIdle() {
         waitingSinceMs = NOT_WAITING;
     }
 
     /**
-     * An attempt ended.
+     * Records the end of an attempt, which may eject the engine.
      *
-     * @param countsAsFailure whether the outcome says something against the engine
+     * @param countsAsFailure whether the outcome counts against the engine
      */
     void onAttemptEnded(AttemptOutcome outcome, boolean countsAsFailure, long nowMs) {
         if (outcome == AttemptOutcome.NOT_SENT || outcome == AttemptOutcome.ATTEMPT_TIMEOUT) {
             eject(nowMs);
         } else if (countsAsFailure) {
             consecutiveFailures++;
-            if (consecutiveFailures >= EJECTING_FAILURES) {
+            if (consecutiveFailures >= EJECTION_FAILURE_THRESHOLD) {
                 eject(nowMs);
             }
         } else if (outcome == AttemptOutcome.ANSWERED) {
@@ -73,15 +76,15 @@
     }
 
     /**
-     * Ejects an engine that is silent while requests wait.
+     * Ejects the engine if it has sent no bytes for too long while requests wait.
      *
-     * @param tokenMs expected time for a prompt token, in ms
+     * @param tokenMs expected prefill time per prompt token, in ms
      */
-    void checkSilence(InFlightLoad load, double tokenMs, long nowMs) {
+    void ejectIfUnresponsive(InFlightLoad load, double tokenMs, long nowMs) {
         if (!ejected
                 && !load.isIdle()
                 && waitingSinceMs >= 0
-                && nowMs - waitingSinceMs > SILENCE_MS + load.ownTokens() * tokenMs * 2) {
+                && nowMs - waitingSinceMs > RESPONSE_TIMEOUT_MS + load.ownTokens() * tokenMs * 2) {
             eject(nowMs);
         }
     }
@@ -89,7 +92,7 @@
     private void eject(long nowMs) {
         if (!ejected) {
             ejected = true;
-            probeGapMs = FIRST_PROBE_GAP_MS;
+            probeIntervalMs = MIN_PROBE_INTERVAL_MS;
             nextProbeMs = nowMs;
             onEjected.run();
         }
@@ -99,13 +102,13 @@
         return ejected && nowMs >= nextProbeMs;
     }
 
-    /** The next probe is due after the present gap, and the gap grows. */
+    /** Schedules the next probe after the current interval and increases the interval. */
     void scheduleNextProbe(long nowMs) {
-        nextProbeMs = nowMs + probeGapMs;
-        probeGapMs = Math.min(MAX_PROBE_GAP_MS, probeGapMs * 3 / 2);
+        nextProbeMs = nowMs + probeIntervalMs;
+        probeIntervalMs = Math.min(MAX_PROBE_INTERVAL_MS, probeIntervalMs * 3 / 2);
     }
 
-    /** The engine answered a health probe: it is no longer ejected. */
+    /** Ends the ejection after a successful health probe. */
     void onProbeSucceeded(InFlightLoad load, long nowMs) {
         ejected = false;
         consecutiveFailures = 0;
--- a/src/main/java/ringspindle/loadbalancing/PrefixAffinity.java
+++ b/src/main/java/ringspindle/loadbalancing/PrefixAffinity.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import ringspindle.loadbalancing.LoadBalancer.SelectionRequest;
 
-/** Where a shared prompt prefix is cached: at the engine that rendezvous hashing ranks first, unless it is overloaded. */
+/** Prefix affinity: requests that share a prompt prefix go to the engine that rendezvous hashing ranks first for it. */
 final class PrefixAffinity {
-    /** So many tokens more than the mean are no imbalance yet. */
+    /** Tokens in flight that an engine may have beyond the allowed multiple of the mean. */
     private static final int IMBALANCE_SLACK_TOKENS = 60_000;
 
     private PrefixAffinity() {}
 
-    /** The engines by their rank for the request's shared prefix, in a new list. */
+    /** Returns a new list of the engines, sorted by rank for the request's shared prefix. */
     static List<EngineEntry> rank(List<EngineEntry> engines, SelectionRequest request) {
         long affinityKey = request.affinityKey();
         List<EngineEntry> ranked = new ArrayList<>(engines);
@@ -20,7 +20,7 @@
         return ranked;
     }
 
-    /** Whether the engine has a free place, and no more than its share of the load if it takes the request as well. */
+    /** Returns true if the engine has free capacity and would not be overloaded with the request added. */
     static boolean isBalanced(
             EngineEntry engine, SelectionRequest request, double maxImbalance, double meanTokens, long nowMs) {
         double tokens = engine.load().tokens(nowMs) + request.uncachedTokens();
--- a/src/main/java/ringspindle/loadbalancing/QuotaShare.java
+++ b/src/main/java/ringspindle/loadbalancing/QuotaShare.java
@@ -3,18 +3,18 @@
 import ringspindle.protocol.Message.Lease;
 
 /**
- * How many nodes share what the fleet allows together: retries, requests to warming engines, connections. The control
- * plane says so in a lease; without one a node assumes more nodes than it ever knew of, so that the sum of all shares
- * stays within the whole.
+ * The number of nodes by which fleet-wide quotas are divided: retries, requests to warming engines, and connections.
+ * The number comes with a lease from the control plane. Without a lease a node assumes more nodes than it has ever
+ * known, so that all shares together stay within the quota.
  *
  * <p>Confined to the lock of {@link EngineTableLoadBalancer}.
  */
 final class QuotaShare {
-    /** Part of the whole that is used, as nodes do not learn of a new number of nodes at the same moment. */
-    static final double USED_PART = 0.8;
-    /** A share is computed for at least so many nodes. */
+    /** Fraction of a quota that is used; the rest covers the time in which nodes disagree on the number of nodes. */
+    static final double USED_FRACTION = 0.8;
+    /** Minimum number of nodes that a share is computed for. */
     private static final int MIN_NODES = 4;
-    /** Without a lease a share is computed for at least so many nodes. */
+    /** Minimum number of nodes that a share is computed for without a lease. */
     private static final int MIN_NODES_WITHOUT_LEASE = 24;
 
     private Lease lease;
@@ -31,14 +31,14 @@
         return nowMs < leaseUntilMs;
     }
 
-    /** How many nodes share, as far as is known. */
+    /** Returns the number of nodes to divide a quota by. */
     int nodes(long nowMs) {
         return hasLease(nowMs)
                 ? Math.max(MIN_NODES, Math.max(lease.nodes(), maxNodes))
                 : Math.max(MIN_NODES_WITHOUT_LEASE, maxNodes * 2);
     }
 
-    /** The most nodes that were ever known, at least {@value #MIN_NODES}. */
+    /** Returns the largest number of nodes ever known, at least {@value #MIN_NODES}. */
     int maxNodes() {
         return Math.max(MIN_NODES, maxNodes);
     }
--- a/src/main/java/ringspindle/loadbalancing/RandomSubset.java
+++ b/src/main/java/ringspindle/loadbalancing/RandomSubset.java
@@ -7,17 +7,19 @@
 import ringspindle.loadbalancing.LoadBalancer.SelectionRequest;
 
 /**
- * The engines that are compared for one request. What other nodes run is known about a second late. If each of many nodes compared
- * all engines, all would send to the one that seemed idle, until the next sums showed that it is not; so each compares two that are
- * drawn anew for each request (the power of two choices), from each distance: the node's zone, the rest of its region, and every other
- * region. Where few nodes share the load a node knows most of it at first hand, and compares all engines. Without state.
+ * Draws the engines whose costs are compared for one request.
+ *
+ * <p>The load of other nodes is known about a second late. If many nodes compared all engines, all of them would send
+ * to the engine that seemed idle until the next load update. Each node therefore compares two random engines per
+ * request (the power of two choices) from each locality: the node's zone, the rest of its region, and every other
+ * region. With few nodes, most of the load is a node's own and known exactly, so all engines are compared. Stateless.
  */
 final class RandomSubset {
-    /** So many nodes know enough of the load at first hand. */
-    static final int FULL_VIEW_NODES_MAX = 16;
+    /** Up to this many nodes, each compares all engines. */
+    static final int MAX_NODES_COMPARING_ALL = 16;
 
-    /** The two engines of one distance that were drawn so far: those with the lowest draws. */
-    private static final class Pair {
+    /** The two engines of one locality with the lowest draws so far. */
+    private static final class LowestDraws {
         private EngineEntry first;
         private EngineEntry second;
         private long firstDraw = Long.MAX_VALUE;
@@ -48,30 +50,30 @@
     /**
      * Draws the engines to compare.
      *
-     * @param open engines that the request may be sent to
-     * @param prefixHolder compared in any case if it is open; null if it does not matter
+     * @param selectable engines that the request may be sent to
+     * @param prefixHolder engine that is always included if it is selectable; may be null
      * @param zone the zone of this node
      * @param nodes how many nodes share the engines
      */
     static List<EngineEntry> of(
-            List<EngineEntry> open, EngineEntry prefixHolder, SelectionRequest request, String zone, int nodes) {
-        if (nodes <= FULL_VIEW_NODES_MAX) {
-            return open;
+            List<EngineEntry> selectable, EngineEntry prefixHolder, SelectionRequest request, String zone, int nodes) {
+        if (nodes <= MAX_NODES_COMPARING_ALL) {
+            return selectable;
         }
-        Map<Object, Pair> byDistance = new LinkedHashMap<>();
-        boolean holderOpen = false;
-        for (EngineEntry engine : open) {
-            Object distance = engine.zone().equals(zone) ? zone : engine.region();
-            byDistance
-                    .computeIfAbsent(distance, each -> new Pair())
+        Map<Object, LowestDraws> byLocality = new LinkedHashMap<>();
+        boolean holderSelectable = false;
+        for (EngineEntry engine : selectable) {
+            Object locality = engine.zone().equals(zone) ? zone : engine.region();
+            byLocality
+                    .computeIfAbsent(locality, each -> new LowestDraws())
                     .offer(engine, RendezvousHash.mix(request.random() * 31 ^ engine.key()));
-            holderOpen |= engine == prefixHolder;
+            holderSelectable |= engine == prefixHolder;
         }
-        List<EngineEntry> drawn = new ArrayList<>(2 * byDistance.size() + 1);
-        if (holderOpen) {
+        List<EngineEntry> drawn = new ArrayList<>(2 * byLocality.size() + 1);
+        if (holderSelectable) {
             drawn.add(prefixHolder);
         }
-        byDistance.values().forEach(pair -> pair.addTo(drawn));
+        byLocality.values().forEach(draws -> draws.addTo(drawn));
         return drawn;
     }
 }
--- a/src/main/java/ringspindle/loadbalancing/RegionState.java
+++ b/src/main/java/ringspindle/loadbalancing/RegionState.java
@@ -1,17 +1,17 @@
 package ringspindle.loadbalancing;
 
 /**
- * A region as this node knows it: whether control nodes hear of it, and whether its engines answer here. Confined to the
- * lock of {@link EngineTableLoadBalancer}.
+ * Reachability of a region, by the reports of the control plane and by responses of its engines to this node. Confined
+ * to the lock of {@link EngineTableLoadBalancer}.
  */
 final class RegionState {
-    /** For so long an answer shows that the region can be reached, whatever control nodes hear of it. */
-    private static final int ANSWER_VALID_MS = 700;
+    /** How long a response shows that the region is reachable, even if the control plane has no report of it. */
+    private static final int RESPONSE_VALID_MS = 700;
 
     private final String name;
     private boolean everReported;
     private boolean unreachable;
-    private long answeredMs = Long.MIN_VALUE / 2;
+    private long lastResponseMs = Long.MIN_VALUE / 2;
 
     RegionState(String name) {
         this.name = name;
@@ -21,19 +21,19 @@
         return name;
     }
 
-    /** True for a region of which nothing is heard any more, neither by control nodes nor here. */
+    /** Returns true if the region reported before but neither the control plane nor this node hears from it now. */
     boolean isUnreachable() {
         return unreachable;
     }
 
-    /** An engine of the region sent bytes to this node. */
-    void onAnswer(long nowMs) {
-        answeredMs = nowMs;
+    /** Records that an engine of the region sent bytes to this node. */
+    void onResponse(long nowMs) {
+        lastResponseMs = nowMs;
     }
 
-    /** The control plane summed load again, this region's with it or not. */
+    /** Updates the reachability; {@code reported} says whether the latest aggregated load includes this region. */
     void update(boolean reported, long nowMs) {
-        unreachable = !reported && everReported && nowMs - answeredMs > ANSWER_VALID_MS;
+        unreachable = !reported && everReported && nowMs - lastResponseMs > RESPONSE_VALID_MS;
         everReported |= reported;
     }
 }
--- a/src/main/java/ringspindle/loadbalancing/RequestWindow.java
+++ b/src/main/java/ringspindle/loadbalancing/RequestWindow.java
@@ -2,7 +2,10 @@
 
 import java.util.Arrays;
 
-/** Requests and retries of one service in the last {@value #SECONDS} whole seconds of steady time. */
+/**
+ * Sliding window of the requests and retries of one service over the last {@value #SECONDS} whole seconds of monotonic
+ * time.
+ */
 final class RequestWindow {
     private static final int SECONDS = 32;
     private static final long UNSET = Long.MIN_VALUE;
@@ -11,16 +14,16 @@
     private final int[] retries = new int[SECONDS];
     private long second = UNSET;
 
-    /** Moves on to now; counts that are older than the window are dropped. Time never goes back. */
+    /** Moves the window to the current time and drops older counts. Time must not go backwards. */
     void advance(long nowMs) {
         long nowS = nowMs / 1000;
         if (second == UNSET || nowS - second >= SECONDS) {
             Arrays.fill(requests, 0);
             Arrays.fill(retries, 0);
         } else {
-            for (long entered = second + 1; entered <= nowS; entered++) {
-                requests[index(entered)] = 0;
-                retries[index(entered)] = 0;
+            for (long newSecond = second + 1; newSecond <= nowS; newSecond++) {
+                requests[index(newSecond)] = 0;
+                retries[index(newSecond)] = 0;
             }
         }
         second = Math.max(second, nowS);
@@ -34,12 +37,12 @@
         retries[index(second)]++;
     }
 
-    /** Requests of the last seconds, the present one included. */
+    /** Returns the requests of the last {@code windowS} seconds, including the current one. */
     int requests(int windowS) {
         return sum(requests, windowS);
     }
 
-    /** Retries of the last seconds, the present one included. */
+    /** Returns the retries of the last {@code windowS} seconds, including the current one. */
     int retries(int windowS) {
         return sum(retries, windowS);
     }
@@ -47,7 +50,7 @@
     private int sum(int[] counts, int windowS) {
         int sum = 0;
         for (int ago = 0; ago < windowS; ago++) {
-            // the offset keeps the index from falling below 0 in the first seconds
+            // the offset keeps the index non-negative in the first seconds
             sum += counts[index(second - ago + SECONDS * 1000L)];
         }
         return sum;
--- a/src/main/java/ringspindle/loadbalancing/RetryBudget.java
+++ b/src/main/java/ringspindle/loadbalancing/RetryBudget.java
@@ -5,8 +5,9 @@
 import ringspindle.config.NodeConfig;
 
 /**
- * Retries that this node may still send to each service: a ratio of the requests it received within a sliding window, and
- * its share of a fixed slack while it holds a lease. Confined to the lock of {@link EngineTableLoadBalancer}.
+ * Limits the retries that this node sends to each service to a ratio of the requests received within a sliding window,
+ * plus this node's share of a fixed slack while it has a lease. Confined to the lock of {@link
+ * EngineTableLoadBalancer}.
  */
 final class RetryBudget {
     private final Map<String, RequestWindow> byService = new HashMap<>();
@@ -28,14 +29,15 @@
         window(service, nowMs).countRequest();
     }
 
-    /** Counts a retry if the budget has one left; returns whether it had. */
+    /** Takes a retry from the budget; false if none is left. */
     boolean tryAcquire(String service, long nowMs) {
         RequestWindow window = window(service, nowMs);
         int windowS = (int) Math.ceil(settings.retryWindowS());
-        double slack =
-                quotaShare.hasLease(nowMs) ? QuotaShare.USED_PART * settings.retrySlack() / quotaShare.nodes(nowMs) : 0;
-        double earned = QuotaShare.USED_PART * settings.retryRatio() * window.requests(windowS);
-        // one second more, as the seconds here are not the windows of whoever counts
+        double slack = quotaShare.hasLease(nowMs)
+                ? QuotaShare.USED_FRACTION * settings.retrySlack() / quotaShare.nodes(nowMs)
+                : 0;
+        double earned = QuotaShare.USED_FRACTION * settings.retryRatio() * window.requests(windowS);
+        // one second more, because an external observer's window need not start at a full second
         if (window.retries(windowS + 1) + 1 > earned + slack) {
             refused++;
             return false;
@@ -45,12 +47,12 @@
         return true;
     }
 
-    /** Retries that were granted since the start. */
+    /** Returns the number of retries granted since process start. */
     long granted() {
         return granted;
     }
 
-    /** Retries that were refused since the start. */
+    /** Returns the number of retries refused since process start. */
     long refused() {
         return refused;
     }
--- a/src/main/java/ringspindle/loadbalancing/RoutingRulePolicy.java
+++ b/src/main/java/ringspindle/loadbalancing/RoutingRulePolicy.java
@@ -9,8 +9,8 @@
 import ringspindle.routing.FallbackTarget;
 
 /**
- * Requests under a serving rule: the holder of the shared prefix, else the rule's fallback targets in their order, each
- * once the request has waited for those before it. Only engines that may be selected anyway are looked at.
+ * Policy for requests with a serving rule: selects the engine that holds the shared prefix, otherwise the rule's
+ * fallback targets in order, each one only after the wait times of the targets up to it. A rule never adds candidates.
  */
 final class RoutingRulePolicy implements SelectionPolicy {
     private final CostModel costModel;
@@ -36,64 +36,64 @@
         List<EngineEntry> ranked =
                 hasAffinity ? PrefixAffinity.rank(candidates.permitted(), request) : candidates.permitted();
         EngineEntry holder = hasAffinity && !ranked.isEmpty() ? ranked.get(0) : null;
-        List<EngineEntry> open = withFreePlaces(request, service, candidates, nowMs);
+        List<EngineEntry> selectable = withFreeCapacity(request, service, candidates, nowMs);
         boolean holderAvailable = holder != null && isAvailable(holder, candidates, nowMs);
         if (holderAvailable
-                && open.contains(holder)
+                && selectable.contains(holder)
                 && PrefixAffinity.isBalanced(holder, request, preference.maxImbalance(), meanTokens, nowMs)) {
             return EngineChoice.of(holder);
         }
         List<FallbackTarget> targets = holderAvailable ? preference.whenBusy() : preference.whenUnavailable();
         if (holder == null || targets.isEmpty()) {
-            return choice(costModel.cheapest(open, holder, request, nowMs));
+            return toChoice(costModel.cheapest(selectable, holder, request, nowMs));
         }
-        open.remove(holder);
-        return choice(firstFallback(targets, open, ranked, request, nowMs));
+        selectable.remove(holder);
+        return toChoice(chooseFallback(targets, selectable, ranked, request, nowMs));
     }
 
-    private static EngineChoice choice(EngineEntry engine) {
+    private static EngineChoice toChoice(EngineEntry engine) {
         return engine == null ? EngineChoice.none(false) : EngineChoice.of(engine);
     }
 
-    /** Engines that have a place beside those that the rules reserve for other classes. */
-    private List<EngineEntry> withFreePlaces(
+    /** Returns the engines that have free capacity apart from what is reserved for other request classes. */
+    private List<EngineEntry> withFreeCapacity(
             SelectionRequest request, FleetConfig.Service service, Candidates candidates, long nowMs) {
         double reservedShare = request.preference().reservedShare();
-        List<EngineEntry> open = new ArrayList<>(candidates.healthy().size());
+        List<EngineEntry> selectable = new ArrayList<>(candidates.healthy().size());
         for (EngineEntry engine : candidates.healthy()) {
-            if (candidates.isOpen(engine)
+            if (candidates.isSelectable(engine)
                     && warmupLimiter.permits(engine, service, nowMs)
-                    && engine.load().running(nowMs) < places(engine, reservedShare)) {
-                open.add(engine);
+                    && engine.load().running(nowMs) < unreservedCapacity(engine, reservedShare)) {
+                selectable.add(engine);
             }
         }
-        return open;
+        return selectable;
     }
 
-    private static int places(EngineEntry engine, double reservedShare) {
+    private static int unreservedCapacity(EngineEntry engine, double reservedShare) {
         return reservedShare <= 0 ? Integer.MAX_VALUE : Math.max(1, (int) (engine.capacity() * (1 - reservedShare)));
     }
 
     private static boolean isAvailable(EngineEntry holder, Candidates candidates, long nowMs) {
         return candidates.healthy().contains(holder)
-                && !candidates.isPassedOver(holder)
+                && !candidates.isSkippedAsUnreachable(holder)
                 && !holder.slowStart().isWarmingUp(nowMs);
     }
 
-    private EngineEntry firstFallback(
+    private EngineEntry chooseFallback(
             List<FallbackTarget> targets,
-            List<EngineEntry> open,
+            List<EngineEntry> selectable,
             List<EngineEntry> ranked,
             SelectionRequest request,
             long nowMs) {
         EngineEntry holder = ranked.get(0);
-        long dueMs = 0;
+        long eligibleAfterMs = 0;
         for (FallbackTarget target : targets) {
-            dueMs += target.waitMs();
-            if (request.preference().waitedMs() < dueMs) {
+            eligibleAfterMs += target.waitMs();
+            if (request.preference().waitedMs() < eligibleAfterMs) {
                 return null;
             }
-            EngineEntry best = costModel.cheapest(atTarget(target, open, ranked), holder, request, nowMs);
+            EngineEntry best = costModel.cheapest(enginesAt(target, selectable, ranked), holder, request, nowMs);
             if (best != null) {
                 return best;
             }
@@ -101,12 +101,12 @@
         return null;
     }
 
-    private List<EngineEntry> atTarget(FallbackTarget target, List<EngineEntry> open, List<EngineEntry> ranked) {
+    private List<EngineEntry> enginesAt(FallbackTarget target, List<EngineEntry> selectable, List<EngineEntry> ranked) {
         if (target.scope() == FallbackTarget.Scope.NEXT) {
-            return nextByRank(open, ranked);
+            return nextByRank(selectable, ranked);
         }
         List<EngineEntry> engines = new ArrayList<>();
-        for (EngineEntry engine : open) {
+        for (EngineEntry engine : selectable) {
             if (isWithin(engine, target)) {
                 engines.add(engine);
             }
@@ -114,11 +114,14 @@
         return engines;
     }
 
-    /** The engine that would hold the prefix if the holder were not there, if it is open; else none. */
-    private static List<EngineEntry> nextByRank(List<EngineEntry> open, List<EngineEntry> ranked) {
+    /**
+     * Returns the first engine by rank after the prefix holder that is neither draining nor ejected, if it is
+     * selectable.
+     */
+    private static List<EngineEntry> nextByRank(List<EngineEntry> selectable, List<EngineEntry> ranked) {
         for (EngineEntry engine : ranked.subList(1, ranked.size())) {
             if (!engine.isDraining() && !engine.ejection().isEjected()) {
-                return open.contains(engine) ? List.of(engine) : List.of();
+                return selectable.contains(engine) ? List.of(engine) : List.of();
             }
         }
         return List.of();
@@ -133,7 +136,7 @@
         };
     }
 
-    /** Mean of the tokens in flight. The quotients are added, as sums of doubles depend on the order. */
+    /** Returns the mean of the tokens in flight. Dividing the sum instead would round differently. */
     private static double meanTokens(List<EngineEntry> engines, long nowMs) {
         double mean = 0;
         for (EngineEntry engine : engines) {
--- a/src/main/java/ringspindle/loadbalancing/SlowStart.java
+++ b/src/main/java/ringspindle/loadbalancing/SlowStart.java
@@ -1,8 +1,8 @@
 package ringspindle.loadbalancing;
 
 /**
- * Slow start of one engine: until when it warms up, and what this node has used of its share of the rate that a warming
- * engine takes. {@link WarmupLimiter} decides by it. Confined to the lock of {@link EngineTableLoadBalancer}.
+ * Slow start state of one engine: the end of its warm-up, and how much of its share of the warm-up rate this node has
+ * used. {@link WarmupLimiter} applies the limits. Confined to the lock of {@link EngineTableLoadBalancer}.
  */
 final class SlowStart {
     private static final long NO_SLOT = Long.MIN_VALUE;
@@ -20,7 +20,9 @@
         return untilMs > nowMs;
     }
 
-    /** The engine warms up at least until then; one that was warm begins without tokens. */
+    /**
+     * Extends the warm-up to at least that time; an engine that was not warming up starts with an empty token bucket.
+     */
     void extend(long newUntilMs, long nowMs) {
         if (untilMs <= nowMs) {
             tokens = 0;
@@ -32,12 +34,12 @@
     /**
      * Refills the token bucket.
      *
-     * @param perS tokens per second
-     * @param burst most tokens that the bucket holds
-     * @return true if a whole token is there
+     * @param ratePerS tokens per second
+     * @param burst capacity of the bucket
+     * @return true if the bucket has a whole token
      */
-    boolean refill(double perS, double burst, long nowMs) {
-        tokens = Math.min(burst, tokens + perS * Math.max(0, nowMs - refilledMs) / 1000);
+    boolean refill(double ratePerS, double burst, long nowMs) {
+        tokens = Math.min(burst, tokens + ratePerS * Math.max(0, nowMs - refilledMs) / 1000);
         refilledMs = nowMs;
         return tokens >= 1;
     }
--- a/src/main/java/ringspindle/loadbalancing/WarmupLimiter.java
+++ b/src/main/java/ringspindle/loadbalancing/WarmupLimiter.java
@@ -4,20 +4,21 @@
 import ringspindle.config.NodeConfig;
 
 /**
- * This node's share of the request rate that a warming engine takes, so that all nodes together stay within it.
+ * Limits the request rate to warming engines to this node's share, so that all nodes together stay within the rate that
+ * the service configures.
  *
- * <p>With few nodes each has a token bucket an engine. With so many that a node's burst would be less than one request,
- * each node has a slot in turn instead, in which it may send one request. An unused slot is lost, so that shares cannot
- * pile up.
+ * <p>With few nodes, each node has a token bucket per engine. With so many nodes that a node's burst would be less than
+ * one request, each node instead has a recurring time slot in which it may send one request. Unused slots expire, so
+ * that shares cannot accumulate.
  *
  * <p>Confined to the lock of {@link EngineTableLoadBalancer}.
  */
 final class WarmupLimiter {
-    /** Share of the rate that is given out as tokens. */
+    /** Share of the rate that is distributed by token buckets. */
     private static final double TOKEN_SHARE = 0.9;
-    /** Share of the rate that is given out as slots. */
+    /** Share of the rate that is distributed by time slots. */
     private static final double SLOT_SHARE = 0.6;
-    /** How long a slot is open, in ms. */
+    /** Length of a time slot. */
     private static final int SLOT_OPEN_MS = 500;
 
     private static final long NO_SLOT = -1;
@@ -35,27 +36,27 @@
         settings = newSettings;
     }
 
-    /** Whether the engine may get a request now: always when it is warm, else within this node's share. */
+    /** Returns true if the engine is not warming up, or if this node may send it a request within its share. */
     boolean permits(EngineEntry engine, FleetConfig.Service service, long nowMs) {
-        return !engine.slowStart().isWarmingUp(nowMs) || hasShare(engine, service, nowMs);
+        return !engine.slowStart().isWarmingUp(nowMs) || hasQuota(engine, service, nowMs);
     }
 
-    private boolean hasShare(EngineEntry engine, FleetConfig.Service service, long nowMs) {
-        double perS = service == null ? DEFAULT_RATE_PER_S : service.warmupPerS();
-        if (perS <= 0) {
+    private boolean hasQuota(EngineEntry engine, FleetConfig.Service service, long nowMs) {
+        double ratePerS = service == null ? DEFAULT_RATE_PER_S : service.warmupPerS();
+        if (ratePerS <= 0) {
             return true;
         }
         int nodes = quotaShare.nodes(nowMs);
-        double burst = QuotaShare.USED_PART
-                * (perS * (settings.warmupOverrun() - TOKEN_SHARE) + settings.warmupSlack())
+        double burst = QuotaShare.USED_FRACTION
+                * (ratePerS * (settings.warmupOverrun() - TOKEN_SHARE) + settings.warmupSlack())
                 / nodes;
         if (burst < 1) {
-            return slot(engine, perS, nodes, nowMs) != NO_SLOT;
+            return slot(engine, ratePerS, nodes, nowMs) != NO_SLOT;
         }
-        return engine.slowStart().refill(TOKEN_SHARE * perS / nodes, burst, nowMs);
+        return engine.slowStart().refill(TOKEN_SHARE * ratePerS / nodes, burst, nowMs);
     }
 
-    /** The engine was selected: takes a request of this node's share if it warms up. */
+    /** Uses up one request of this node's share if the selected engine is warming up. */
     void take(EngineEntry engine, FleetConfig.Service service, long nowMs) {
         SlowStart slowStart = engine.slowStart();
         if (!slowStart.isWarmingUp(nowMs)) {
@@ -71,9 +72,10 @@
         }
     }
 
-    /** The slot that this node has now at the engine; {@link #NO_SLOT} if it has none or has used it. */
-    private long slot(EngineEntry engine, double perS, int nodes, long nowMs) {
-        long periodMs = Math.max(SLOT_OPEN_MS, (long) (1000 * nodes / (SLOT_SHARE * perS)));
+    /** Returns this node's current time slot for the engine; {@link #NO_SLOT} if it has none or has used it. */
+    private long slot(EngineEntry engine, double ratePerS, int nodes, long nowMs) {
+        long periodMs = Math.max(SLOT_OPEN_MS, (long) (1000 * nodes / (SLOT_SHARE * ratePerS)));
+        // the golden ratio constant spreads the 32-bit hash code over 64 bits
         long nodeHash = settings.name().hashCode() * 0x9E3779B97F4A7C15L;
         long phaseMs = Math.floorMod(RendezvousHash.mix(engine.key() ^ nodeHash), periodMs);
         long shiftedMs = nowMs + phaseMs;
--- a/src/main/java/ringspindle/loadbalancing/ZoneEvacuations.java
+++ b/src/main/java/ringspindle/loadbalancing/ZoneEvacuations.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /**
- * Zones that are evacuated, and until when engines of a zone that was evacuated warm up. Confined to the lock of {@link
+ * Evacuated zones, and the end of the slow start of zones whose evacuation has ended. Confined to the lock of {@link
  * EngineTableLoadBalancer}.
  */
 final class ZoneEvacuations {
@@ -21,17 +21,17 @@
         evacuated.add(zone);
     }
 
-    /** Ends an evacuation; false if there was none. */
+    /** Ends the evacuation of a zone; false if the zone was not evacuated. */
     boolean end(String zone) {
         return evacuated.remove(zone);
     }
 
-    /** Engines of the zone warm up until then, also those that report later. */
+    /** Sets the end of the slow start of a zone, which also applies to engines that report later. */
     void startSlowStart(String zone, long untilMs) {
         slowStartUntilMs.put(zone, untilMs);
     }
 
-    /** Until when engines of the zone warm up, in ms of steady time; long past if they do not. */
+    /** Returns the end of the slow start of a zone, in ms of monotonic time; in the distant past if there is none. */
     long slowStartUntilMs(String zone) {
         return slowStartUntilMs.getOrDefault(zone, Long.MIN_VALUE);
     }
--- a/src/test/java/ringspindle/loadbalancing/StaleLoadTest.java
+++ b/src/test/java/ringspindle/loadbalancing/StaleLoadTest.java
@@ -17,35 +17,39 @@
 import ringspindle.retry.AttemptOutcome;
 import ringspindle.telemetry.EngineKey;
 
-/** Many nodes that know of each other's load a second late: no engine gets more than it runs at a time while others are idle. */
+/**
+ * Guards against many nodes overloading one engine at the same time. Each node learns the load of the others a second
+ * late, so nodes that compare all engines all select the one that the last update shows as idle.
+ */
 class StaleLoadTest {
     private static final int NODES = 60;
     private static final int ENGINES = 40;
-    /** A quarter of what the engines run at a time, on average. */
-    private static final int PLACES = 16;
+    /** Number of requests that an engine can run concurrently. */
+    private static final int MAX_RUNNING_PER_ENGINE = 16;
 
     private static final int RUN_MS = 640;
-    private static final int SUMS_PERIOD_MS = 1000;
-    private static final int DAY_MS = 12_000;
-    private static final double ARRIVALS_PER_MS = 0.25 * ENGINES * PLACES / RUN_MS;
+    private static final int LOAD_UPDATE_PERIOD_MS = 1000;
+    private static final int DURATION_MS = 12_000;
+    /** Keeps a quarter of the capacity of all engines in use, on average. */
+    private static final double ARRIVALS_PER_MS = 0.25 * ENGINES * MAX_RUNNING_PER_ENGINE / RUN_MS;
 
-    /** A request that runs. */
-    private record Run(int node, String engine, long endMs) {}
+    private record RunningRequest(int node, String engine, long endMs) {}
 
-    /** Nodes before engines that all run what they are sent at once. */
+    /** Nodes and engines; every engine runs all its requests concurrently. */
     private static final class Fleet {
         private final Random random;
         private final List<LoadBalancer> nodes = new ArrayList<>();
-        private final PriorityQueue<Run> runs = new PriorityQueue<>(Comparator.comparingLong(Run::endMs));
-        private final Map<String, Integer> running = new HashMap<>();
-        private int most;
+        private final PriorityQueue<RunningRequest> runningRequests =
+                new PriorityQueue<>(Comparator.comparingLong(RunningRequest::endMs));
+        private final Map<String, Integer> runningByEngine = new HashMap<>();
+        private int maxRunning;
 
-        /** A fleet whose nodes are told that so many share the engines. */
-        Fleet(long seed, int nodesTold) {
+        /** Creates a fleet whose leases say that {@code leaseNodes} nodes share the engines. */
+        Fleet(long seed, int leaseNodes) {
             random = new Random(seed);
             for (int node = 0; node < NODES; node++) {
                 LoadBalancer loadBalancer = LoadBalancers.create("n" + node, "a1", "a");
-                loadBalancer.updateLease(new Lease(1, nodesTold, 10 * DAY_MS), 0);
+                loadBalancer.updateLease(new Lease(1, leaseNodes, 10 * DURATION_MS), 0);
                 for (int engine = 1; engine <= ENGINES; engine++) {
                     loadBalancer.updateEngine("i-" + engine, LoadBalancers.engine("a1", engine, 0, false), 1, 0);
                 }
@@ -53,20 +57,20 @@
             }
         }
 
-        int mostAtOneEngine() {
-            for (long nowMs = 10_000; nowMs < 10_000 + DAY_MS; nowMs++) {
-                end(nowMs);
-                if (nowMs % SUMS_PERIOD_MS == 0) {
-                    tellSums(nowMs);
+        int runAndGetMaxRunning() {
+            for (long nowMs = 10_000; nowMs < 10_000 + DURATION_MS; nowMs++) {
+                endRequests(nowMs);
+                if (nowMs % LOAD_UPDATE_PERIOD_MS == 0) {
+                    updateLoads(nowMs);
                 }
                 if (random.nextDouble() < ARRIVALS_PER_MS) {
-                    start(nowMs);
+                    startRequest(nowMs);
                 }
             }
-            return most;
+            return maxRunning;
         }
 
-        private SelectionRequest request() {
+        private SelectionRequest createRequest() {
             return SelectionRequests.of("s")
                     .prompt(0, 0, 300)
                     .output(270)
@@ -74,24 +78,25 @@
                     .build();
         }
 
-        private void start(long nowMs) {
+        private void startRequest(long nowMs) {
             int node = random.nextInt(NODES);
-            String engine = LoadBalancers.id(nodes.get(node).select(request(), nowMs));
-            runs.add(new Run(node, engine, nowMs + RUN_MS / 2 + random.nextInt(RUN_MS)));
-            most = Math.max(most, running.merge(engine, 1, Integer::sum));
+            String engine = LoadBalancers.id(nodes.get(node).select(createRequest(), nowMs));
+            runningRequests.add(new RunningRequest(node, engine, nowMs + RUN_MS / 2 + random.nextInt(RUN_MS)));
+            maxRunning = Math.max(maxRunning, runningByEngine.merge(engine, 1, Integer::sum));
         }
 
-        private void end(long nowMs) {
-            while (!runs.isEmpty() && runs.peek().endMs() <= nowMs) {
-                Run run = runs.poll();
-                running.merge(run.engine(), -1, Integer::sum);
-                nodes.get(run.node()).onAttemptEnded(run.engine(), request(), AttemptOutcome.ANSWERED, 20, nowMs);
+        private void endRequests(long nowMs) {
+            while (!runningRequests.isEmpty() && runningRequests.peek().endMs() <= nowMs) {
+                RunningRequest request = runningRequests.poll();
+                runningByEngine.merge(request.engine(), -1, Integer::sum);
+                nodes.get(request.node())
+                        .onAttemptEnded(request.engine(), createRequest(), AttemptOutcome.ANSWERED, 20, nowMs);
             }
         }
 
-        private void tellSums(long nowMs) {
+        private void updateLoads(long nowMs) {
             List<EngineLoad> rows = new ArrayList<>();
-            running.forEach(
+            runningByEngine.forEach(
                     (engine, count) -> rows.add(new EngineLoad(EngineKey.of(engine), count, 0, count, count * 570L)));
             for (LoadBalancer node : nodes) {
                 node.summarizeLoad(nowMs);
@@ -101,17 +106,17 @@
     }
 
     @Test
-    void noEngineIsOverrunWhileOthersAreIdle() {
+    void noEngineIsOverloadedWhileOthersAreIdle() {
         for (long seed = 1; seed <= 6; seed++) {
-            int most = new Fleet(seed, NODES).mostAtOneEngine();
-            assertTrue(most <= PLACES, "seed " + seed + ": " + most);
+            int maxRunning = new Fleet(seed, NODES).runAndGetMaxRunning();
+            assertTrue(maxRunning <= MAX_RUNNING_PER_ENGINE, "seed " + seed + ": " + maxRunning);
         }
     }
 
-    /** Nodes that take themselves for few all send to the engine that the last sums show as idle. */
+    /** Nodes that assume to be few compare all engines, so all select the engine that the last update shows as idle. */
     @Test
-    void nodesThatCompareAllEnginesAreSeen() {
-        int most = new Fleet(1, RandomSubset.FULL_VIEW_NODES_MAX).mostAtOneEngine();
-        assertTrue(most > PLACES, "" + most);
+    void comparingAllEnginesOverloadsOne() {
+        int maxRunning = new Fleet(1, RandomSubset.MAX_NODES_COMPARING_ALL).runAndGetMaxRunning();
+        assertTrue(maxRunning > MAX_RUNNING_PER_ENGINE, "" + maxRunning);
     }
 }
