--- a/src/main/java/ringspindle/proxy/AttemptConnection.java
+++ b/src/main/java/ringspindle/proxy/AttemptConnection.java
@@ -4,16 +4,16 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * The connection of one attempt, from when it is acquired until it goes back to the pool or is closed. Guarded by the lock of
- * the request, but for the note that the request is written, which Jetty gives from threads of its own.
+ * Owns the connection of one attempt from its acquisition until it returns to the pool or is closed. Guarded by the
+ * lock of the request, except for {@link #requestWritten}, which Jetty sets on its own threads.
  */
 final class AttemptConnection {
-    /** An idle connection that the engine has forgotten is reset within this. */
-    private static final int FORGOTTEN_RESET_MS = 150;
+    /** A connection that the engine had dropped while idle is reset within this time after a send. */
+    private static final int STALE_RESET_MS = 150;
 
     private final EngineConnectionPool pool;
-    /** Null before it is acquired and after it is given up. */
-    private PooledConnection held;
+    /** Null before the connection is acquired and after it is released or closed. */
+    private PooledConnection connection;
 
     private volatile boolean requestWritten;
 
@@ -21,42 +21,45 @@
         this.pool = pool;
     }
 
-    /** The attempt goes out over that connection. */
+    /** Takes ownership of the connection over which the attempt is sent. */
     void attach(PooledConnection acquired, Request engineRequest) {
-        held = acquired;
+        connection = acquired;
         engineRequest.onRequestSuccess(written -> requestWritten = true);
     }
 
-    /** True once the engine was sent the whole request. */
+    /** Returns true once the whole request was written to the engine. */
     boolean isRequestWritten() {
         return requestWritten;
     }
 
     /**
-     * The engine has answered: the connection may carry another request. Not if this one is not written whole, since the
-     * engine may still wait for the rest of it; such a connection stays here until the attempt ends and closes it.
+     * Returns the connection to the pool after a complete response. A connection whose request is not fully written
+     * stays with the attempt and is closed when it ends, because the engine may still expect the rest of the request.
      */
-    void release(HttpFields answerHead) {
+    void release(HttpFields responseHeaders) {
         if (requestWritten) {
-            pool.release(held, answerHead);
-            held = null;
+            pool.release(connection, responseHeaders);
+            connection = null;
         }
     }
 
-    /** Closes the connection; nothing if there is none. */
+    /** Closes the connection, if there is one. */
     void discard() {
-        if (held != null) {
-            PooledConnection discarded = held;
-            held = null;
+        if (connection != null) {
+            PooledConnection discarded = connection;
+            connection = null;
             pool.discard(discarded);
         }
     }
 
-    /** A reused connection that was reset at once had been closed by the engine before: that is no fault of the engine. */
+    /**
+     * Records a reused connection that was reset right after the send as stale: the engine had closed it earlier, so
+     * this does not count as a failure of the engine.
+     */
     void recordIfStale(AttemptTiming timing, long nowMs) {
-        if (held != null && held.isReused() && timing.wasSentWithin(FORGOTTEN_RESET_MS, nowMs)) {
+        if (connection != null && connection.isReused() && timing.wasSentWithin(STALE_RESET_MS, nowMs)) {
             timing.onStaleConnection();
-            pool.recordStale(held);
+            pool.recordStale(connection);
         }
     }
 }
--- a/src/main/java/ringspindle/proxy/AttemptTiming.java
+++ b/src/main/java/ringspindle/proxy/AttemptTiming.java
@@ -2,12 +2,12 @@
 
 import ringspindle.loadbalancing.LoadBalancer;
 
-/** When an attempt was sent and what was heard of it, in ms of the steady clock. Guarded by its owner. */
+/** Records when an attempt was sent and last received data, in ms of the monotonic clock. Guarded by its owner. */
 final class AttemptTiming {
-    private static final long NOT_YET = -1;
+    private static final long NOT_SET = -1;
 
-    private long sentMs = NOT_YET;
-    private long firstByteMs = NOT_YET;
+    private long sentMs = NOT_SET;
+    private long firstByteMs = NOT_SET;
     private long lastActivityMs;
 
     AttemptTiming(long nowMs) {
@@ -23,7 +23,7 @@
         lastActivityMs = nowMs;
     }
 
-    /** Bytes of the body came; true if they are the first. */
+    /** Records received bytes of the body; returns true if they are the first. */
     boolean onBodyBytes(long nowMs) {
         lastActivityMs = nowMs;
         boolean first = firstByteMs < 0;
@@ -31,20 +31,20 @@
         return first;
     }
 
-    /** The engine had closed the connection before: the time says nothing of the engine. */
+    /** Marks the latency as meaningless because the engine had already closed the connection. */
     void onStaleConnection() {
         firstByteMs = LoadBalancer.STALE_MS;
     }
 
     boolean wasSent() {
-        return sentMs != NOT_YET;
+        return sentMs != NOT_SET;
     }
 
     boolean wasSentWithin(int periodMs, long nowMs) {
         return nowMs - sentMs < periodMs;
     }
 
-    /** From sending to the first byte of the body; negative if there was none, or it says nothing. */
+    /** Returns the time from the send to the first byte of the body; negative if none came or it is meaningless. */
     long firstByteMs() {
         return firstByteMs;
     }
--- a/src/main/java/ringspindle/proxy/BodyDeadline.java
+++ b/src/main/java/ringspindle/proxy/BodyDeadline.java
@@ -3,8 +3,8 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * The deadline of a request whose body is still on its way: either the body comes first or the deadline does, and only the
- * first has an effect. Thread safe.
+ * Deadline for receiving the body of a request. Either the body or the deadline comes first, and only the first of them
+ * has an effect. Thread safe.
  */
 final class BodyDeadline {
     private enum State {
@@ -13,16 +13,20 @@
         PASSED
     }
 
-    private final Runnable onPassed;
+    private final Runnable onExpired;
     private State state = State.OPEN;
     private Scheduler.Task timer;
 
-    /** Runs that if the deadline comes before the body is whole. */
-    BodyDeadline(Runnable onPassed) {
-        this.onPassed = onPassed;
+    /**
+     * Creates an open deadline.
+     *
+     * @param onExpired runs if the deadline expires before the body is complete
+     */
+    BodyDeadline(Runnable onExpired) {
+        this.onExpired = onExpired;
     }
 
-    /** The timer that will call {@link #expire}. */
+    /** Sets the timer that will call {@link #expire}; cancels it if the deadline is already met or expired. */
     synchronized void setTimer(Scheduler.Task timer) {
         if (state == State.OPEN) {
             this.timer = timer;
@@ -35,7 +39,7 @@
         return state == State.MET;
     }
 
-    /** The body is whole, or its reading has failed; false if the client has its answer already. */
+    /** Marks the body as complete or failed; returns false if the deadline expired and the client was answered. */
     synchronized boolean markMet() {
         if (state != State.OPEN) {
             return false;
@@ -47,7 +51,7 @@
         return true;
     }
 
-    /** The deadline has come. */
+    /** Called by the timer; has no effect if the body came first. */
     void expire() {
         synchronized (this) {
             if (state != State.OPEN) {
@@ -55,6 +59,6 @@
             }
             state = State.PASSED;
         }
-        onPassed.run();
+        onExpired.run();
     }
 }
--- a/src/main/java/ringspindle/proxy/ClientEndPoint.java
+++ b/src/main/java/ringspindle/proxy/ClientEndPoint.java
@@ -23,38 +23,40 @@
 import ringspindle.time.MonotonicClock;
 
 /**
- * The end point of a client's connection, which notices that the client closes it while its request is at work. Jetty's
- * HTTP/1.1 reads nothing in that time, so this reads into a small buffer of its own and hands those bytes, which are of a
- * following request, to Jetty's parser afterwards. It also ends connections whose next head takes longer than the
- * configuration allows; of a head that came in part behind the request before, the time counts from its next bytes on.
+ * End point of a client's connection that detects when the client closes it while a request is being processed. Jetty's
+ * HTTP/1.1 connection reads nothing during that time, so this class reads ahead into a small buffer and later hands
+ * these bytes, which belong to the next request, to Jetty's parser.
  *
- * <p>A reset and an orderly close are not told apart here, as either way the client is gone; a request whose body is cut
- * short fails by its own framing.
+ * <p>It also closes connections whose next request headers take longer than the configured limit. If a part of them
+ * arrived together with the previous request, the limit applies from the next received bytes on.
+ *
+ * <p>A reset and an orderly close are treated alike, since the client is gone in both cases; a request with a truncated
+ * body fails because of its framing.
  */
 final class ClientEndPoint extends SocketChannelEndPoint {
-    /** So many bytes of following requests are read ahead at most. */
-    private static final int READ_AHEAD_MAX = 16384;
+    /** The maximum number of bytes of later requests that are read ahead. */
+    private static final int MAX_READ_AHEAD_BYTES = 16384;
 
-    private static final int READ_BYTES = 2048;
-    /** A timer that is later than this, in ms, says that this node stood still and not that the client is slow. */
-    private static final int STALL_MS = 250;
+    private static final int READ_BUFFER_BYTES = 2048;
+    /** A timer that fires later than this indicates a pause of this process rather than a slow client. */
+    private static final int PAUSE_THRESHOLD_MS = 250;
 
-    private static final byte[] HEAD_TIMEOUT = ("HTTP/1.1 408 Request Timeout\r\nConnection: close\r\n"
+    private static final byte[] HEADER_TIMEOUT_RESPONSE = ("HTTP/1.1 408 Request Timeout\r\nConnection: close\r\n"
                     + "Content-Length: 0\r\n\r\n")
             .getBytes(StandardCharsets.ISO_8859_1);
 
-    /** Accepts connections whose end points are of this kind. */
+    /** Accepts connections with end points of this type. */
     static final class Connector extends ServerConnector {
-        /** How long a client may take for the head of a request, in ms; default as in the configuration. */
-        private volatile int headTimeoutMs = FleetConfig.Limits.DEFAULT_HEADER_MS;
+        /** How long a client may take to send the headers of a request. */
+        private volatile int headerTimeoutMs = FleetConfig.Limits.DEFAULT_HEADER_MS;
 
         Connector(Server server, Executor pool, Scheduler scheduler, ConnectionFactory... factories) {
             super(server, pool, scheduler, null, 0, 1, factories);
         }
 
-        /** From now on the head of a request may take so long, in ms. */
+        /** Sets how long a client may take to send the headers of a request, in ms. */
         void setHeadTimeout(int timeoutMs) {
-            headTimeoutMs = timeoutMs;
+            headerTimeoutMs = timeoutMs;
         }
 
         @Override
@@ -65,7 +67,7 @@
             return endPoint;
         }
 
-        /** Registers the end point; a limit that was raised since it was made holds for it as well. */
+        /** Applies an idle timeout that was raised since the end point was created to this end point as well. */
         @Override
         protected void onEndPointOpened(EndPoint opened) {
             super.onEndPointOpened(opened);
@@ -76,22 +78,22 @@
     private final Connector connector;
     private final Executor pool;
     private final MonotonicClock clock = MonotonicClock.system();
-    /** Guards all fields below; nothing of others is called under it but Jetty's own reading. */
+    /** Guards all fields below; no foreign code is called under it except for Jetty's own read methods. */
     private final Object lock = new Object();
     /** Bytes that were read ahead, null if there are none. */
     private ByteBuffer readAhead;
-    /** The client's side has ended. */
-    private boolean ended;
-    /** The watcher waits for the client's bytes. */
+    /** True once reading from the client ended with a close or a failure. */
+    private boolean inputClosed;
+    /** True while the watcher waits for bytes from the client. */
     private boolean watcherRegistered;
-    /** Jetty's reader, where it wants to wait while the watcher is registered. */
+    /** Jetty's reader, if it is to be notified while the watcher is registered. */
     private Callback waitingReader;
-    /** What is to be run once the client is gone, null if nobody watches. */
+    /** Runs when the client has closed the connection; null while it is not watched. */
     private Runnable onClientGone;
-    /** Where the client is with its next request. */
-    private final HeadProgress head = new HeadProgress();
+    /** How far the next request's headers have been received. */
+    private final HeadProgress headProgress = new HeadProgress();
 
-    private boolean headTimerSet;
+    private boolean headerTimerScheduled;
 
     private final Callback watcher = new Callback() {
         @Override
@@ -121,84 +123,84 @@
         pool = connector.getExecutor();
     }
 
-    /** The head of a request is whole. */
+    /** Called when the headers of a request are complete. */
     void onHead() {
         synchronized (lock) {
-            head.onHead();
+            headProgress.onHead();
         }
     }
 
-    /** The answer to the request is complete; the next one may come. */
+    /** Called when the response is complete, so that the next request may follow. */
     void onRequestEnded() {
         synchronized (lock) {
-            head.onRequestEnded();
+            headProgress.onRequestEnded();
         }
     }
 
-    /** Jetty wants more bytes: if they are of a head, its time is limited. */
-    private void limitHead() {
+    /** Called when Jetty waits for more bytes: schedules the header timer if headers are being received. */
+    private void ensureHeaderTimer() {
         synchronized (lock) {
-            if (!parsesHead()) {
-                head.onNoHead();
+            if (!isParsingHeaders()) {
+                headProgress.onNoHead();
             }
-            if (head.isInHead() && !headTimerSet) {
-                headTimerSet = true;
-                scheduleHeadTimer(head.leftMs(connector.headTimeoutMs, clock.nowMs()));
+            if (headProgress.isInHead() && !headerTimerScheduled) {
+                headerTimerScheduled = true;
+                scheduleHeaderTimer(headProgress.remainingMs(connector.headerTimeoutMs, clock.nowMs()));
             }
         }
     }
 
-    private void scheduleHeadTimer(long inMs) {
-        long dueMs = clock.nowMs() + Math.max(1, inMs);
-        getScheduler().schedule(() -> onHeadTimer(dueMs), Math.max(1, inMs), TimeUnit.MILLISECONDS);
+    private void scheduleHeaderTimer(long delayMs) {
+        long dueMs = clock.nowMs() + Math.max(1, delayMs);
+        getScheduler().schedule(() -> onHeaderTimer(dueMs), Math.max(1, delayMs), TimeUnit.MILLISECONDS);
     }
 
-    /** False where the bytes that came were the rest of an answered request, and no next one has begun. */
-    private boolean parsesHead() {
+    /** Returns false if the received bytes were the rest of an answered request, and no next request has begun. */
+    private boolean isParsingHeaders() {
         HttpParser parser = getConnection() instanceof HttpConnection http ? http.getParser() : null;
         return parser != null && parser.inHeaderState() && !parser.isStart();
     }
 
-    private void onHeadTimer(long dueMs) {
+    private void onHeaderTimer(long dueMs) {
         synchronized (lock) {
             long nowMs = clock.nowMs();
-            if (nowMs - dueMs > STALL_MS) {
-                head.restart(nowMs);
+            if (nowMs - dueMs > PAUSE_THRESHOLD_MS) {
+                headProgress.restart(nowMs);
             }
-            long leftMs = head.leftMs(connector.headTimeoutMs, nowMs);
-            if (!parsesHead()) {
-                head.onNoHead();
+            long remainingMs = headProgress.remainingMs(connector.headerTimeoutMs, nowMs);
+            if (!isParsingHeaders()) {
+                headProgress.onNoHead();
             }
-            if (!head.isInHead() || !isOpen()) {
-                headTimerSet = false;
+            if (!headProgress.isInHead() || !isOpen()) {
+                headerTimerScheduled = false;
                 return;
             }
-            if (leftMs > 0) {
-                scheduleHeadTimer(leftMs);
+            if (remainingMs > 0) {
+                scheduleHeaderTimer(remainingMs);
                 return;
             }
         }
         Callback closing = Callback.from(this::close);
-        write(closing, ByteBuffer.wrap(HEAD_TIMEOUT));
+        write(closing, ByteBuffer.wrap(HEADER_TIMEOUT_RESPONSE));
     }
 
-    /** From now on a close by the client runs that; the request must have been read whole. */
+    /** Watches for a close by the client, which runs {@code clientGone}; the request must have been read completely. */
     void watch(Runnable clientGone) {
-        boolean alreadyEnded;
+        boolean alreadyClosed;
         synchronized (lock) {
             onClientGone = clientGone;
-            alreadyEnded = ended;
-            if (!alreadyEnded && !watcherRegistered && waitingReader == null && readAhead == null) {
+            alreadyClosed = inputClosed;
+            if (!alreadyClosed && !watcherRegistered && waitingReader == null && readAhead == null) {
                 watcherRegistered = true;
                 super.fillInterested(watcher);
             }
         }
-        if (alreadyEnded) {
+        if (alreadyClosed) {
             clientGone.run();
         }
     }
 
-    /** The request is over. */
+    /** Stops watching at the end of the request. */
     void unwatch() {
         synchronized (lock) {
             onClientGone = null;
@@ -214,7 +216,7 @@
                 reader = waitingReader;
                 waitingReader = null;
             } else {
-                clientGone = readAheadOrEnd();
+                clientGone = readAheadOrDetectClose();
             }
         }
         if (reader != null) {
@@ -225,36 +227,36 @@
         }
     }
 
-    /** Reads what has come and waits for more; returns what is to be run if that was the end, else null. */
-    private Runnable readAheadOrEnd() {
-        ByteBuffer bytes = BufferUtil.allocate(READ_BYTES);
+    /** Reads the available bytes and waits for more; returns the task to run if the client closed, else null. */
+    private Runnable readAheadOrDetectClose() {
+        ByteBuffer bytes = BufferUtil.allocate(READ_BUFFER_BYTES);
         int filled;
         try {
             filled = super.fill(bytes);
-        } catch (IOException closedHere) {
+        } catch (IOException closedLocally) {
             filled = -1;
         }
         if (filled < 0) {
-            ended = true;
+            inputClosed = true;
             return onClientGone;
         }
         if (filled > 0) {
-            keep(bytes);
+            appendReadAhead(bytes);
         }
-        if (filled == 0 || readAhead.remaining() < READ_AHEAD_MAX) {
+        if (filled == 0 || readAhead.remaining() < MAX_READ_AHEAD_BYTES) {
             watcherRegistered = true;
             super.fillInterested(watcher);
         }
         return null;
     }
 
-    private void keep(ByteBuffer bytes) {
-        int before = readAhead == null ? 0 : readAhead.remaining();
-        ByteBuffer all = ByteBuffer.allocate(before + bytes.remaining());
+    private void appendReadAhead(ByteBuffer bytes) {
+        int previousLength = readAhead == null ? 0 : readAhead.remaining();
+        ByteBuffer combined = ByteBuffer.allocate(previousLength + bytes.remaining());
         if (readAhead != null) {
-            all.put(readAhead);
+            combined.put(readAhead);
         }
-        readAhead = all.put(bytes).flip();
+        readAhead = combined.put(bytes).flip();
     }
 
     private void onFailure(Throwable failure) {
@@ -266,11 +268,11 @@
             waitingReader = null;
             if (reader == null) {
                 if (failure instanceof TimeoutException) {
-                    // the client is idle, as it should be while it waits
+                    // The idle timeout: the client is expected to send nothing while it waits for the response.
                     watcherRegistered = true;
                     super.fillInterested(watcher);
                 } else {
-                    ended = true;
+                    inputClosed = true;
                     clientGone = onClientGone;
                 }
             }
@@ -283,7 +285,7 @@
         }
     }
 
-    /** The watcher's own waiting does not count: Jetty closes a connection whose reader seems to be left over. */
+    /** Does not count the watcher itself: Jetty would take it for a leftover reader and close the connection. */
     @Override
     public boolean isFillInterested() {
         synchronized (lock) {
@@ -293,17 +295,17 @@
 
     @Override
     public void fillInterested(Callback reader) {
-        limitHead();
+        ensureHeaderTimer();
         if (!register(reader)) {
-            // not here and now: whoever registers is still on its way out of the request before
+            // Not on this thread: the caller is still completing the previous request.
             pool.execute(reader::succeeded);
         }
     }
 
-    /** Lets Jetty's reader wait; false if there is something for it already. */
+    /** Registers Jetty's reader; returns false if there is something to read already. */
     private boolean register(Callback reader) {
         synchronized (lock) {
-            if (readAhead != null || ended) {
+            if (readAhead != null || inputClosed) {
                 return false;
             }
             if (watcherRegistered) {
@@ -317,9 +319,9 @@
 
     @Override
     public boolean tryFillInterested(Callback reader) {
-        limitHead();
+        ensureHeaderTimer();
         synchronized (lock) {
-            if (readAhead == null && !ended) {
+            if (readAhead == null && !inputClosed) {
                 if (!watcherRegistered) {
                     return super.tryFillInterested(reader);
                 }
@@ -338,17 +340,17 @@
     public int fill(ByteBuffer buffer) throws IOException {
         synchronized (lock) {
             if (readAhead != null) {
-                head.onBytes(clock.nowMs());
+                headProgress.onBytes(clock.nowMs());
                 return takeReadAhead(buffer);
             }
-            if (ended) {
+            if (inputClosed) {
                 return -1;
             }
         }
         int filled = super.fill(buffer);
         if (filled > 0) {
             synchronized (lock) {
-                head.onBytes(clock.nowMs());
+                headProgress.onBytes(clock.nowMs());
             }
         }
         return filled;
--- a/src/main/java/ringspindle/proxy/ClientResponse.java
+++ b/src/main/java/ringspindle/proxy/ClientResponse.java
@@ -15,112 +15,112 @@
 import org.eclipse.jetty.util.Callback;
 import ringspindle.api.Outcome;
 
-/** The answer to one client, written from that of an engine. */
+/** Writes the response to one client, from that of an engine or with content of the proxy's own. */
 final class ClientResponse {
-    private static final byte[] NOTHING = {};
-    private static final int RETRY_AFTER_LEAST_MS = 10;
+    private static final byte[] EMPTY = {};
+    private static final int MIN_RETRY_AFTER_MS = 10;
 
     private final Request request;
     private final Response response;
     private final Callback callback;
-    /** Null where nobody asks. */
+    /** Null unless the writes of this response are timed. */
     private volatile ResponseTiming timing;
 
-    /** The response to that request; the callback ends the exchange. */
+    /** Creates the response to a request; the callback completes the exchange. */
     ClientResponse(Request request, Response response, Callback callback) {
         this.request = request;
         this.response = response;
         this.callback = callback;
     }
 
-    /** Sets the head for a stream, whose end is told apart from a break by its last chunk. */
-    void setStreamHead(org.eclipse.jetty.client.Response head, boolean lastOnConnection) {
-        copyHead(head, lastOnConnection);
+    /** Sets status and headers of a stream; its last chunk tells a complete stream from a truncated one. */
+    void setStreamHeaders(org.eclipse.jetty.client.Response engineResponse, boolean closeConnection) {
+        copyHeaders(engineResponse, closeConnection);
         if (request.getConnectionMetaData().getHttpVersion() == HttpVersion.HTTP_1_1) {
-            // else Jetty marks the end by closing where the connection is not kept, and a stream that breaks off would
-            // look complete
+            // Without this Jetty delimits the body of a non-persistent connection by closing it, and a truncated stream
+            // would look complete.
             response.getHeaders().put(HttpHeader.TRANSFER_ENCODING, HttpHeaderValue.CHUNKED.asString());
         }
     }
 
-    /** Sets the head for a body of that length in bytes. */
-    void setHead(org.eclipse.jetty.client.Response head, long length, boolean lastOnConnection) {
-        copyHead(head, lastOnConnection);
+    /** Sets status and headers of a body with {@code length} bytes. */
+    void setHeaders(org.eclipse.jetty.client.Response engineResponse, long length, boolean closeConnection) {
+        copyHeaders(engineResponse, closeConnection);
         response.getHeaders().put(HttpHeader.CONTENT_LENGTH, length);
     }
 
-    private void copyHead(org.eclipse.jetty.client.Response head, boolean lastOnConnection) {
-        response.setStatus(head.getStatus());
+    private void copyHeaders(org.eclipse.jetty.client.Response engineResponse, boolean closeConnection) {
+        response.setStatus(engineResponse.getStatus());
         HttpFields.Mutable fields = response.getHeaders();
-        Set<String> hopByHop = HopByHopHeaders.of(head.getHeaders());
-        for (HttpField field : head.getHeaders()) {
+        Set<String> hopByHop = HopByHopHeaders.of(engineResponse.getHeaders());
+        for (HttpField field : engineResponse.getHeaders()) {
             String name = field.getLowerCaseName();
             if (!hopByHop.contains(name) && !name.equals("content-length")) {
                 fields.add(field);
             }
         }
-        if (lastOnConnection) {
+        if (closeConnection) {
             fields.put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString());
         }
     }
 
-    /** Writes part of the body; one write at a time. */
+    /** Writes a part of the body; only one write may be pending. */
     void write(byte[] part, Callback written) {
-        ResponseTiming asked = timing;
-        if (asked != null) {
-            asked.onWrite();
+        ResponseTiming current = timing;
+        if (current != null) {
+            current.onWrite();
         }
         response.write(false, ByteBuffer.wrap(part), written);
     }
 
-    /** Writes the whole body and ends the exchange. */
+    /** Writes the whole body and completes the exchange. */
     void writeBody(byte[] body) {
         response.write(true, ByteBuffer.wrap(body), callback);
     }
 
-    /** Notes from now on when parts are written; what is written whole is not among them. */
-    void setTiming(ResponseTiming answerTiming) {
-        timing = answerTiming;
+    /** Records the times of later calls of {@link #write}; a body that is written as a whole is not recorded. */
+    void setTiming(ResponseTiming newTiming) {
+        timing = newTiming;
     }
 
-    /** Ends a stream as complete. */
+    /** Completes a stream. */
     void endStream() {
-        response.write(true, ByteBuffer.wrap(NOTHING), callback);
+        response.write(true, ByteBuffer.wrap(EMPTY), callback);
     }
 
-    /** Ends the exchange so that what was written does not look complete. */
+    /** Aborts the exchange, so that what was written so far does not look complete. */
     void abort(Throwable cause) {
         callback.failed(cause);
     }
 
-    /** Ends the exchange with content of the proxy's own. */
-    void respond(String contentType, byte[] body, boolean lastOnConnection) {
+    /** Completes the exchange with status 200 and content of the proxy's own. */
+    void respond(String contentType, byte[] body, boolean closeConnection) {
         response.setStatus(HttpStatus.OK_200);
-        write(contentType, body, lastOnConnection);
+        write(contentType, body, closeConnection);
     }
 
-    private void write(String contentType, byte[] body, boolean lastOnConnection) {
+    private void write(String contentType, byte[] body, boolean closeConnection) {
         HttpFields.Mutable fields = response.getHeaders();
         fields.put(HttpHeader.CONTENT_TYPE, contentType);
         fields.put(HttpHeader.CONTENT_LENGTH, body.length);
-        if (lastOnConnection) {
+        if (closeConnection) {
             fields.put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString());
         }
         writeBody(body);
     }
 
     /**
-     * Ends the exchange with an answer of the proxy's own.
+     * Completes the exchange with an error response of the proxy's own.
      *
-     * @param retryAfterMs when the client may come back, where the outcome promises that nothing ran
+     * @param retryAfterMs when the client may retry; only sent if the outcome guarantees that nothing was executed
      */
-    void respond(Outcome outcome, long retryAfterMs, boolean lastOnConnection) {
+    void respond(Outcome outcome, long retryAfterMs, boolean closeConnection) {
         response.setStatus(outcome.status());
         byte[] body = ("{\"error\":\"" + outcome.name() + "\"}").getBytes(UTF_8);
         if (outcome.notRun()) {
             response.getHeaders()
-                    .put(Headers.RETRY_AFTER, Double.toString(Math.max(RETRY_AFTER_LEAST_MS, retryAfterMs) / 1000.0));
+                    .put(Headers.RETRY_AFTER, Double.toString(Math.max(MIN_RETRY_AFTER_MS, retryAfterMs) / 1000.0));
         }
-        write("application/json", body, lastOnConnection);
+        write("application/json", body, closeConnection);
     }
 }
--- a/src/main/java/ringspindle/proxy/EngineConnectionPool.java
+++ b/src/main/java/ringspindle/proxy/EngineConnectionPool.java
@@ -19,50 +19,51 @@
 import ringspindle.time.MonotonicClock;
 
 /**
- * Open connections to engines, owned here one by one: the HTTP client has no pool or queue of its own and sends nothing
- * again. Thread safe; each engine's connections are guarded by their own lock, and nothing is called under it.
+ * Pool of connections to engines. It replaces the pool and the request queue of the HTTP client, so that the client
+ * never repeats a request by itself. Thread safe; each engine's connections have a lock of their own, and no callback
+ * is called while it is held.
  */
 final class EngineConnectionPool {
-    private static final int IDLE_MAX = 24;
-    /** Default: how long an idle connection is trusted where the engine states nothing. */
-    private static final int KEEP_ALIVE_MS = 700;
-    /** Default: idle for less, a connection is sure enough for what may run only once. */
-    private static final int SURE_MS = 1500;
-    /** Taken off what an engine states, for the way there. */
+    private static final int MAX_IDLE_PER_ENGINE = 24;
+    /** How long an idle connection may be reused if the engine announces no keep-alive time. */
+    private static final int DEFAULT_KEEP_ALIVE_MS = 700;
+    /** A non-repeatable request only reuses a connection that has been idle for at most this time. */
+    private static final int NON_REPEATABLE_MAX_IDLE_MS = 1500;
+    /** Subtracted from the announced keep-alive time to allow for the network latency. */
     private static final int KEEP_ALIVE_MARGIN_MS = 400;
 
-    private static final int TRUST_LEAST_MS = 50;
+    private static final int MIN_TRUSTED_IDLE_MS = 50;
 
-    /** Why no connection could be had. */
+    /** Why a connection could not be acquired. */
     enum Failure {
-        /** As many as the engine allows are open, and none is idle. */
+        /** The connection limit is reached, and no connection is idle. */
         LIMIT_REACHED,
         /** The engine could not be reached. */
         CONNECT_FAILED
     }
 
-    /** Told of the outcome of {@link #acquire}, once, in this thread or another. */
+    /** Receives the outcome of {@link #acquire}: called exactly once, on the calling thread or another. */
     interface AcquireListener {
         void onAcquired(PooledConnection connection);
 
         void onAcquireFailed(Failure failure);
     }
 
-    /** The connections to one engine; guarded by itself. */
+    /** The connections to one engine; guarded by its own monitor. */
     private static final class EngineConnections {
         final ArrayDeque<PooledConnection> idle = new ArrayDeque<>();
         Destination destination;
         int open;
-        /** False where none may stay open that is not in use. */
+        /** False if unused connections must be closed. */
         boolean keepsIdle = true;
-        /** For how long resets have taught that idle ones stay good. */
-        long trustMs = Long.MAX_VALUE;
-
-        /** True if the engine, or whatever stands in between, may have dropped it by now. */
-        boolean isDoubtful(PooledConnection connection, long idledMs) {
-            return connection.connection().unusable()
-                    || connection.connection().disturbed()
-                    || idledMs > Math.min(connection.keepAliveMs, trustMs);
+        /** How long an idle connection is assumed to stay open; lowered after resets of reused connections. */
+        long trustedIdleMs = Long.MAX_VALUE;
+
+        /** Returns true if the engine or an intermediary may have closed the connection already. */
+        boolean mayBeStale(PooledConnection connection, long idleMs) {
+            return connection.connection().isUnusable()
+                    || connection.connection().receivedWhileIdle()
+                    || idleMs > Math.min(connection.keepAliveMs, trustedIdleMs);
         }
     }
 
@@ -76,26 +77,28 @@
     }
 
     /**
-     * Takes the idle connection used last or opens one. What may run only once goes over no idle connection of doubtful
-     * age: an engine may have forgotten it, and after a reset nobody knows whether the request ran.
+     * Acquires the most recently used idle connection or opens a new one. A non-repeatable request is never sent over
+     * a connection that has been idle for long: the engine may have closed it, and a reset leaves open whether the
+     * request was executed.
      *
      * @param limit how many connections this node may have open to the engine
+     * @param repeatable whether the request may be executed more than once
      */
     void acquire(
             String instanceId, NodeId address, ConnectionLimit limit, boolean repeatable, AcquireListener listener) {
         EngineConnections engine = engines.computeIfAbsent(instanceId, id -> new EngineConnections());
-        List<PooledConnection> doubtful = new ArrayList<>(0);
+        List<PooledConnection> stale = new ArrayList<>(0);
         PooledConnection reused;
         Destination destination = null;
         synchronized (engine) {
             engine.keepsIdle = limit.keepsIdle();
-            reused = takeIdle(engine, repeatable, limit.max(), doubtful);
+            reused = takeIdle(engine, repeatable, limit.max(), stale);
             if (reused == null && engine.open < limit.max()) {
                 engine.open++;
                 destination = destination(engine, instanceId, address);
             }
         }
-        doubtful.forEach(connection -> connection.connection().close());
+        stale.forEach(connection -> connection.connection().close());
         if (reused != null) {
             listener.onAcquired(reused);
         } else if (destination == null) {
@@ -106,32 +109,32 @@
     }
 
     private PooledConnection takeIdle(
-            EngineConnections engine, boolean repeatable, int openMax, List<PooledConnection> doubtful) {
+            EngineConnections engine, boolean repeatable, int openMax, List<PooledConnection> stale) {
         long nowMs = clock.nowMs();
         while (!engine.idle.isEmpty()) {
-            long idledMs = nowMs - engine.idle.peekLast().idleSinceMs;
-            if (!repeatable && idledMs > Math.min(SURE_MS, engine.trustMs)) {
-                // the others are idle for longer still
+            long idleMs = nowMs - engine.idle.peekLast().idleSinceMs;
+            if (!repeatable && idleMs > Math.min(NON_REPEATABLE_MAX_IDLE_MS, engine.trustedIdleMs)) {
+                // All other connections have been idle for longer.
                 if (engine.open >= openMax) {
-                    doubtful.add(engine.idle.pollFirst());
+                    stale.add(engine.idle.pollFirst());
                     engine.open--;
                 }
                 return null;
             }
             PooledConnection connection = engine.idle.pollLast();
-            connection.idledMs = idledMs;
-            if (!engine.isDoubtful(connection, idledMs)) {
+            connection.idleMs = idleMs;
+            if (!engine.mayBeStale(connection, idleMs)) {
                 return connection;
             }
             engine.open--;
-            doubtful.add(connection);
+            stale.add(connection);
         }
         return null;
     }
 
     private Destination destination(EngineConnections engine, String instanceId, NodeId address) {
         if (engine.destination == null) {
-            // the instance id as a tag: an address may be given to another engine
+            // The instance id is the tag because an address may be reassigned to another engine.
             engine.destination = client.resolveDestination(new Origin(
                     "http", address.ip(), address.port(), instanceId, new Origin.Protocol(List.of("http/1.1"), false)));
         }
@@ -141,8 +144,8 @@
     private static void open(
             EngineConnections engine, Destination destination, String instanceId, AcquireListener listener) {
         destination.newConnection(Promise.from(
-                connection -> listener.onAcquired(
-                        new PooledConnection((EngineTransport.EngineConnection) connection, instanceId, KEEP_ALIVE_MS)),
+                connection -> listener.onAcquired(new PooledConnection(
+                        (EngineTransport.EngineConnection) connection, instanceId, DEFAULT_KEEP_ALIVE_MS)),
                 failure -> {
                     synchronized (engine) {
                         engine.open--;
@@ -151,47 +154,51 @@
                 }));
     }
 
-    /** Notes that a reused connection was reset without a word: the engine forgets idle ones sooner than thought. */
+    /**
+     * Records that a reused connection was reset before any response: the engine closes idle connections earlier than
+     * assumed, so they are trusted for two thirds of the time that this one was idle.
+     */
     void recordStale(PooledConnection connection) {
         EngineConnections engine = engines.get(connection.instanceId());
         if (engine != null && connection.isReused()) {
             synchronized (engine) {
-                engine.trustMs = Math.max(TRUST_LEAST_MS, Math.min(engine.trustMs, connection.idledMs * 2 / 3));
+                engine.trustedIdleMs =
+                        Math.max(MIN_TRUSTED_IDLE_MS, Math.min(engine.trustedIdleMs, connection.idleMs * 2 / 3));
             }
         }
     }
 
-    /** Gives a connection back after a whole answer, whose head says whether and for how long it is kept. */
-    void release(PooledConnection connection, HttpFields answerHead) {
-        if (answerHead.contains(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString())) {
+    /** Releases a connection after a complete response, whose headers tell whether and for how long it stays open. */
+    void release(PooledConnection connection, HttpFields responseHeaders) {
+        if (responseHeaders.contains(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString())) {
             discard(connection);
         } else {
-            keep(connection, KeepAlive.statedSeconds(answerHead));
+            keep(connection, KeepAlive.timeoutSeconds(responseHeaders));
         }
     }
 
-    /** Gives back a connection over which nothing was sent since it was acquired. */
+    /** Releases a connection over which nothing was sent since it was acquired. */
     void releaseUnused(PooledConnection connection) {
         if (connection.isReused()) {
-            // its age is not known any more
+            // How long it was idle in total is no longer known.
             discard(connection);
         } else {
-            keep(connection, KeepAlive.NOT_STATED);
+            keep(connection, KeepAlive.NOT_ANNOUNCED);
         }
     }
 
     private void keep(PooledConnection connection, long keepAliveS) {
         EngineConnections engine = engines.get(connection.instanceId());
-        if (engine == null || connection.connection().unusable()) {
+        if (engine == null || connection.connection().isUnusable()) {
             discard(connection);
             return;
         }
         synchronized (engine) {
-            if (engine.keepsIdle && engine.idle.size() < IDLE_MAX) {
+            if (engine.keepsIdle && engine.idle.size() < MAX_IDLE_PER_ENGINE) {
                 connection.idleSinceMs = clock.nowMs();
-                connection.connection().rest();
-                connection.keepAliveMs = keepAliveS == KeepAlive.NOT_STATED
-                        ? KEEP_ALIVE_MS
+                connection.connection().markIdle();
+                connection.keepAliveMs = keepAliveS == KeepAlive.NOT_ANNOUNCED
+                        ? DEFAULT_KEEP_ALIVE_MS
                         : Math.max(0, keepAliveS * 1000 - KEEP_ALIVE_MARGIN_MS);
                 engine.idle.addLast(connection);
                 return;
@@ -200,7 +207,7 @@
         discard(connection);
     }
 
-    /** Closes a connection that was acquired. */
+    /** Closes an acquired connection. */
     void discard(PooledConnection connection) {
         EngineConnections engine = engines.get(connection.instanceId());
         if (engine != null) {
@@ -211,41 +218,41 @@
         connection.connection().close();
     }
 
-    /** Closes what is idle for too long, and all idle ones of engines that are not among those. */
+    /** Closes connections that are idle for too long, and all idle ones to engines not in {@code knownEngines}. */
     void closeIdle(Set<String> knownEngines) {
         for (Iterator<Map.Entry<String, EngineConnections>> entries =
                         engines.entrySet().iterator();
                 entries.hasNext(); ) {
             Map.Entry<String, EngineConnections> entry = entries.next();
             EngineConnections engine = entry.getValue();
-            boolean gone = !knownEngines.contains(entry.getKey());
-            List<PooledConnection> stale;
+            boolean isRemoved = !knownEngines.contains(entry.getKey());
+            List<PooledConnection> expired;
             synchronized (engine) {
-                stale = takeStale(engine, gone);
-                if (gone && engine.open <= 0) {
+                expired = removeExpired(engine, isRemoved);
+                if (isRemoved && engine.open <= 0) {
                     entries.remove();
                     if (engine.destination != null) {
                         client.removeDestination(engine.destination);
                     }
                 }
             }
-            stale.forEach(connection -> connection.connection().close());
+            expired.forEach(connection -> connection.connection().close());
         }
     }
 
-    private List<PooledConnection> takeStale(EngineConnections engine, boolean gone) {
+    private List<PooledConnection> removeExpired(EngineConnections engine, boolean isRemoved) {
         long nowMs = clock.nowMs();
-        List<PooledConnection> stale = new ArrayList<>(0);
+        List<PooledConnection> expired = new ArrayList<>(0);
         engine.idle.removeIf(connection -> {
-            boolean isStale = gone
+            boolean isExpired = isRemoved
                     || connection.connection().isClosed()
                     || nowMs - connection.idleSinceMs > connection.keepAliveMs;
-            if (isStale) {
+            if (isExpired) {
                 engine.open--;
-                stale.add(connection);
+                expired.add(connection);
             }
-            return isStale;
+            return isExpired;
         });
-        return stale;
+        return expired;
     }
 }
--- a/src/main/java/ringspindle/proxy/EngineEndPoint.java
+++ b/src/main/java/ringspindle/proxy/EngineEndPoint.java
@@ -13,11 +13,11 @@
 import ringspindle.transport.PlainConnector;
 
 /**
- * The end point of a connection to an engine. Jetty's own reports a connection that was reset as one that was closed in
- * order, so that an answer whose end is the end of its connection would look complete. This one reports the failure.
+ * End point of a connection to an engine that reports a reset as a failure. Jetty's own end point reports a reset like
+ * an orderly close, so a truncated response that is delimited by the end of its connection would look complete.
  */
 final class EngineEndPoint extends SocketChannelEndPoint {
-    /** Opens connections whose end points are of this kind. */
+    /** Opens connections with end points of this type. */
     static final class Connector extends PlainConnector {
         @Override
         protected EndPoint newEndPoint(SelectableChannel channel, ManagedSelector selector, SelectionKey key) {
@@ -25,7 +25,7 @@
         }
     }
 
-    /** Why reading ended other than by an orderly close; null while it did not. */
+    /** The failure that ended reading; null as long as there was none. */
     private IOException readFailure;
 
     private EngineEndPoint(SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
@@ -33,10 +33,10 @@
     }
 
     /**
-     * Reads what has come.
+     * Reads the bytes that are available.
      *
-     * @return the number of bytes read, 0 if none are there, -1 once the engine has closed its side in order
-     * @throws IOException if the connection was reset or closed here; thrown again by every later call
+     * @return the number of bytes read, 0 if none are available, -1 after an orderly close by the engine
+     * @throws IOException if the connection was reset or closed by this side; thrown again by every later call
      */
     @Override
     public int fill(ByteBuffer buffer) throws IOException {
--- a/src/main/java/ringspindle/proxy/EngineHealthProber.java
+++ b/src/main/java/ringspindle/proxy/EngineHealthProber.java
@@ -10,7 +10,7 @@
 import ringspindle.loadbalancing.LoadBalancer;
 import ringspindle.time.MonotonicClock;
 
-/** Asks ejected engines for their health, each over a connection of its own. */
+/** Sends health probes to ejected engines, each over a connection of its own. */
 final class EngineHealthProber {
     private static final int TIMEOUT_MS = 900;
 
@@ -24,7 +24,7 @@
         this.clock = clock;
     }
 
-    /** Sends the probes that are due. */
+    /** Sends all probes that are due. */
     void probe() {
         loadBalancer.dueHealthProbes(clock.nowMs()).forEach(this::send);
     }
@@ -38,18 +38,18 @@
     }
 
     private void onResult(LoadBalancer.HealthProbe probe, Result result) {
-        Response answer = result.getResponse();
+        Response response = result.getResponse();
         boolean healthy = result.isSucceeded()
-                && answer.getStatus() == HttpStatus.OK_200
-                && probe.id().equals(answer.getHeaders().get(Headers.INSTANCE_ID));
-        int warmupMs = result.isSucceeded() ? warmupMs(answer) : 0;
+                && response.getStatus() == HttpStatus.OK_200
+                && probe.id().equals(response.getHeaders().get(Headers.INSTANCE_ID));
+        int warmupMs = result.isSucceeded() ? warmupMs(response) : 0;
         loadBalancer.onHealthProbeResult(probe.id(), healthy, warmupMs, clock.nowMs());
     }
 
-    private static int warmupMs(Response answer) {
-        String stated = answer.getHeaders().get(Headers.WARMUP_MS);
+    private static int warmupMs(Response response) {
+        String header = response.getHeaders().get(Headers.WARMUP_MS);
         try {
-            return stated == null ? 0 : (int) Double.parseDouble(stated);
+            return header == null ? 0 : (int) Double.parseDouble(header);
         } catch (NumberFormatException notANumber) {
             return 0;
         }
--- a/src/main/java/ringspindle/proxy/EngineHttpClient.java
+++ b/src/main/java/ringspindle/proxy/EngineHttpClient.java
@@ -9,41 +9,40 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** Makes the HTTP client that talks to engines: it passes everything on as it is and does nothing by itself. */
+/** Creates the HTTP client for engines, without redirects, cookies, decoding or any other change to messages. */
 final class EngineHttpClient {
-    /** More than a client may send, as the proxy adds a few fields. */
+    /** In bytes; larger than the limit for clients because the proxy adds a few headers. */
     private static final int REQUEST_HEADERS_MAX = ProxyHandler.REQUEST_HEADERS_MAX + 4096;
 
     private static final int RESPONSE_HEADERS_MAX = 16384;
-    /** Small, as one is made for each read; events are far smaller. */
+    /** Small because a buffer is allocated for each read; events are much smaller. */
     private static final int RESPONSE_BUFFER_BYTES = 4096;
 
     private static final int CONNECT_TIMEOUT_MS = 600;
 
     private EngineHttpClient() {}
 
-    /** Starts a client on those threads. */
+    /** Starts a client that uses the given threads. */
     static HttpClient start(QueuedThreadPool pool, Scheduler scheduler) throws Exception {
         EngineTransport transport = new EngineTransport(new EngineEndPoint.Connector());
-        // what listens to answers never blocks: they are read on the selector's thread
+        // Response listeners never block, so responses are read on the selector thread.
         transport.setInvocationType(Invocable.InvocationType.NON_BLOCKING);
         HttpClient client = new HttpClient(transport);
         client.setExecutor(pool);
         client.setScheduler(scheduler);
-        // No pool: after its answer has ended, Jetty's receiver may clear the buffer that it held, at a moment when
-        // another
-        // connection has got that buffer from the pool and filled it; events were lost that way.
+        // No buffer pool: after the end of a response Jetty's receiver may clear the buffer that it used while another
+        // connection has already acquired and filled it, which loses events.
         client.setByteBufferPool(new ByteBufferPool.NonPooling());
         client.setResponseBufferSize(RESPONSE_BUFFER_BYTES);
         client.setConnectTimeout(CONNECT_TIMEOUT_MS);
-        // silence ends no request: the action's deadline does, and the pool closes idle connections
+        // Inactivity does not end a request, the action's deadline does; idle connections are closed by the pool.
         client.setIdleTimeout(0);
         client.setUserAgentField(null);
         client.setFollowRedirects(false);
         client.setDefaultRequestContentType(null);
         client.setMaxResponseHeadersSize(RESPONSE_HEADERS_MAX);
         client.setMaxRequestHeadersSize(REQUEST_HEADERS_MAX);
-        // what an engine sets for one client is never sent with the request of another
+        // A cookie that an engine sets for one client must never be sent with the request of another.
         client.setHttpCookieStore(new HttpCookieStore.Empty());
         client.setUseInputDirectByteBuffers(false);
         client.setUseOutputDirectByteBuffers(false);
@@ -51,7 +50,7 @@
                 (host, port, context, promise) -> promise.succeeded(List.of(new InetSocketAddress(host, port))));
         client.start();
         client.getProtocolHandlers().clear();
-        client.getProtocolHandlers().put(new EngineTransport.InterimAnswers());
+        client.getProtocolHandlers().put(new EngineTransport.InterimResponseHandler());
         client.getContentDecoderFactories().clear();
         return client;
     }
--- a/src/main/java/ringspindle/proxy/EngineMaintenance.java
+++ b/src/main/java/ringspindle/proxy/EngineMaintenance.java
@@ -1,8 +1,8 @@
 package ringspindle.proxy;
 
-/** The periodic work on engines of whoever runs requests there. */
+/** Periodic maintenance of the engines that a component sends requests to. */
 public interface EngineMaintenance {
-    /** No engines: nothing to do. */
+    /** Maintenance of no engines. */
     EngineMaintenance NONE = new EngineMaintenance() {
         @Override
         public void probeEngines() {
@@ -25,15 +25,15 @@
         }
     };
 
-    /** Asks ejected engines for their health, as far as that is due. */
+    /** Sends the health probes to ejected engines that are due. */
     void probeEngines();
 
-    /** Gives up engines that are silent. */
+    /** Times out attempts at engines that send nothing. */
     void tick();
 
-    /** Closes connections that are idle for too long, or lead to engines that are gone. */
+    /** Closes connections that have been idle for too long or lead to removed engines. */
     void closeIdleConnections();
 
-    /** How many requests are under way. */
+    /** Returns the number of requests in progress. */
     int active();
 }
--- a/src/main/java/ringspindle/proxy/EngineRequestFactory.java
+++ b/src/main/java/ringspindle/proxy/EngineRequestFactory.java
@@ -12,11 +12,11 @@
 import ringspindle.protocol.NodeId;
 
 /**
- * Makes the request that goes to an engine out of the client's: method, path and body as they came, header fields but
- * those of one connection, and the fields that the proxy sets itself.
+ * Creates the requests that are sent to engines: method, path and body are those of the client, its headers are copied
+ * except for the hop-by-hop ones, and the headers set by the proxy are added.
  */
 final class EngineRequestFactory {
-    /** The least urgent value of {@code Request-Urgency}. */
+    /** The least urgent value of {@code Request-Urgency}; 0 is the most urgent. */
     private static final int URGENCY_MAX = 9;
 
     private static final Set<String> SET_BY_PROXY =
@@ -30,10 +30,10 @@
     }
 
     /**
-     * The request for one attempt.
+     * Creates the request for one attempt.
      *
      * @param timeLeftMs how long the engine may work on it
-     * @param resumeFrom where the client's stream stands if this attempt goes on with it, else null
+     * @param resumeFrom the position of the client's stream if this attempt resumes it, else null
      */
     Request create(
             AdmittedRequest admitted, NodeId address, String instanceId, long timeLeftMs, StreamPosition resumeFrom) {
@@ -59,9 +59,10 @@
     }
 
     /**
-     * The request for one attempt of an item of a batch job. No deadline goes with it: closing the connection ends it.
+     * Creates the request for one attempt of an item of a batch job. It has no deadline; closing the connection cancels
+     * it.
      *
-     * @param resumeFrom where its text stands if this attempt goes on with it, else null
+     * @param resumeFrom the position of the item's output if this attempt resumes it, else null
      */
     static Request forItem(
             HttpClient client, ItemClient.Item item, NodeId address, String instanceId, StreamPosition resumeFrom) {
@@ -87,23 +88,23 @@
         try {
             return client.newRequest(URI.create("http://" + address + pathAndQuery));
         } catch (IllegalArgumentException notAUri) {
-            // the path is passed on as it came, also where it is no proper URI
+            // The path is forwarded unchanged even if it is not a valid URI.
             return client.newRequest(address.ip(), address.port()).path(pathAndQuery);
         }
     }
 
-    private static void copyFields(HttpFields from, HttpFields.Mutable to, boolean resumes) {
-        Set<String> hopByHop = HopByHopHeaders.of(from);
-        for (HttpField field : from) {
+    private static void copyFields(HttpFields source, HttpFields.Mutable target, boolean resumes) {
+        Set<String> hopByHop = HopByHopHeaders.of(source);
+        for (HttpField field : source) {
             String name = field.getLowerCaseName();
-            boolean replaced = SET_BY_PROXY.contains(name) || resumes && SET_BY_PROXY_ON_RESUME.contains(name);
-            if (!replaced && !hopByHop.contains(name)) {
-                to.add(field);
+            boolean setByProxy = SET_BY_PROXY.contains(name) || resumes && SET_BY_PROXY_ON_RESUME.contains(name);
+            if (!setByProxy && !hopByHop.contains(name)) {
+                target.add(field);
             }
         }
     }
 
-    /** An engine is told whose request it is, and never a key. */
+    /** Replaces the client's credentials by the tenant's name: an engine never sees an API key. */
     private static void putTenant(AdmittedRequest admitted, HttpFields.Mutable fields) {
         if (!admitted.isOfTenants()) {
             return;
--- a/src/main/java/ringspindle/proxy/EngineStream.java
+++ b/src/main/java/ringspindle/proxy/EngineStream.java
@@ -4,30 +4,30 @@
 import java.util.Optional;
 
 /**
- * The event stream of one attempt: gives the events that may go to the client, and keeps them where the stream is passed on
- * only when it is whole. Not thread safe.
+ * The event stream of one attempt. It selects the events that may be forwarded to the client, and buffers them if the
+ * stream is only forwarded once it is complete. Not thread safe.
  */
 final class EngineStream {
     private final StreamPosition position;
     private final EventRelay relay = new EventRelay();
-    /** Null for a stream that is passed on event by event. */
-    private final BufferedBody held;
+    /** Null for a stream that is forwarded event by event. */
+    private final BufferedBody buffer;
 
     private boolean broken;
 
     /**
-     * A stream that has not begun.
+     * Creates a stream that has not started.
      *
-     * @param position how far the client's stream has come; moves on with the events of this one
-     * @param heldWhole nothing goes to the client before the stream is whole
+     * @param position the position of the client's stream, which advances with the events of this one
+     * @param isBuffered whether nothing is forwarded before the stream is complete
      */
-    EngineStream(StreamPosition position, boolean heldWhole) {
+    EngineStream(StreamPosition position, boolean isBuffered) {
         this.position = position;
-        held = heldWhole ? new BufferedBody() : null;
+        buffer = isBuffered ? new BufferedBody() : null;
     }
 
-    /** The head has come; false if this run cannot go on behind what the client has. */
-    boolean begin(String weightVersions, boolean resumes) {
+    /** Handles the response headers; returns false if this stream cannot resume the client's one. */
+    boolean onHeaders(String weightVersions, boolean resumes) {
         if (resumes) {
             return position.isCompatibleWith(weightVersions);
         }
@@ -35,40 +35,40 @@
         return true;
     }
 
-    /** What may be passed on of a part. */
-    EventRelay.Passage feed(ByteBuffer part) {
-        EventRelay.Passage passage = relay.feed(part, position);
-        broken = passage.isBroken();
-        return passage;
+    /** Takes a part of the body and returns the events that may be forwarded. */
+    EventRelay.RelayedEvents feed(ByteBuffer part) {
+        EventRelay.RelayedEvents relayed = relay.feed(part, position);
+        broken = relayed.isBroken();
+        return relayed;
     }
 
-    /** True once nothing behind the events so far may be passed on. */
+    /** Returns true once no further events of this stream may be forwarded. */
     boolean isBroken() {
         return broken;
     }
 
-    /** True for a stream that is passed on only when it is whole. */
-    boolean isHeldWhole() {
-        return held != null;
+    /** Returns true for a stream that is only forwarded once it is complete. */
+    boolean isBuffered() {
+        return buffer != null;
     }
 
-    /** Keeps events; false if the stream cannot go on behind them. */
-    boolean hold(byte[] events) {
-        return held.append(ByteBuffer.wrap(events)) && !broken;
+    /** Buffers events; returns false if they are too large or no further events may follow them. */
+    boolean buffer(byte[] events) {
+        return buffer.append(ByteBuffer.wrap(events)) && !broken;
     }
 
-    /** The events that are kept and that the client does not have, if there are any; another run cannot go on behind them. */
-    Optional<byte[]> heldEvents() {
-        return holdsEvents() ? Optional.of(held.toByteArray()) : Optional.empty();
+    /** Returns the buffered events, if any; no other attempt can resume after them because the client lacks them. */
+    Optional<byte[]> bufferedEvents() {
+        return hasBufferedEvents() ? Optional.of(buffer.toByteArray()) : Optional.empty();
     }
 
-    /** True if there are events that are kept and that the client does not have. */
-    boolean holdsEvents() {
-        return held != null && !held.isEmpty();
+    /** Returns true if there are buffered events, which the client does not have yet. */
+    boolean hasBufferedEvents() {
+        return buffer != null && !buffer.isEmpty();
     }
 
-    /** True if it may end as complete here: it has events, and none of them in part. */
-    boolean isWhole(boolean committed) {
-        return !relay.hasPartialEvent() && (committed || holdsEvents());
+    /** Returns true if the stream may end here as complete: it has events and ends at an event boundary. */
+    boolean isComplete(boolean committed) {
+        return !relay.hasPartialEvent() && (committed || hasBufferedEvents());
     }
 }
--- a/src/main/java/ringspindle/proxy/EngineTransport.java
+++ b/src/main/java/ringspindle/proxy/EngineTransport.java
@@ -17,20 +17,20 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * The transport of the client that talks to engines. Its connections remember whether they saw bytes that belong to no
+ * Transport of the HTTP client for engines. Its connections record whether they received bytes that belong to no
  * request.
  *
- * <p>Jetty sends no request a second time by itself here:
+ * <p>Jetty never repeats a request by itself here:
  * <ul>
- * <li>Requests go out through {@code Connection.send(Request, CompleteListener)}, on a connection got from
- * {@code Destination.newConnection}. Jetty repeats a send only for requests in the queue of a destination
- * ({@code HttpDestination.process}, where {@code SendFailure.retry} is set); the direct way reports every failure to
- * the listener.</li>
- * <li>Redirects, authentication and {@code 100 Continue} are the other places where Jetty sends again. They are
- * protocol handlers, and {@link EngineConnectionPool} removes them all.</li>
- * <li>{@code HttpChannel.associate} takes one exchange at a time, so nothing is pipelined or waits behind another.</li>
- * <li>A request that is given up has its connection closed first ({@code HttpConnectionOverHTTP.close} closes the end
- * point), so what was not written by then never is.</li>
+ * <li>Requests are sent with {@code Connection.send(Request, CompleteListener)} on a connection from
+ * {@code Destination.newConnection}. Jetty retries only requests in the queue of a destination
+ * ({@code HttpDestination.process}, where {@code SendFailure.retry} is set); a direct send reports every failure to the
+ * listener.</li>
+ * <li>Redirects, authentication and {@code 100 Continue} are the other cases in which Jetty sends a request again. They
+ * are implemented as protocol handlers, and {@link EngineHttpClient} removes them all.</li>
+ * <li>{@code HttpChannel.associate} accepts one exchange at a time, so requests are neither pipelined nor queued.</li>
+ * <li>The connection of an abandoned request is closed before the request is aborted
+ * ({@code HttpConnectionOverHTTP.close} closes the end point), so bytes that were not written by then never are.</li>
  * </ul>
  */
 final class EngineTransport extends HttpClientTransportOverHTTP {
@@ -45,33 +45,33 @@
         return customize(new EngineConnection(endPoint, context), context);
     }
 
-    /** A connection to an engine that knows whether it is still in step with its requests. */
+    /** A connection that records whether it received bytes outside the response to one of its requests. */
     static final class EngineConnection extends HttpConnectionOverHTTP {
-        private volatile boolean outOfStep;
-        private long bytesInAtRest;
+        private volatile boolean desynchronized;
+        private long bytesInWhenIdle;
 
         EngineConnection(EndPoint endPoint, Map<String, Object> context) {
             super(endPoint, context);
         }
 
-        /** Notes that bytes came which belong to no request; nothing further may be sent here. */
-        void outOfStep() {
-            outOfStep = true;
+        /** Records that bytes were received that belong to no request; no further request may be sent. */
+        void markDesynchronized() {
+            desynchronized = true;
         }
 
-        /** From now on the engine has nothing to say here. */
-        void rest() {
-            bytesInAtRest = getBytesIn();
+        /** Records that the connection becomes idle, so that nothing may be received until the next request. */
+        void markIdle() {
+            bytesInWhenIdle = getBytesIn();
         }
 
-        /** True if no request may be sent here: it is closed, or saw bytes that nobody asked for. */
-        boolean unusable() {
-            return isClosed() || outOfStep;
+        /** Returns true if no request may be sent: the connection is closed or received unsolicited bytes. */
+        boolean isUnusable() {
+            return isClosed() || desynchronized;
         }
 
-        /** True if bytes have come since {@link #rest}, also where they do not form a whole answer yet. */
-        boolean disturbed() {
-            return getBytesIn() != bytesInAtRest;
+        /** Returns true if any bytes were received since {@link #markIdle}, even an incomplete response. */
+        boolean receivedWhileIdle() {
+            return getBytesIn() != bytesInWhenIdle;
         }
 
         @Override
@@ -85,7 +85,10 @@
         }
     }
 
-    /** Jetty discards what stands behind a whole answer in the same read and keeps the connection; this notes it. */
+    /**
+     * Detects surplus bytes after a complete response in the same read. Jetty itself discards them and keeps the
+     * connection open.
+     */
     private static final class Receiver extends HttpReceiverOverHTTP {
         private final EngineConnection connection;
 
@@ -97,22 +100,22 @@
         @Override
         public boolean messageComplete() {
             HttpExchange exchange = getHttpExchange();
-            ByteBuffer rest = getResponseBuffer();
+            ByteBuffer surplus = getResponseBuffer();
             if (exchange != null
-                    && rest != null
-                    && rest.hasRemaining()
+                    && surplus != null
+                    && surplus.hasRemaining()
                     && !HttpStatus.isInterim(exchange.getResponse().getStatus())) {
-                connection.outOfStep();
+                connection.markDesynchronized();
             }
             return super.messageComplete();
         }
     }
 
     /**
-     * Passes over interim answers (1xx) and drops their header fields, so that none of them stands in for one of the
-     * answer proper. After one without the request's own id the connection carries no further request.
+     * Skips interim responses (1xx) and drops their headers, so that none of them is taken for a header of the final
+     * response. After an interim response without the request's own id the connection carries no further request.
      */
-    static final class InterimAnswers extends EarlyHintsProtocolHandler {
+    static final class InterimResponseHandler extends EarlyHintsProtocolHandler {
         @Override
         public String getName() {
             return "interim-answers";
@@ -127,7 +130,7 @@
         protected void onEarlyHints(Request request, HttpFields fields) {
             if (!Objects.equals(request.getHeaders().get(ATTEMPT_ID), fields.get(ATTEMPT_ID))
                     && request.getConnection() instanceof EngineConnection connection) {
-                connection.outOfStep();
+                connection.markDesynchronized();
             }
         }
     }
--- a/src/main/java/ringspindle/proxy/EventRelay.java
+++ b/src/main/java/ringspindle/proxy/EventRelay.java
@@ -4,36 +4,36 @@
 import java.nio.ByteBuffer;
 import java.util.Optional;
 
-/** Takes the bytes of one engine's stream and gives those of the events that may be passed on. Not thread safe. */
+/** Filters the event stream of one engine for the events that may be forwarded to the client. Not thread safe. */
 final class EventRelay {
     /**
-     * What may be passed on of a part of the stream.
+     * The events of one part of the stream that may be forwarded.
      *
-     * @param events the bytes of whole events that follow each other, empty if there are none
-     * @param isBroken nothing behind these may be passed on
-     * @param outOfOrder the event that does not follow, if that is why
+     * @param events the bytes of complete events in sequence, empty if there are none
+     * @param isBroken whether nothing after these events may be forwarded
+     * @param outOfOrder the event that broke the sequence, if that is the reason
      */
-    record Passage(byte[] events, boolean isBroken, Optional<StreamEvent> outOfOrder) {}
+    record RelayedEvents(byte[] events, boolean isBroken, Optional<StreamEvent> outOfOrder) {}
 
     private final EventSplitter splitter = new EventSplitter();
 
-    /** Takes a part of the stream and moves the position past the events that may be passed on. */
-    Passage feed(ByteBuffer part, StreamPosition position) {
-        ByteArrayOutputStream following = new ByteArrayOutputStream(part.remaining());
+    /** Takes a part of the stream and advances the position past the events that may be forwarded. */
+    RelayedEvents feed(ByteBuffer part, StreamPosition position) {
+        ByteArrayOutputStream inSequence = new ByteArrayOutputStream(part.remaining());
         try {
             for (StreamEvent event : splitter.feed(part)) {
                 if (!position.advance(event)) {
-                    return new Passage(following.toByteArray(), true, Optional.of(event));
+                    return new RelayedEvents(inSequence.toByteArray(), true, Optional.of(event));
                 }
-                following.writeBytes(event.bytes());
+                inSequence.writeBytes(event.bytes());
             }
         } catch (EventSplitter.OversizedEventException oversized) {
-            return new Passage(following.toByteArray(), true, Optional.empty());
+            return new RelayedEvents(inSequence.toByteArray(), true, Optional.empty());
         }
-        return new Passage(following.toByteArray(), false, Optional.empty());
+        return new RelayedEvents(inSequence.toByteArray(), false, Optional.empty());
     }
 
-    /** True while bytes of an event that is not whole are held. */
+    /** Returns true while bytes of an incomplete event are buffered. */
     boolean hasPartialEvent() {
         return splitter.hasPartialEvent();
     }
--- a/src/main/java/ringspindle/proxy/EventSplitter.java
+++ b/src/main/java/ringspindle/proxy/EventSplitter.java
@@ -5,56 +5,56 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Cuts the bytes of one engine's event stream into whole events. Lines may end with LF or CR LF. Not thread safe. */
+/** Splits the event stream of one engine into complete events. Lines may end with LF or CR LF. Not thread safe. */
 final class EventSplitter {
-    /** The largest event, and the most bytes that are held of one that is not whole yet. */
-    static final int EVENT_BYTES_MAX = 4 << 20;
+    /** The maximum size of an event, and of the buffered bytes of an incomplete one. */
+    static final int MAX_EVENT_BYTES = 4 << 20;
 
     private static final int INITIAL_BYTES = 1024;
 
-    /** An event is larger than {@link #EVENT_BYTES_MAX}. */
+    /** Thrown for an event that is larger than {@link #MAX_EVENT_BYTES}. */
     static final class OversizedEventException extends Exception {
         private static final long serialVersionUID = 1;
 
         private OversizedEventException() {
-            super("an event is larger than " + EVENT_BYTES_MAX + " bytes");
+            super("an event is larger than " + MAX_EVENT_BYTES + " bytes");
         }
     }
 
     private byte[] buffer = new byte[INITIAL_BYTES];
     private int length;
-    private int scanned;
+    private int scannedLength;
 
     /**
      * Takes further bytes of the stream.
      *
-     * @return the events that are whole now, in order, each with its closing blank line
-     * @throws OversizedEventException if the event at hand is too large; the stream cannot go on
+     * @return the events that are now complete, in order, each with its terminating blank line
+     * @throws OversizedEventException if the current event is too large; the stream cannot be continued
      */
     List<StreamEvent> feed(ByteBuffer bytes) throws OversizedEventException {
         append(bytes);
         List<StreamEvent> events = new ArrayList<>(2);
         int start = 0;
-        for (int i = Math.max(scanned, 1); i < length; i++) {
-            if (endsEvent(i, start)) {
+        for (int i = Math.max(scannedLength, 1); i < length; i++) {
+            if (isEndOfEvent(i, start)) {
                 events.add(StreamEvent.parse(Arrays.copyOfRange(buffer, start, i + 1)));
                 start = i + 1;
             }
         }
         System.arraycopy(buffer, start, buffer, 0, length - start);
         length -= start;
-        scanned = length;
+        scannedLength = length;
         return events;
     }
 
-    /** True while bytes of an event that is not whole are held. */
+    /** Returns true while bytes of an incomplete event are buffered. */
     boolean hasPartialEvent() {
         return length > 0;
     }
 
     private void append(ByteBuffer bytes) throws OversizedEventException {
         int added = bytes.remaining();
-        if (length + added > EVENT_BYTES_MAX) {
+        if (length + added > MAX_EVENT_BYTES) {
             throw new OversizedEventException();
         }
         if (length + added > buffer.length) {
@@ -64,8 +64,8 @@
         length += added;
     }
 
-    /** True if the byte at that index is the LF of the blank line that closes the event which begins at start. */
-    private boolean endsEvent(int index, int start) {
+    /** Returns true if {@code index} is the LF of the blank line that terminates the event at {@code start}. */
+    private boolean isEndOfEvent(int index, int start) {
         if (buffer[index] != '\n') {
             return false;
         }
--- a/src/main/java/ringspindle/proxy/GracefulShutdown.java
+++ b/src/main/java/ringspindle/proxy/GracefulShutdown.java
@@ -1,17 +1,17 @@
 package ringspindle.proxy;
 
 /**
- * That the node leaves.
+ * The time window of a node's graceful shutdown, in ms of the monotonic clock.
  *
- * @param sinceMs when it was told to, on the steady clock
+ * @param startMs when the node was told to shut down
  * @param endMs when it closes whatever is still open
  */
-record GracefulShutdown(long sinceMs, long endMs) {
-    /** Requests sent within this of the order to leave may be cut by the node's end; later ones may not. */
+record GracefulShutdown(long startMs, long endMs) {
+    /** Requests received within this time of the start may be cut off at the end of the window; later ones may not. */
     private static final int GRACE_MS = 2700;
 
-    /** True for a request that came too late to be cut by the node's end and may last longer than the node. */
+    /** Returns true for a request that was received too late to be cut off and could take longer than the window. */
     boolean mayBeOutlivedBy(long receivedMs, long timeLimitMs) {
-        return receivedMs - sinceMs >= GRACE_MS && receivedMs + timeLimitMs > endMs;
+        return receivedMs - startMs >= GRACE_MS && receivedMs + timeLimitMs > endMs;
     }
 }
--- a/src/main/java/ringspindle/proxy/HeadProgress.java
+++ b/src/main/java/ringspindle/proxy/HeadProgress.java
@@ -1,8 +1,8 @@
 package ringspindle.proxy;
 
 /**
- * How far a client's connection is with the head of its next request: between requests, in the middle of a head, or past it.
- * Times are in ms of a steady clock and come with each call. Not thread safe.
+ * Tracks whether a client's connection is between requests, receiving the headers of a request, or past them. Times are
+ * in ms of a monotonic clock and are passed to each call. Not thread safe.
  */
 final class HeadProgress {
     private enum State {
@@ -12,45 +12,45 @@
     }
 
     private State state = State.BETWEEN_REQUESTS;
-    private long beganMs;
+    private long startMs;
 
-    /** Bytes came. */
+    /** Records that bytes were received. */
     void onBytes(long nowMs) {
         if (state == State.BETWEEN_REQUESTS) {
             state = State.IN_HEAD;
-            beganMs = nowMs;
+            startMs = nowMs;
         }
     }
 
-    /** The head is whole. */
+    /** Records that the headers are complete. */
     void onHead() {
         state = State.IN_REQUEST;
     }
 
-    /** The answer is complete. */
+    /** Records that the response is complete. */
     void onRequestEnded() {
         state = State.BETWEEN_REQUESTS;
     }
 
-    /** The bytes that came were the rest of a request that is answered; no next one has begun. */
+    /** Records that the received bytes were the rest of an already answered request, and no next request has begun. */
     void onNoHead() {
         if (state == State.IN_HEAD) {
             state = State.BETWEEN_REQUESTS;
         }
     }
 
-    /** True in the middle of a head. */
+    /** Returns true while headers are being received. */
     boolean isInHead() {
         return state == State.IN_HEAD;
     }
 
-    /** How much longer the head may take, 0 or less if it has taken too long already. */
-    long leftMs(long limitMs, long nowMs) {
-        return beganMs + limitMs - nowMs;
+    /** Returns how much longer the headers may take, 0 or less if they are overdue. */
+    long remainingMs(long limitMs, long nowMs) {
+        return startMs + limitMs - nowMs;
     }
 
-    /** The head gets its whole time from now: this node itself stood still, and may have bytes of it that it has not read. */
+    /** Restarts the time limit after a pause of this process, which may not have read all bytes that had arrived. */
     void restart(long nowMs) {
-        beganMs = nowMs;
+        startMs = nowMs;
     }
 }
--- a/src/main/java/ringspindle/proxy/Headers.java
+++ b/src/main/java/ringspindle/proxy/Headers.java
@@ -1,6 +1,6 @@
 package ringspindle.proxy;
 
-/** Names of the header fields that the users' protocol adds to HTTP. */
+/** Names of the HTTP headers with a meaning in the protocol between clients, the proxy and engines. */
 final class Headers {
     static final String ATTEMPT_ID = "Attempt-Id";
     static final String DEADLINE_MS = "Deadline-Ms";
--- a/src/main/java/ringspindle/proxy/HopByHopHeaders.java
+++ b/src/main/java/ringspindle/proxy/HopByHopHeaders.java
@@ -7,9 +7,9 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
 
-/** Header fields that concern one connection only and are never passed on. */
+/** Hop-by-hop headers, which apply to a single connection and are never forwarded. */
 final class HopByHopHeaders {
-    private static final List<String> ALWAYS = List.of(
+    private static final List<String> STANDARD_NAMES = List.of(
             "connection",
             "keep-alive",
             "transfer-encoding",
@@ -22,11 +22,11 @@
 
     private HopByHopHeaders() {}
 
-    /** The names, in lower case, of the fields of that head which are not to be passed on. */
-    static Set<String> of(HttpFields head) {
-        Set<String> names = new HashSet<>(ALWAYS);
-        for (String named : head.getCSV(HttpHeader.CONNECTION, false)) {
-            names.add(named.toLowerCase(Locale.ROOT));
+    /** Returns the lower-case names of the headers of a message that must not be forwarded. */
+    static Set<String> of(HttpFields headers) {
+        Set<String> names = new HashSet<>(STANDARD_NAMES);
+        for (String listed : headers.getCSV(HttpHeader.CONNECTION, false)) {
+            names.add(listed.toLowerCase(Locale.ROOT));
         }
         return names;
     }
--- a/src/main/java/ringspindle/proxy/KeepAlive.java
+++ b/src/main/java/ringspindle/proxy/KeepAlive.java
@@ -2,26 +2,26 @@
 
 import org.eclipse.jetty.http.HttpFields;
 
-/** What an answer's {@code Keep-Alive} field says. */
+/** Parses the {@code Keep-Alive} header of a response. */
 final class KeepAlive {
-    /** The engine states no time. */
-    static final long NOT_STATED = -1;
+    /** Returned if the header announces no timeout. */
+    static final long NOT_ANNOUNCED = -1;
 
-    private static final String TIMEOUT = "timeout=";
+    private static final String TIMEOUT_PARAMETER = "timeout=";
 
     private KeepAlive() {}
 
-    /** For how many whole seconds the engine keeps an idle connection; {@link #NOT_STATED} if it does not say. */
-    static long statedSeconds(HttpFields answerHead) {
-        String field = answerHead.get(Headers.KEEP_ALIVE);
-        int start = field == null ? -1 : field.indexOf(TIMEOUT);
+    /** Returns how many seconds the engine keeps an idle connection open, or {@link #NOT_ANNOUNCED}. */
+    static long timeoutSeconds(HttpFields responseHeaders) {
+        String header = responseHeaders.get(Headers.KEEP_ALIVE);
+        int start = header == null ? -1 : header.indexOf(TIMEOUT_PARAMETER);
         if (start < 0) {
-            return NOT_STATED;
+            return NOT_ANNOUNCED;
         }
         try {
             return Math.max(
                     0,
-                    Integer.parseInt(field.substring(start + TIMEOUT.length())
+                    Integer.parseInt(header.substring(start + TIMEOUT_PARAMETER.length())
                             .split("[,; ]")[0]
                             .trim()));
         } catch (NumberFormatException notANumber) {
--- a/src/main/java/ringspindle/proxy/NonBlockingTask.java
+++ b/src/main/java/ringspindle/proxy/NonBlockingTask.java
@@ -2,7 +2,7 @@
 
 import org.eclipse.jetty.util.thread.Invocable;
 
-/** A task that never waits for anything, so that Jetty may run it on a selector's thread without a change of threads. */
+/** A task that never blocks, so that Jetty may run it directly on a selector thread. */
 interface NonBlockingTask extends Invocable.Task {
     @Override
     default InvocationType getInvocationType() {
--- a/src/main/java/ringspindle/proxy/PendingWrite.java
+++ b/src/main/java/ringspindle/proxy/PendingWrite.java
@@ -2,17 +2,17 @@
 
 import org.eclipse.jetty.client.Result;
 
-/** The write to the client, of which at most one is pending, and what came meanwhile. Guarded by its owner. */
+/** Tracks the write to the client, at most one at a time, and what is deferred until it ends. Guarded by its owner. */
 final class PendingWrite {
     private enum State {
         NONE,
         PENDING,
-        /** The attempt's own timeout came while it was pending, when nobody read from the engine. */
+        /** The attempt timed out during the write, while nothing was read from the engine. */
         PENDING_PAST_TIMEOUT
     }
 
     private State state = State.NONE;
-    /** How the exchange with the engine ended, where that came while a write was pending. */
+    /** The result of the exchange with the engine, if that ended during a write. */
     private Result deferred;
 
     void begin() {
@@ -23,7 +23,7 @@
         return state != State.NONE;
     }
 
-    /** The attempt's own timeout came; it counts again once the write is done. */
+    /** Defers the attempt's timeout, which starts again after the write. */
     void deferTimeout() {
         state = State.PENDING_PAST_TIMEOUT;
     }
@@ -32,19 +32,19 @@
         return state == State.PENDING_PAST_TIMEOUT;
     }
 
-    /** The exchange with the engine ended; it is handled once the write is done. */
+    /** Defers the end of the exchange with the engine until after the write. */
     void defer(Result result) {
         deferred = result;
     }
 
-    /** The write is done; true if the attempt's own timeout came meanwhile. */
+    /** Ends the write; returns true if the attempt timed out during it. */
     boolean end() {
         boolean pastTimeout = isPastTimeout();
         state = State.NONE;
         return pastTimeout;
     }
 
-    /** What was deferred, null if nothing was. */
+    /** Removes and returns the deferred result, null if there is none. */
     Result takeDeferred() {
         Result result = deferred;
         deferred = null;
--- a/src/main/java/ringspindle/proxy/PooledConnection.java
+++ b/src/main/java/ringspindle/proxy/PooledConnection.java
@@ -1,18 +1,18 @@
 package ringspindle.proxy;
 
-/** A connection to one engine, as the pool keeps it. Its mutable fields are the pool's. */
+/** A connection to one engine with the state that the pool keeps for it. Its mutable fields are owned by the pool. */
 final class PooledConnection {
-    /** What {@link #idledMs} says of a connection that was never idle. */
+    /** Value of {@link #idleMs} for a connection that was never idle. */
     static final long NEVER_IDLE = -1;
 
     private final EngineTransport.EngineConnection connection;
     private final String instanceId;
-    /** When it became idle, on the steady clock. */
+    /** When it became idle, in ms of the monotonic clock. */
     long idleSinceMs;
-    /** For how long it is trusted when idle. */
+    /** How long it may be idle and still be reused. */
     long keepAliveMs;
-    /** How long it was idle before it was acquired this time. */
-    long idledMs = NEVER_IDLE;
+    /** How long it had been idle when it was last acquired. */
+    long idleMs = NEVER_IDLE;
 
     PooledConnection(EngineTransport.EngineConnection connection, String instanceId, long keepAliveMs) {
         this.connection = connection;
@@ -24,13 +24,13 @@
         return connection;
     }
 
-    /** The engine that it leads to. */
+    /** Returns the instance id of the engine that it is connected to. */
     String instanceId() {
         return instanceId;
     }
 
-    /** True if it carried a request before this one. */
+    /** Returns true if it carried an earlier request. */
     boolean isReused() {
-        return idledMs >= 0;
+        return idleMs >= 0;
     }
 }
--- a/src/main/java/ringspindle/proxy/ProxiedAttempt.java
+++ b/src/main/java/ringspindle/proxy/ProxiedAttempt.java
@@ -12,17 +12,17 @@
 import ringspindle.retry.AttemptOutcome;
 
 /**
- * One attempt of a request at one engine: connects, sends, reads the answer and passes a stream on event by event. It
- * decides nothing about further attempts; that is its {@link ProxiedRequest}'s part.
+ * One attempt of a request at one engine: connects, sends, reads the response and forwards a stream event by event.
+ * {@link ProxiedRequest} decides about further attempts.
  *
- * <p>All fields are guarded by the lock of the request. What is read from the engine is written to the client before more
- * is read, so a slow client holds the engine back; at most one write to the client is pending.
+ * <p>All fields are guarded by the lock of the request. What is read from the engine is written to the client before
+ * more is read, so a slow client slows the engine down; at most one write to the client is pending.
  */
 final class ProxiedAttempt implements EngineConnectionPool.AcquireListener, Response.Listener, NonBlockingTask {
-    /** An answer that is whole goes to the client after so long, in ms, though the request is not written whole. */
-    private static final int EARLY_ANSWER_MS = 20;
+    /** Delay before a complete response is forwarded although the request is not fully written. */
+    private static final int EARLY_RESPONSE_DELAY_MS = 20;
 
-    /** Where an attempt stands; it only moves forward. */
+    /** The phase of an attempt, which only moves forward. */
     private enum Phase {
         CONNECTING,
         AWAITING_HEAD,
@@ -40,12 +40,12 @@
     private Phase phase = Phase.CONNECTING;
     private final AttemptConnection connection;
     private Request engineRequest;
-    private Response head;
-    private ResponseKind kind;
+    private Response responseHead;
+    private ResponseKind responseKind;
     private Content.Source content;
-    /** The answer's body as far as it has come, where it is held until it is complete; null for a stream. */
+    /** The part of the body received so far, which is forwarded once complete; null for a stream. */
     private BufferedBody buffered;
-    /** The answer as a stream, null for any other. */
+    /** The event stream, null for any other response. */
     private EngineStream stream;
 
     private final PendingWrite clientWrite = new PendingWrite();
@@ -69,7 +69,7 @@
         connection = new AttemptConnection(proxy.connections());
     }
 
-    /** Takes a connection to the engine and goes on from there. */
+    /** Acquires a connection to the engine, over which the request is then sent. */
     void start(boolean repeatable) {
         proxy.connections().acquire(engine.id(), engine.address(), engine.connections(), repeatable, this);
     }
@@ -78,18 +78,18 @@
     public void onAcquireFailed(EngineConnectionPool.Failure failure) {
         synchronized (request) {
             if (phase != Phase.ENDED) {
-                boolean full = failure == EngineConnectionPool.Failure.LIMIT_REACHED;
-                request.onAttemptFailed(this, full ? AttemptOutcome.NOT_RUN : AttemptOutcome.NOT_SENT);
+                boolean limitReached = failure == EngineConnectionPool.Failure.LIMIT_REACHED;
+                request.onAttemptFailed(this, limitReached ? AttemptOutcome.NOT_RUN : AttemptOutcome.NOT_SENT);
             }
         }
     }
 
-    /** Sends the request. */
+    /** Sends the request over the acquired connection. */
     @Override
     public void onAcquired(PooledConnection acquired) {
         synchronized (request) {
             long nowMs = proxy.nowMs();
-            // the last look before anything goes out
+            // The last check before anything is sent.
             if (phase == Phase.ENDED || !request.isLive(nowMs)) {
                 proxy.connections().releaseUnused(acquired);
                 if (phase != Phase.ENDED) {
@@ -108,7 +108,7 @@
         acquired.connection().send(engineRequest, this);
     }
 
-    // ---- what comes from the engine
+    // ---- response of the engine
 
     @Override
     public void onHeaders(Response response) {
@@ -117,27 +117,27 @@
                 return;
             }
             long nowMs = proxy.nowMs();
-            head = response;
+            responseHead = response;
             timing.onActivity(nowMs);
             phase = Phase.RECEIVING;
             if (ResponseKind.isUnattributable(response, request.admitted().attemptId())) {
-                kind = ResponseKind.BROKEN;
+                responseKind = ResponseKind.BROKEN;
                 request.onAttemptFailed(this, AttemptOutcome.BROKEN);
                 return;
             }
             proxy.loadBalancer().onResponseBytes(engine.id(), nowMs);
-            kind = ResponseKind.of(response, engine.id());
+            responseKind = ResponseKind.of(response, engine.id());
             if (isStream()) {
-                beginStream(response);
+                startStream(response);
             } else {
                 buffered = new BufferedBody();
             }
         }
     }
 
-    private void beginStream(Response response) {
+    private void startStream(Response response) {
         stream = new EngineStream(request.position(), request.admitted().isHeldWhole());
-        if (!stream.begin(response.getHeaders().get(Headers.WEIGHT_VERSIONS), resumes)) {
+        if (!stream.onHeaders(response.getHeaders().get(Headers.WEIGHT_VERSIONS), resumes)) {
             request.onAttemptFailed(this, AttemptOutcome.BROKEN);
         }
     }
@@ -148,7 +148,7 @@
         run();
     }
 
-    /** Reads what is there; after a part that was passed on it goes on once that is written. */
+    /** Reads the available content; after a part that was forwarded, reading continues once that is written. */
     @Override
     public void run() {
         while (true) {
@@ -161,63 +161,63 @@
                 return;
             }
             boolean last = chunk.isLast();
-            boolean readOn = !chunk.hasRemaining() || receive(chunk.getByteBuffer(), last);
+            boolean readNext = !chunk.hasRemaining() || receive(chunk.getByteBuffer(), last);
             chunk.release();
-            if (last || !readOn) {
+            if (last || !readNext) {
                 return;
             }
         }
     }
 
-    /** Takes a part of the body; true if the next may be read at once. */
+    /** Handles a part of the body; returns true if the next one may be read at once. */
     private boolean receive(ByteBuffer part, boolean last) {
-        byte[] following;
+        byte[] events;
         synchronized (request) {
             if (phase == Phase.ENDED) {
                 return false;
             }
             long nowMs = proxy.nowMs();
-            proxy.onOutput(timing.onBodyBytes(nowMs), kind, request.admitted());
+            proxy.onOutput(timing.onBodyBytes(nowMs), responseKind, request.admitted());
             proxy.loadBalancer().onResponseBytes(engine.id(), nowMs);
             if (buffered != null) {
-                return goesOnIf(buffered.append(part));
+                return failUnless(buffered.append(part));
             }
-            following = followingEvents(part);
-            if (following.length == 0) {
+            events = eventsInSequence(part);
+            if (events.length == 0) {
                 return phase != Phase.ENDED;
             }
-            if (stream.isHeldWhole()) {
-                return goesOnIf(stream.hold(following));
+            if (stream.isBuffered()) {
+                return failUnless(stream.buffer(events));
             }
-            if (!request.commit(head, nowMs)) {
+            if (!request.commit(responseHead, nowMs)) {
                 return false;
             }
             clientWrite.begin();
         }
         request.client()
                 .write(
-                        following,
+                        events,
                         Callback.from(
                                 InvocationType.NON_BLOCKING, () -> onWritten(last), failure -> request.onClientGone()));
         return false;
     }
 
-    /** What came is kept until the answer is whole; true if the next part may be read at once. */
-    private boolean goesOnIf(boolean kept) {
-        if (!kept) {
+    /** Fails the attempt if a part could not be buffered; returns true if the next one may be read at once. */
+    private boolean failUnless(boolean isBuffered) {
+        if (!isBuffered) {
             request.onAttemptFailed(this, AttemptOutcome.BROKEN);
         }
-        return kept;
+        return isBuffered;
     }
 
-    /** The events that may be passed on; ends the attempt where there are none and none can come any more. */
-    private byte[] followingEvents(ByteBuffer part) {
-        EventRelay.Passage passage = stream.feed(part);
-        passage.outOfOrder().ifPresent(event -> proxy.logOutOfOrder(event, request, engine.id()));
-        if (passage.isBroken() && passage.events().length == 0) {
+    /** Returns the events that may be forwarded; fails the attempt if there are none and none can follow. */
+    private byte[] eventsInSequence(ByteBuffer part) {
+        EventRelay.RelayedEvents relayed = stream.feed(part);
+        relayed.outOfOrder().ifPresent(event -> proxy.logOutOfOrder(event, request, engine.id()));
+        if (relayed.isBroken() && relayed.events().length == 0) {
             request.onAttemptFailed(this, AttemptOutcome.BROKEN);
         }
-        return passage.events();
+        return relayed.events();
     }
 
     private void onWritten(boolean last) {
@@ -225,7 +225,7 @@
         synchronized (request) {
             boolean pastTimeout = clientWrite.end();
             if (stream.isBroken()) {
-                // it cannot go on behind what has been written
+                // Nothing more of this stream may be forwarded.
                 if (phase != Phase.ENDED) {
                     request.onAttemptFailed(this, AttemptOutcome.BROKEN);
                 }
@@ -242,39 +242,39 @@
         if (result != null) {
             onComplete(result);
         } else if (!last) {
-            // not read from here: Jetty runs the reading after whatever else it does with the exchange at this moment
+            // Not read here: Jetty runs the demanded read after its current work on the exchange.
             content.demand(this);
         }
     }
 
-    /** The answer is whole. An engine may give it before it has read the request, and Jetty completes only after both. */
+    /** Called for a complete response, which may precede the end of the request; Jetty completes after both. */
     @Override
     public void onSuccess(Response response) {
         if (!connection.isRequestWritten()) {
-            proxy.schedule(this::completeEarly, EARLY_ANSWER_MS);
+            proxy.schedule(this::completeEarly, EARLY_RESPONSE_DELAY_MS);
         }
     }
 
     private void completeEarly() {
-        Runnable answer;
+        Runnable writeResponse;
         synchronized (request) {
             if (phase == Phase.ENDED) {
                 return;
             }
             if (clientWrite.isPending()) {
-                proxy.schedule(this::completeEarly, EARLY_ANSWER_MS);
+                proxy.schedule(this::completeEarly, EARLY_RESPONSE_DELAY_MS);
                 return;
             }
-            answer = complete(proxy.nowMs());
+            writeResponse = complete(proxy.nowMs());
         }
-        if (answer != null) {
-            answer.run();
+        if (writeResponse != null) {
+            writeResponse.run();
         }
     }
 
     @Override
     public void onComplete(Result result) {
-        Runnable answer = null;
+        Runnable writeResponse = null;
         synchronized (request) {
             if (phase == Phase.ENDED) {
                 return;
@@ -285,31 +285,31 @@
             }
             long nowMs = proxy.nowMs();
             if (result.isFailed()) {
-                if (head == null) {
+                if (responseHead == null) {
                     connection.recordIfStale(timing, nowMs);
                 }
                 request.onAttemptFailed(this, AttemptOutcome.BROKEN);
             } else {
-                answer = complete(nowMs);
+                writeResponse = complete(nowMs);
             }
         }
-        if (answer != null) {
-            answer.run();
+        if (writeResponse != null) {
+            writeResponse.run();
         }
     }
 
-    /** The engine's answer has come whole; returns what writes it to the client, null if nothing does. */
+    /** Handles a complete response; returns the task that writes it to the client, null if nothing is to be written. */
     private Runnable complete(long nowMs) {
-        switch (kind) {
+        switch (responseKind) {
             case SUCCESS:
                 return buffered != null ? completeBuffered(nowMs) : completeStream(nowMs);
             case FAILURE:
-                connection.release(head.getHeaders());
+                connection.release(responseHead.getHeaders());
                 return request.onEngineFailure(this, nowMs);
             case NOT_RUN:
             case MISDIRECTED:
-                connection.release(head.getHeaders());
-                request.onAttemptFailed(this, kind.attemptOutcome().orElseThrow());
+                connection.release(responseHead.getHeaders());
+                request.onAttemptFailed(this, responseKind.attemptOutcome().orElseThrow());
                 return null;
             default:
                 request.onAttemptFailed(this, AttemptOutcome.BROKEN);
@@ -318,44 +318,44 @@
     }
 
     private Runnable completeBuffered(long nowMs) {
-        connection.release(head.getHeaders());
-        return request.onAnswered(this, nowMs) ? bufferedAnswer() : null;
+        connection.release(responseHead.getHeaders());
+        return request.onResponseCompleted(this, nowMs) ? bufferedResponse() : null;
     }
 
     private Runnable completeStream(long nowMs) {
-        if (!stream.isWhole(request.isCommitted())) {
+        if (!stream.isComplete(request.isCommitted())) {
             request.onAttemptFailed(this, AttemptOutcome.BROKEN);
             return null;
         }
-        connection.release(head.getHeaders());
-        boolean answers = request.onAnswered(this, nowMs);
-        return answers ? stream.heldEvents().map(this::heldAnswer).orElse(request.client()::endStream) : null;
+        connection.release(responseHead.getHeaders());
+        boolean accepted = request.onResponseCompleted(this, nowMs);
+        return accepted ? stream.bufferedEvents().map(this::bufferedStream).orElse(request.client()::endStream) : null;
     }
 
-    /** Frees what the attempt holds. Afterwards nothing that the engine still sends has any effect. */
+    /** Releases all resources; what the engine sends afterwards has no effect. */
     void end(AttemptOutcome outcome, long nowMs) {
         phase = Phase.ENDED;
         proxy.loadBalancer().onAttemptEnded(engine.id(), selection, outcome, timing.firstByteMs(), nowMs);
-        // closed before the exchange is aborted, so that nothing of it can be sent any more
+        // Closed before the exchange is aborted, so that no more of the request can be sent.
         connection.discard();
         if (engineRequest != null && outcome != AttemptOutcome.ANSWERED) {
-            engineRequest.abort(new IOException("attempt over: " + outcome));
+            engineRequest.abort(new IOException("attempt ended: " + outcome));
         }
     }
 
-    /** True if the attempt may time out by itself now. */
+    /** Returns true if the attempt has a timeout of its own that is running now. */
     boolean hasOwnTimeout() {
         return scope.hasOwnTimeout() && !clientWrite.isPastTimeout();
     }
 
-    /** When it times out by itself: a stream by silence, anything else as a whole. */
+    /** Returns when it times out: a stream after a period without data, any other response after its total time. */
     long timeoutAtMs() {
-        return kind != null && isStream()
+        return responseKind != null && isStream()
                 ? timing.lastActivityMs() + request.limits().silenceMs()
                 : scope.deadlineMs();
     }
 
-    /** Its time is over: ends it, or leaves that until the client has taken what is being written. */
+    /** Fails the attempt with a timeout, or defers that if a write to the client is pending. */
     void onTimeout() {
         if (clientWrite.isPending()) {
             clientWrite.deferTimeout();
@@ -365,7 +365,7 @@
     }
 
     private boolean isStream() {
-        return kind == ResponseKind.SUCCESS && request.admitted().isStreaming();
+        return responseKind == ResponseKind.SUCCESS && request.admitted().isStreaming();
     }
 
     Attempt scope() {
@@ -380,21 +380,21 @@
         return timing.wasSent();
     }
 
-    /** True if events were received that are not passed on yet. */
-    boolean holdsEvents() {
-        return stream != null && stream.holdsEvents();
+    /** Returns true if events were received but not forwarded yet. */
+    boolean hasBufferedEvents() {
+        return stream != null && stream.hasBufferedEvents();
     }
 
-    /** Sets the head of an answer that was held; returns what writes it. */
-    Runnable bufferedAnswer() {
+    /** Sets the headers of a buffered response; returns the task that writes its body. */
+    Runnable bufferedResponse() {
         byte[] body = buffered.toByteArray();
-        request.client().setHead(head, body.length, proxy.isLeaving());
+        request.client().setHeaders(responseHead, body.length, proxy.isLeaving());
         return () -> request.client().writeBody(body);
     }
 
-    /** Sets the head of a stream that was held until it was whole; returns what writes it. */
-    private Runnable heldAnswer(byte[] events) {
-        request.client().setStreamHead(head, proxy.isLeaving());
+    /** Sets the headers of a buffered stream; returns the task that writes its events. */
+    private Runnable bufferedStream(byte[] events) {
+        request.client().setStreamHeaders(responseHead, proxy.isLeaving());
         return () -> request.client().writeBody(events);
     }
 }
--- a/src/main/java/ringspindle/proxy/ProxiedRequest.java
+++ b/src/main/java/ringspindle/proxy/ProxiedRequest.java
@@ -16,28 +16,28 @@
 import ringspindle.retry.RetryPolicy;
 
 /**
- * One request from its admission to its last byte: it owns the action, selects engines, waits for capacity, and carries out
- * what the retry rule decides after each attempt.
+ * One request from its admission to its last byte: it owns the action, selects engines, waits for capacity, and
+ * executes the retry decision after each attempt.
  *
- * <p>This object is the lock of the request and of its attempts. The answer is written by whoever made the action's one
- * transition to an end, so that a client never gets two.
+ * <p>This object is the lock of the request and of its attempts. The response is written by the caller that made the
+ * action's single transition to a terminal state, so a client never gets two responses.
  */
 final class ProxiedRequest implements ActiveRequests.Cancellable {
-    /** Default: what the way back takes, kept from the client's deadline. */
-    private static final int RETURN_MS = 15;
+    /** Subtracted from the client's deadline to allow for the way of the response to the client. */
+    private static final int RESPONSE_LATENCY_MS = 15;
 
-    /** No request waits for capacity closer to its deadline than this. */
-    private static final int WAIT_END_MS = 50;
+    /** Waiting for capacity ends this long before the deadline. */
+    private static final int WAIT_MARGIN_MS = 50;
 
-    private static final int RETRY_AFTER_MS = 300;
-    private static final long ANY_WEIGHTS = -1;
+    private static final int DEFAULT_RETRY_AFTER_MS = 300;
+    private static final long ANY_WEIGHT_VERSION = -1;
 
-    /** Where a request stands. */
+    /** The phase of a request. */
     private enum Phase {
-        /** No attempt is under way; it may be in the queue. */
+        /** No attempt is in progress; the request may be queued. */
         WAITING,
         ATTEMPTING,
-        /** The client has its answer, or is gone. */
+        /** The client got its response or closed the connection. */
         ENDED
     }
 
@@ -48,21 +48,21 @@
     private final RetryPolicy policy;
     private final RequestTimeLimits limits;
     private final StreamPosition position;
-    private final CapacityWait wait = new CapacityWait();
+    private final CapacityWait capacityWait = new CapacityWait();
     private final Set<String> attemptedEngines = new HashSet<>(4);
 
     private Phase phase = Phase.WAITING;
-    /** The attempt under way, null unless ATTEMPTING. */
+    /** The attempt in progress, null unless ATTEMPTING. */
     private ProxiedAttempt current;
-    /** Output has reached the client, so that a further attempt goes on behind it. */
+    /** True once output has reached the client, so that a further attempt resumes after it. */
     private boolean resuming;
-    /** How many engines got to see the request; the next is a retry. */
-    private int sent;
+    /** How many times the request was sent to an engine; every further time is a retry. */
+    private int sentCount;
 
-    /** What the client is told if nothing has run by the time it is given up. */
+    /** The outcome for the client if the request is abandoned before any engine executed it. */
     private Outcome refusal = Outcome.NO_ROOM;
 
-    private long retryAfterMs = RETRY_AFTER_MS;
+    private long retryAfterMs = DEFAULT_RETRY_AFTER_MS;
     private final RequestTimer timer;
 
     ProxiedRequest(ProxyHandler proxy, AdmittedRequest admitted, ClientResponse client) {
@@ -70,7 +70,7 @@
         this.admitted = admitted;
         this.client = client;
         long nowMs = proxy.nowMs();
-        long timeLimitMs = Math.max(0, admitted.deadlineMs() - RETURN_MS - nowMs);
+        long timeLimitMs = Math.max(0, admitted.deadlineMs() - RESPONSE_LATENCY_MS - nowMs);
         action = Action.open(proxy.nextActionId(), nowMs, timeLimitMs, proxy);
         policy = admitted.retryPolicy();
         limits = new RequestTimeLimits(admitted);
@@ -79,7 +79,7 @@
         proxy.ledger().onAdmitted(action.id(), admitted.rulesRevision(), admitted.className(), policy.repeatable());
     }
 
-    /** Starts: watches the client's connection and selects the first engine. */
+    /** Starts to watch the client's connection and selects the first engine. */
     void start() {
         if (admitted.request().getConnectionMetaData().getConnection().getEndPoint()
                 instanceof ClientEndPoint endPoint) {
@@ -91,16 +91,16 @@
         }
     }
 
-    // ---- selection
+    // ---- engine selection
 
-    /** Goes on after a wait in the queue. */
+    /** Continues after a wait in the queue. */
     synchronized void onDequeued() {
         if (phase == Phase.WAITING) {
             startAttempt();
         }
     }
 
-    /** Selects an engine and starts an attempt there; asks anew whether the action is live, as time went by. */
+    /** Selects an engine and starts an attempt; checks first that the action is still live. */
     private void startAttempt() {
         long nowMs = proxy.nowMs();
         if (!action.isLive(nowMs)) {
@@ -109,9 +109,9 @@
             }
             return;
         }
-        long weights = resuming ? position.weightVersion() : ANY_WEIGHTS;
-        LoadBalancer.SelectionRequest selection =
-                admitted.selectionRequest(attemptedEngines, weights, proxy.nextRandom(), wait.elapsedMs(nowMs));
+        long weightVersion = resuming ? position.weightVersion() : ANY_WEIGHT_VERSION;
+        LoadBalancer.SelectionRequest selection = admitted.selectionRequest(
+                attemptedEngines, weightVersion, proxy.nextRandom(), capacityWait.elapsedMs(nowMs));
         LoadBalancer.Selection selected = proxy.loadBalancer().select(selection, nowMs);
         if (selected instanceof LoadBalancer.NoCapacity none) {
             refusal = none.outcome();
@@ -119,7 +119,7 @@
             waitForCapacity(nowMs);
             return;
         }
-        wait.end();
+        capacityWait.end();
         LoadBalancer.SelectedEngine engine = (LoadBalancer.SelectedEngine) selected;
         Attempt scope = action.startAttempt(nowMs, attemptTimeoutMs());
         if (scope == null) {
@@ -133,47 +133,48 @@
         attempt.start(policy.repeatable());
     }
 
-    /** How long an attempt may take by itself; 0 where no other could follow it. */
+    /** Returns the timeout of an attempt; 0 if no other attempt could follow it. */
     private long attemptTimeoutMs() {
         boolean anotherMayFollow = policy.repeatable() && action.attemptCount() + 1 < policy.maxAttempts();
         return anotherMayFollow ? limits.attemptMs() : 0;
     }
 
-    /** Waits for capacity, but not longer than helps. */
+    /** Queues the request until capacity is available or its waiting time is over. */
     private void waitForCapacity(long nowMs) {
         phase = Phase.WAITING;
-        if (!wait.isUnderWay()) {
-            boolean begun = action.mayHaveRun() || action.isResponseCommitted();
-            wait.begin(nowMs, Math.min(nowMs + limits.waitMs(begun, nowMs), action.deadlineMs() - WAIT_END_MS));
+        if (!capacityWait.isUnderWay()) {
+            boolean started = action.mayHaveRun() || action.isResponseCommitted();
+            capacityWait.begin(
+                    nowMs, Math.min(nowMs + limits.waitMs(started, nowMs), action.deadlineMs() - WAIT_MARGIN_MS));
         }
-        if (wait.isOver(nowMs)) {
+        if (capacityWait.isOver(nowMs)) {
             giveUp(nowMs);
             return;
         }
         proxy.enqueue(this);
     }
 
-    // ---- for attempts, under the lock
+    // ---- called by attempts, under the lock
 
-    /** True while something may still be sent for the client. */
+    /** Returns true while the request may still be sent to an engine. */
     boolean isLive(long nowMs) {
         return action.isLive(nowMs);
     }
 
-    /** The request as it goes to that engine. */
+    /** Creates the request that is sent to the engine. */
     Request createEngineRequest(LoadBalancer.SelectedEngine engine, boolean resumes, long nowMs) {
         long timeLeftMs = action.deadlineMs() - nowMs;
         return proxy.engineRequests()
                 .create(admitted, engine.address(), engine.id(), timeLeftMs, resumes ? position : null);
     }
 
-    /** Notes that the request goes out to an engine. */
+    /** Records that the request is sent to an engine. */
     void onSent(boolean resumes) {
         proxy.ledger().onSent(action.id(), resumes);
-        sent++;
+        sentCount++;
     }
 
-    /** Before the first event is passed on: sets the head, which is that of the first engine; false if it is too late. */
+    /** Sets the response headers to those of the first engine before the first event; returns false if too late. */
     boolean commit(Response head, long nowMs) {
         if (action.isResponseCommitted()) {
             return true;
@@ -181,44 +182,44 @@
         if (!action.isLive(nowMs)) {
             return false;
         }
-        client.setStreamHead(head, proxy.isLeaving());
+        client.setStreamHeaders(head, proxy.isLeaving());
         action.commitResponse();
         return true;
     }
 
-    /** An attempt has ended without an answer that the client may have. */
+    /** Handles the end of an attempt without a response that may be forwarded. */
     void onAttemptFailed(ProxiedAttempt attempt, AttemptOutcome outcome) {
         long nowMs = proxy.nowMs();
         attemptedEngines.add(attempt.instanceId());
         RetryDecision decision = endAttempt(attempt, outcome, nowMs);
         boolean noFreeConnection = outcome == AttemptOutcome.NOT_RUN && !attempt.wasSent();
         if (decision == RetryDecision.FALLBACK && noFreeConnection) {
-            // nothing reached the engine, which may be asked again
+            // Nothing was sent, so the same engine may be selected again.
             attemptedEngines.remove(attempt.instanceId());
             waitForCapacity(nowMs);
             return;
         }
-        if (decision == RetryDecision.FALLBACK && attempt.holdsEvents()) {
+        if (decision == RetryDecision.FALLBACK && attempt.hasBufferedEvents()) {
             giveUp(nowMs);
             return;
         }
-        carryOut(decision, nowMs);
+        execute(decision, nowMs);
     }
 
-    /** The engine says that it failed; returns what writes its answer to the client, null if something else follows. */
+    /** Handles a failure response; returns the task that forwards it, null if something else follows. */
     Runnable onEngineFailure(ProxiedAttempt attempt, long nowMs) {
         RetryDecision decision = endAttempt(attempt, AttemptOutcome.FAILED, nowMs);
         if (decision == RetryDecision.FAIL && action.complete(nowMs)) {
-            // the engine's own failure is its answer
+            // No retry: the failure response is forwarded.
             end();
-            return attempt.bufferedAnswer();
+            return attempt.bufferedResponse();
         }
-        carryOut(decision, nowMs);
+        execute(decision, nowMs);
         return null;
     }
 
-    /** An engine's answer has come whole; true if it is the client's answer, which the caller has to write. */
-    boolean onAnswered(ProxiedAttempt attempt, long nowMs) {
+    /** Handles a complete response; returns true if it is the one for the client, which the caller then writes. */
+    boolean onResponseCompleted(ProxiedAttempt attempt, long nowMs) {
         endAttempt(attempt, AttemptOutcome.ANSWERED, nowMs);
         if (!action.complete(nowMs)) {
             return false;
@@ -227,9 +228,9 @@
         return true;
     }
 
-    // ---- ends
+    // ---- end of attempts and of the request
 
-    /** Ends an attempt, frees what it held, and returns what is to follow. */
+    /** Ends an attempt, releases its resources, and returns the retry decision. */
     private RetryDecision endAttempt(ProxiedAttempt attempt, AttemptOutcome outcome, long nowMs) {
         if (current == attempt) {
             current = null;
@@ -244,10 +245,10 @@
         return decision;
     }
 
-    private void carryOut(RetryDecision decision, long nowMs) {
+    private void execute(RetryDecision decision, long nowMs) {
         switch (decision) {
             case FALLBACK:
-                if (sent == 0 || tryAcquireRetry(nowMs)) {
+                if (sentCount == 0 || tryAcquireRetry(nowMs)) {
                     startAttempt();
                 } else {
                     giveUp(nowMs);
@@ -258,11 +259,11 @@
                     resuming = true;
                     startAttempt();
                 } else {
-                    breakOff(nowMs);
+                    abort(nowMs);
                 }
                 break;
             case BREAK_OFF:
-                breakOff(nowMs);
+                abort(nowMs);
                 break;
             case REFUSE:
             case FAIL:
@@ -282,56 +283,56 @@
     }
 
     private void giveUp(long nowMs) {
-        endWithoutAnswer(CancelCause.GIVEN_UP, action.mayHaveRun() ? Outcome.BROKEN : refusal, nowMs);
+        fail(CancelCause.GIVEN_UP, action.mayHaveRun() ? Outcome.BROKEN : refusal, nowMs);
     }
 
     private void onDeadline(long nowMs) {
-        endWithoutAnswer(CancelCause.OVERALL_DEADLINE, action.mayHaveRun() ? Outcome.OVERDUE : Outcome.NO_TIME, nowMs);
+        fail(CancelCause.OVERALL_DEADLINE, action.mayHaveRun() ? Outcome.OVERDUE : Outcome.NO_TIME, nowMs);
     }
 
-    private void endWithoutAnswer(CancelCause cause, Outcome outcome, long nowMs) {
+    private void fail(CancelCause cause, Outcome outcome, long nowMs) {
         if (action.isResponseCommitted()) {
-            breakOff(cause, nowMs);
+            abort(cause, nowMs);
         } else if (action.cancel(cause, nowMs)) {
-            abandonAttempt(nowMs);
+            cancelAttempt(nowMs);
             end();
             client.respond(outcome, retryAfterMs, proxy.isLeaving());
         }
     }
 
-    private void breakOff(long nowMs) {
+    private void abort(long nowMs) {
         boolean overdue = nowMs >= action.deadlineMs();
-        breakOff(overdue ? CancelCause.OVERALL_DEADLINE : CancelCause.GIVEN_UP, nowMs);
+        abort(overdue ? CancelCause.OVERALL_DEADLINE : CancelCause.GIVEN_UP, nowMs);
     }
 
-    private void breakOff(CancelCause cause, long nowMs) {
+    private void abort(CancelCause cause, long nowMs) {
         if (action.cancel(cause, nowMs)) {
-            abandonAttempt(nowMs);
+            cancelAttempt(nowMs);
             end();
-            client.abort(new IOException("the answer is not whole"));
+            client.abort(new IOException("response is incomplete"));
         }
     }
 
     @Override
     public synchronized void onNodeEnds() {
         Outcome outcome = action.mayHaveRun() ? Outcome.BROKEN : Outcome.LEAVING;
-        endWithoutAnswer(CancelCause.NODE_ENDS, outcome, proxy.nowMs());
+        fail(CancelCause.NODE_ENDS, outcome, proxy.nowMs());
     }
 
-    /** The client's connection has ended, or what is written there fails. */
+    /** Called when the client closed its connection or a write to it failed. */
     void onClientGone() {
         synchronized (this) {
             long nowMs = proxy.nowMs();
             if (!action.cancel(CancelCause.CLIENT_GONE, nowMs)) {
                 return;
             }
-            abandonAttempt(nowMs);
+            cancelAttempt(nowMs);
             end();
         }
-        client.abort(new EofException("the client is gone"));
+        client.abort(new EofException("client closed the connection"));
     }
 
-    private void abandonAttempt(long nowMs) {
+    private void cancelAttempt(long nowMs) {
         if (current != null) {
             endAttempt(current, AttemptOutcome.PARENT_ENDED, nowMs);
         }
@@ -342,9 +343,9 @@
         timer.clear();
     }
 
-    // ---- time
+    // ---- timer
 
-    /** Sets the timer to the next thing that is due. */
+    /** Sets the timer to the next timeout or deadline. */
     void armTimer() {
         boolean attemptMayTimeOut = current != null && current.hasOwnTimeout();
         timer.set(attemptMayTimeOut ? Math.min(action.deadlineMs(), current.timeoutAtMs()) : action.deadlineMs());
@@ -368,7 +369,7 @@
         }
     }
 
-    // ---- what it is
+    // ---- accessors
 
     AdmittedRequest admitted() {
         return admitted;
@@ -378,7 +379,7 @@
         return client;
     }
 
-    /** How far the client's stream has come. */
+    /** Returns the position of the client's stream. */
     StreamPosition position() {
         return position;
     }
--- a/src/main/java/ringspindle/proxy/ResponseKind.java
+++ b/src/main/java/ringspindle/proxy/ResponseKind.java
@@ -7,40 +7,40 @@
 import org.eclipse.jetty.http.HttpStatus;
 import ringspindle.retry.AttemptOutcome;
 
-/** What the head of an engine's answer says of the attempt, before any of its body has been read. */
+/** Classifies an engine's response by its status and headers, before any of its body is read. */
 enum ResponseKind {
-    /** A success that may be passed on once it is seen to be whole. */
+    /** A successful response that may be forwarded once it is known to be complete. */
     SUCCESS(null),
-    /** The engine ran the request and failed; its answer may be passed on. */
+    /** The engine executed the request and failed; its response may be forwarded. */
     FAILURE(AttemptOutcome.FAILED),
-    /** The engine promises that the request has not run there. */
+    /** The engine guarantees that it did not execute the request. */
     NOT_RUN(AttemptOutcome.NOT_RUN),
-    /** Another engine has the address by now; the request has not run. */
+    /** The address now belongs to another engine; the request was not executed. */
     MISDIRECTED(AttemptOutcome.MISDIRECTED),
-    /** It is nobody's answer, or one that proves nothing: the request may have run. */
+    /** The response belongs to no known attempt or proves nothing: the request may have been executed. */
     BROKEN(AttemptOutcome.BROKEN);
 
-    private final AttemptOutcome end;
+    private final AttemptOutcome attemptOutcome;
 
-    ResponseKind(AttemptOutcome end) {
-        this.end = end;
+    ResponseKind(AttemptOutcome attemptOutcome) {
+        this.attemptOutcome = attemptOutcome;
     }
 
-    /** How the attempt ends once this answer has come whole; empty for {@link #SUCCESS}. */
+    /** Returns the outcome of the attempt once this response is complete; empty for {@link #SUCCESS}. */
     Optional<AttemptOutcome> attemptOutcome() {
-        return Optional.ofNullable(end);
+        return Optional.ofNullable(attemptOutcome);
     }
 
-    /** True if whose answer it is cannot be told, so that nothing more of it is read. */
-    static boolean isUnattributable(Response head, String attemptId) {
-        return !attemptId.equals(head.getHeaders().get(Headers.ATTEMPT_ID))
-                || head.getStatus() == HttpStatus.SWITCHING_PROTOCOLS_101;
+    /** Returns true if the response cannot be attributed to the attempt, so that its body must not be read. */
+    static boolean isUnattributable(Response response, String attemptId) {
+        return !attemptId.equals(response.getHeaders().get(Headers.ATTEMPT_ID))
+                || response.getStatus() == HttpStatus.SWITCHING_PROTOCOLS_101;
     }
 
-    /** The kind of an answer that bears the attempt's id and came from the engine of that instance id. */
-    static ResponseKind of(Response head, String instanceId) {
-        HttpFields fields = head.getHeaders();
-        int status = head.getStatus();
+    /** Classifies a response that carries the attempt's id; {@code instanceId} is the engine that it was sent to. */
+    static ResponseKind of(Response response, String instanceId) {
+        HttpFields fields = response.getHeaders();
+        int status = response.getStatus();
         if (status == HttpStatus.MISDIRECTED_REQUEST_421) {
             String actual = fields.get(Headers.INSTANCE_ID);
             return actual != null && !actual.equals(instanceId) ? MISDIRECTED : NOT_RUN;
@@ -49,14 +49,14 @@
             return NOT_RUN;
         }
         if (HttpStatus.isSuccess(status)) {
-            boolean sealed = fields.contains(Headers.SERVER_SEAL);
-            return sealed && !fields.contains(HttpHeader.CONTENT_ENCODING) ? SUCCESS : BROKEN;
+            boolean hasSeal = fields.contains(Headers.SERVER_SEAL);
+            return hasSeal && !fields.contains(HttpHeader.CONTENT_ENCODING) ? SUCCESS : BROKEN;
         }
-        // without Not-Executed these would promise the client what the engine has not promised
-        return promisesNotRun(status) ? BROKEN : FAILURE;
+        // To a client these statuses mean "not executed", which the engine does not guarantee without Not-Executed.
+        return impliesNotExecuted(status) ? BROKEN : FAILURE;
     }
 
-    private static boolean promisesNotRun(int status) {
+    private static boolean impliesNotExecuted(int status) {
         return status == HttpStatus.TOO_MANY_REQUESTS_429
                 || status == HttpStatus.SERVICE_UNAVAILABLE_503
                 || status == HttpStatus.REQUEST_TIMEOUT_408;
--- a/src/main/java/ringspindle/proxy/ResponseTiming.java
+++ b/src/main/java/ringspindle/proxy/ResponseTiming.java
@@ -2,37 +2,37 @@
 
 import ringspindle.time.MonotonicClock;
 
-/** When the parts of an answer were written to the client, in ms of the steady clock. Thread safe. */
+/** Records when the parts of a response were written to the client, in ms of the monotonic clock. Thread safe. */
 final class ResponseTiming {
-    /** What {@link #firstWriteMs} says before anything was written. */
+    /** Returned by {@link #firstWriteMs} before the first write. */
     static final long NOT_WRITTEN = -1;
 
     private final MonotonicClock clock;
     private long firstWriteMs = NOT_WRITTEN;
-    private long lastMs;
+    private long lastWriteMs;
     private long longestGapMs;
 
     ResponseTiming(MonotonicClock clock) {
         this.clock = clock;
     }
 
-    /** A part is written now. */
+    /** Records that a part is being written now. */
     synchronized void onWrite() {
         long nowMs = clock.nowMs();
         if (firstWriteMs == NOT_WRITTEN) {
             firstWriteMs = nowMs;
         } else {
-            longestGapMs = Math.max(longestGapMs, nowMs - lastMs);
+            longestGapMs = Math.max(longestGapMs, nowMs - lastWriteMs);
         }
-        lastMs = nowMs;
+        lastWriteMs = nowMs;
     }
 
-    /** When the first part was written. */
+    /** Returns the time of the first write, {@link #NOT_WRITTEN} before it. */
     synchronized long firstWriteMs() {
         return firstWriteMs;
     }
 
-    /** The longest pause between two parts, 0 with fewer than two. */
+    /** Returns the longest gap between two consecutive writes, 0 with fewer than two. */
     synchronized long longestGapMs() {
         return longestGapMs;
     }
--- a/src/main/java/ringspindle/proxy/StreamEvent.java
+++ b/src/main/java/ringspindle/proxy/StreamEvent.java
@@ -3,23 +3,23 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One whole event of a stream.
+ * One complete event of a stream.
  *
- * @param bytes as the engine sent it, with the blank line that closes it
- * @param id the number in its {@code id} line, {@link #NO_ID} without one, {@link #UNREADABLE_ID} if it is no number
- * @param weightVersion the version that its {@code weight-versions} line names, {@link #NO_VERSION} without one
- * @param hasData true if it has a {@code data} line
+ * @param bytes the event as the engine sent it, with the terminating blank line
+ * @param id the number in its {@code id} line, {@link #NO_ID} without one, {@link #INVALID_ID} if it is not a number
+ * @param weightVersion the version in its {@code weight-versions} line, {@link #NO_VERSION} without one
+ * @param hasData whether it has a {@code data} line
  */
 record StreamEvent(byte[] bytes, long id, long weightVersion, boolean hasData) {
     static final long NO_ID = -1;
-    static final long UNREADABLE_ID = -2;
+    static final long INVALID_ID = -2;
     static final long NO_VERSION = -1;
 
     private static final String ID_FIELD = "id:";
     private static final String DATA_FIELD = "data";
     private static final String WEIGHT_VERSION_FIELD = "weight-versions:";
 
-    /** Reads the fields of an event's bytes. */
+    /** Parses the fields of an event. */
     static StreamEvent parse(byte[] bytes) {
         long id = NO_ID;
         long weightVersion = NO_VERSION;
@@ -27,9 +27,9 @@
         String text = new String(bytes, StandardCharsets.ISO_8859_1);
         for (String line : text.split("\n")) {
             if (line.startsWith(ID_FIELD)) {
-                id = number(line.substring(ID_FIELD.length()), UNREADABLE_ID);
+                id = parseNumber(line.substring(ID_FIELD.length()), INVALID_ID);
             } else if (line.startsWith(WEIGHT_VERSION_FIELD)) {
-                weightVersion = number(line.substring(WEIGHT_VERSION_FIELD.length()), NO_VERSION);
+                weightVersion = parseNumber(line.substring(WEIGHT_VERSION_FIELD.length()), NO_VERSION);
             } else if (line.startsWith(DATA_FIELD)) {
                 hasData = true;
             }
@@ -37,12 +37,12 @@
         return new StreamEvent(bytes, id, weightVersion, hasData);
     }
 
-    private static long number(String text, long otherwise) {
+    private static long parseNumber(String text, long fallback) {
         try {
             long number = Long.parseLong(text.trim());
-            return number < 0 ? otherwise : number;
+            return number < 0 ? fallback : number;
         } catch (NumberFormatException notANumber) {
-            return otherwise;
+            return fallback;
         }
     }
 }
--- a/src/main/java/ringspindle/proxy/StreamPosition.java
+++ b/src/main/java/ringspindle/proxy/StreamPosition.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /**
- * How far the client's event stream has come, over all attempts of its request. An event may be passed on only if it
- * follows the one before it; so ids rise by one, with none missing or twice, whichever engines the events come from.
+ * Position of the client's event stream, over all attempts of its request. An event may be forwarded only if its id
+ * follows the previous one, so ids increase by one without gaps or duplicates, whichever engines the events come from.
  *
- * <p>The first id of a stream is not known beforehand: whatever the first engine begins with is taken for it, unless the
- * client named the last event that it has. Not thread safe.
+ * <p>The first id of a stream is not known in advance: the first id that an engine sends is accepted, unless the client
+ * named the last event that it received. Not thread safe.
  */
 final class StreamPosition {
     private static final long UNKNOWN = -1;
@@ -20,7 +20,7 @@
         this.lastId = lastId;
     }
 
-    /** Behind the event of that {@code Last-Event-Id}; before the first event if it is null or no number. */
+    /** Returns the position after {@code lastEventId}; before the first event if that is null or not a number. */
     static StreamPosition after(String lastEventId) {
         if (lastEventId == null) {
             return new StreamPosition(UNKNOWN);
@@ -32,9 +32,9 @@
         }
     }
 
-    /** Moves past that event if it follows; false if it must not be passed on, nor anything behind it. */
+    /** Advances past the event; returns false if neither it nor anything after it may be forwarded. */
     boolean advance(StreamEvent event) {
-        if (event.id() == StreamEvent.UNREADABLE_ID) {
+        if (event.id() == StreamEvent.INVALID_ID) {
             return false;
         }
         if (event.id() == StreamEvent.NO_ID) {
@@ -52,33 +52,33 @@
         return true;
     }
 
-    /** Notes the weights that the head of a first run names; null if it names none. */
+    /** Records the weight version from the headers of the first attempt's response; null if they have none. */
     void recordWeightVersion(String weightVersions) {
-        readVersion(weightVersions).ifPresent(version -> weightVersion = version);
+        parseVersion(weightVersions).ifPresent(version -> weightVersion = version);
     }
 
-    /** True if a run whose head names those weights, or none, may go on where this stream stands. */
+    /** Returns true if a response whose headers have these weight versions, or null, may resume this stream. */
     boolean isCompatibleWith(String weightVersions) {
-        Optional<Long> version = readVersion(weightVersions);
+        Optional<Long> version = parseVersion(weightVersions);
         return version.isEmpty() || weightVersion == UNKNOWN || version.get() == weightVersion;
     }
 
-    /** True if another engine can be told where to go on: an event without an id leaves that open. */
+    /** Returns true if another engine can be told where to resume: not after an event with data but without an id. */
     boolean isResumable() {
         return lastId != UNKNOWN && !unnumberedSinceLastId;
     }
 
-    /** The id of the last event passed on or named by the client; negative if there is none. */
+    /** Returns the id of the last event that was forwarded or named by the client; negative if there is none. */
     long lastId() {
         return lastId;
     }
 
-    /** The version of the weights that made the last event; negative if it is not known. */
+    /** Returns the version of the model weights that produced the last event; negative if unknown. */
     long weightVersion() {
         return weightVersion;
     }
 
-    private static Optional<Long> readVersion(String text) {
+    private static Optional<Long> parseVersion(String text) {
         if (text == null) {
             return Optional.empty();
         }
