--- a/src/test/java/ringspindle/proxy/BrokenStreamTest.java
+++ b/src/test/java/ringspindle/proxy/BrokenStreamTest.java
@@ -13,20 +13,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A client sees a stream as complete only if the engine's own end was seen and no event is missing or doubled. */
+/** A stream looks complete to the client only if the engine ended it and no event is missing or duplicated. */
 @Timeout(60)
 class BrokenStreamTest extends ProxyFixture {
     private static final String CLOSE = "Connection: close\r\n";
     private static final String END_OF_CHUNKS = "0\r\n\r\n";
-    private static final String UNFRAMED = "Connection: close\r\nContent-Type: text/event-stream\r\n\r\n";
+    private static final String CLOSE_DELIMITED = "Connection: close\r\nContent-Type: text/event-stream\r\n\r\n";
 
-    /** An event as engines send it. */
     private static String event(long id) {
         return "id: " + id + "\ndata: <" + id + ">\n\n";
     }
 
-    private static String okHead(ScriptedEngine.ReceivedRequest seen) {
-        return "HTTP/1.1 200 OK\r\nAttempt-Id: " + seen.headers().get("Attempt-Id")
+    private static String okHead(ScriptedEngine.ReceivedRequest request) {
+        return "HTTP/1.1 200 OK\r\nAttempt-Id: " + request.headers().get("Attempt-Id")
                 + "\r\nServer-Seal: seal\r\nWeight-Versions: 1\r\n";
     }
 
@@ -39,57 +38,57 @@
         return answer.startsWith("HTTP/1.1 200") && answer.endsWith(END_OF_CHUNKS);
     }
 
-    /** Sends that, waits until the relay has passed it on, and only then resets the connection. */
-    private String streamResetAfter(String path, String head, String events, String last) throws Exception {
-        CountDownLatch passedOn = new CountDownLatch(1);
-        engine("i-1", "z", (seen, out, socket) -> {
-            ScriptedEngine.writeText(out, okHead(seen) + head + events);
-            passedOn.await();
+    /** Sends the events, and resets the connection only after the proxy has forwarded them. */
+    private String streamResetAfter(String path, String head, String events, String lastEvent) throws Exception {
+        CountDownLatch forwarded = new CountDownLatch(1);
+        engine("i-1", "z", (request, out, socket) -> {
+            ScriptedEngine.writeText(out, okHead(request) + head + events);
+            forwarded.await();
             reset(socket);
         });
         Socket client = send(path, "t1", CLOSE, "");
-        String begun = until(client, last);
-        passedOn.countDown();
-        return begun + all(client);
+        String start = until(client, lastEvent);
+        forwarded.countDown();
+        return start + all(client);
     }
 
     @Test
-    void unframedStreamThatIsResetDoesNotLookComplete() throws Exception {
-        String got = streamResetAfter("/short/x", UNFRAMED, event(0) + event(1), "<1>");
-        assertTrue(got.contains("<0>") && got.contains("<1>"), got);
-        assertFalse(looksComplete(got), got);
+    void closeDelimitedStreamThatIsResetDoesNotLookComplete() throws Exception {
+        String response = streamResetAfter("/short/x", CLOSE_DELIMITED, event(0) + event(1), "<1>");
+        assertTrue(response.contains("<0>") && response.contains("<1>"), response);
+        assertFalse(looksComplete(response), response);
     }
 
     @Test
-    void unframedStreamThatIsClosedIsComplete() throws Exception {
-        engine("i-1", "z", (seen, out, socket) -> {
-            ScriptedEngine.writeText(out, okHead(seen) + UNFRAMED + event(0) + event(1));
+    void closeDelimitedStreamThatIsClosedIsComplete() throws Exception {
+        engine("i-1", "z", (request, out, socket) -> {
+            ScriptedEngine.writeText(out, okHead(request) + CLOSE_DELIMITED + event(0) + event(1));
             throw new IOException("close");
         });
-        String got = ok("/short/x", "t1");
-        assertTrue(looksComplete(got) && got.contains("<1>"), got);
+        String response = ok("/short/x", "t1");
+        assertTrue(looksComplete(response) && response.contains("<1>"), response);
     }
 
     @Test
-    void unframedAnswerThatIsResetIsNoSuccess() throws Exception {
-        engine("i-1", "z", (seen, out, socket) -> {
-            // the relay holds a plain answer back until its end, so nothing tells when it was read: large enough that
-            // the reset can only come once much of it was taken
-            ScriptedEngine.writeText(out, okHead(seen) + "Connection: close\r\n\r\n" + "x".repeat(8 << 20));
+    void closeDelimitedResponseThatIsResetIsNoSuccess() throws Exception {
+        engine("i-1", "z", (request, out, socket) -> {
+            // The proxy buffers a response that is no stream, so the test cannot see when it was read. The body is so
+            // large that the reset can only arrive after much of it was read.
+            ScriptedEngine.writeText(out, okHead(request) + "Connection: close\r\n\r\n" + "x".repeat(8 << 20));
             reset(socket);
         });
-        String got = ok("/once/x", "t1");
-        assertTrue(got.startsWith("HTTP/1.1 502"), got.substring(0, Math.min(300, got.length())));
+        String response = ok("/once/x", "t1");
+        assertTrue(response.startsWith("HTTP/1.1 502"), response.substring(0, Math.min(300, response.length())));
     }
 
     static List<String> idsThatDoNotFollow() {
         return List.of("0 2", "0 0", "0 1 0", "0 1 3 2", "5 4", "0 1 1 2", "1 2 4 5");
     }
 
-    /** All in one read: what comes before the wrong id is passed on, and the stream is broken off there. */
+    /** All events arrive in one read: those before the wrong id are forwarded, and the stream is aborted there. */
     @ParameterizedTest
     @MethodSource("idsThatDoNotFollow")
-    void wrongIdInsideOneReadBreaksTheStream(String ids) throws Exception {
+    void wrongIdWithinOneReadAbortsTheStream(String ids) throws Exception {
         StringBuilder events = new StringBuilder();
         for (String id : ids.split(" ")) {
             events.append(event(Long.parseLong(id)));
@@ -97,77 +96,77 @@
         engine(
                 "i-1",
                 "z",
-                (seen, out, socket) -> ScriptedEngine.writeText(
+                (request, out, socket) -> ScriptedEngine.writeText(
                         out,
-                        ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk(events.toString()) + END_OF_CHUNKS));
-        String got = ok("/short/x", "t1");
-        assertFalse(looksComplete(got), got);
-        long before = -1;
-        for (String id : ids.split(" ")) {
-            long next = Long.parseLong(id);
-            if (before >= 0 && next != before + 1) {
+                        ScriptedEngine.streamHead(request) + ScriptedEngine.chunk(events.toString()) + END_OF_CHUNKS));
+        String response = ok("/short/x", "t1");
+        assertFalse(looksComplete(response), response);
+        long previous = -1;
+        for (String idText : ids.split(" ")) {
+            long id = Long.parseLong(idText);
+            if (previous >= 0 && id != previous + 1) {
                 break;
             }
-            assertTrue(got.contains("<" + next + ">"), got);
-            before = next;
+            assertTrue(response.contains("<" + id + ">"), response);
+            previous = id;
         }
     }
 
-    /** A resumable stream goes on at another engine behind the last event that followed. */
+    /** A resumable stream continues at another engine after the last event in sequence. */
     @Test
-    void wrongIdInsideOneReadIsResumedElsewhere() throws Exception {
-        ScriptedEngine.Script script = (seen, out, socket) -> {
-            String last = seen.headers().get("Last-Event-Id");
-            String events = last == null ? event(0) + event(1) + event(3) : event(2) + event(3);
+    void wrongIdWithinOneReadIsResumedAtAnotherEngine() throws Exception {
+        ScriptedEngine.Script script = (request, out, socket) -> {
+            String lastEvent = request.headers().get("Last-Event-Id");
+            String events = lastEvent == null ? event(0) + event(1) + event(3) : event(2) + event(3);
             ScriptedEngine.writeText(
-                    out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk(events) + END_OF_CHUNKS);
+                    out, ScriptedEngine.streamHead(request) + ScriptedEngine.chunk(events) + END_OF_CHUNKS);
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
-        String got = ok("/long/x", "t1");
-        assertTrue(looksComplete(got), got);
-        assertEquals("0123", got.replaceAll("(?s)^.*?\r\n\r\n", "").replaceAll("(?s)[^<]*<(\\d+)>[^<]*", "$1"));
+        String response = ok("/long/x", "t1");
+        assertTrue(looksComplete(response), response);
+        assertEquals("0123", response.replaceAll("(?s)^.*?\r\n\r\n", "").replaceAll("(?s)[^<]*<(\\d+)>[^<]*", "$1"));
     }
 
-    /** A resumed run with other weights than the stream had is not joined to it. */
+    /** A resumed response with another weight version than the stream's is not appended to it. */
     @Test
-    void resumedRunWithOtherWeightsIsNotPassedOn() throws Exception {
-        ScriptedEngine.Script script = (seen, out, socket) -> {
-            boolean first = seen.headers().get("Last-Event-Id") == null;
-            String head = ScriptedEngine.streamHead(seen);
+    void resumedResponseWithOtherWeightsIsNotForwarded() throws Exception {
+        ScriptedEngine.Script script = (request, out, socket) -> {
+            boolean first = request.headers().get("Last-Event-Id") == null;
+            String head = ScriptedEngine.streamHead(request);
             if (first) {
                 ScriptedEngine.writeText(out, head + ScriptedEngine.chunk(event(0) + event(2)) + END_OF_CHUNKS);
             } else {
-                String others = head.replace("Weight-Versions: 1", "Weight-Versions: 2");
-                ScriptedEngine.writeText(out, others + ScriptedEngine.chunk(event(1)) + END_OF_CHUNKS);
+                String otherWeights = head.replace("Weight-Versions: 1", "Weight-Versions: 2");
+                ScriptedEngine.writeText(out, otherWeights + ScriptedEngine.chunk(event(1)) + END_OF_CHUNKS);
             }
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
-        String got = ok("/long/x", "t1");
-        assertTrue(got.contains("<0>"), got);
-        assertFalse(got.contains("<1>") || looksComplete(got), got);
+        String response = ok("/long/x", "t1");
+        assertTrue(response.contains("<0>"), response);
+        assertFalse(response.contains("<1>") || looksComplete(response), response);
     }
 
-    /** Behind an event without an id nobody knows where another engine would have to go on. */
+    /** After an event without an id it is unknown where another engine would have to resume. */
     @Test
-    void streamIsNotResumedBehindAnEventWithoutAnId() throws Exception {
-        ScriptedEngine.Script script = (seen, out, socket) -> {
-            if (seen.headers().get("Last-Event-Id") == null) {
+    void streamIsNotResumedAfterAnEventWithoutAnId() throws Exception {
+        ScriptedEngine.Script script = (request, out, socket) -> {
+            if (request.headers().get("Last-Event-Id") == null) {
                 ScriptedEngine.writeText(
                         out,
-                        ScriptedEngine.streamHead(seen)
+                        ScriptedEngine.streamHead(request)
                                 + ScriptedEngine.chunk(event(0) + "data: <unnumbered>\n\n" + event(2))
                                 + END_OF_CHUNKS);
             } else {
                 ScriptedEngine.writeText(
-                        out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk(event(1)) + END_OF_CHUNKS);
+                        out, ScriptedEngine.streamHead(request) + ScriptedEngine.chunk(event(1)) + END_OF_CHUNKS);
             }
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
-        String got = ok("/long/x", "t1");
-        assertTrue(got.contains("<unnumbered>"), got);
-        assertFalse(got.contains("<1>") || looksComplete(got), got);
+        String response = ok("/long/x", "t1");
+        assertTrue(response.contains("<unnumbered>"), response);
+        assertFalse(response.contains("<1>") || looksComplete(response), response);
     }
 }
--- a/src/test/java/ringspindle/proxy/EngineConnectionPoolTest.java
+++ b/src/test/java/ringspindle/proxy/EngineConnectionPoolTest.java
@@ -27,31 +27,31 @@
 import ringspindle.protocol.NodeId;
 import ringspindle.time.MonotonicClock;
 
-/** Connections to engines: what is given up is never sent, and what saw anything unexpected carries nothing more. */
+/** Abandoned requests are never sent, and connections that received unexpected bytes are not reused. */
 @Timeout(60)
 class EngineConnectionPoolTest {
-    private static final HttpFields KEPT = HttpFields.build().put("Keep-Alive", "timeout=30");
+    private static final HttpFields KEEP_ALIVE = HttpFields.build().put("Keep-Alive", "timeout=30");
 
-    private QueuedThreadPool pool;
+    private QueuedThreadPool threadPool;
     private ScheduledExecutorScheduler scheduler;
     private HttpClient client;
     private EngineConnectionPool connections;
     private ScriptedEngine engine;
     private final BlockingQueue<Socket> sockets = new LinkedBlockingQueue<>();
-    /** By how much the clock of the pool was set on. */
-    private volatile long laterMs;
+    /** How far the pool's clock is advanced. */
+    private volatile long clockOffsetMs;
 
     @BeforeEach
-    void open() throws Exception {
-        pool = new QueuedThreadPool(8, 2);
-        pool.setDaemon(true);
-        pool.setStopTimeout(0);
-        pool.start();
+    void setUp() throws Exception {
+        threadPool = new QueuedThreadPool(8, 2);
+        threadPool.setDaemon(true);
+        threadPool.setStopTimeout(0);
+        threadPool.start();
         scheduler = new ScheduledExecutorScheduler("ticks", true, 1);
         scheduler.start();
-        client = EngineHttpClient.start(pool, scheduler);
+        client = EngineHttpClient.start(threadPool, scheduler);
         connections =
-                new EngineConnectionPool(client, () -> MonotonicClock.system().nowMs() + laterMs);
+                new EngineConnectionPool(client, () -> MonotonicClock.system().nowMs() + clockOffsetMs);
         engine = new ScriptedEngine((seen, out, socket) -> {
             sockets.add(socket);
             ScriptedEngine.respondWith(200, "hello", "").run(seen, out, socket);
@@ -59,10 +59,10 @@
     }
 
     @AfterEach
-    void close() throws Exception {
+    void tearDown() throws Exception {
         client.stop();
         engine.close();
-        pool.stop();
+        threadPool.stop();
         scheduler.stop();
     }
 
@@ -71,26 +71,26 @@
     }
 
     private PooledConnection acquire(ConnectionLimit limit, boolean repeatable) {
-        CompletableFuture<PooledConnection> taken = new CompletableFuture<>();
+        CompletableFuture<PooledConnection> acquired = new CompletableFuture<>();
         NodeId address = NodeId.of(engine.address());
         connections.acquire("i-1", address, limit, repeatable, new EngineConnectionPool.AcquireListener() {
             @Override
             public void onAcquired(PooledConnection connection) {
-                taken.complete(connection);
+                acquired.complete(connection);
             }
 
             @Override
             public void onAcquireFailed(EngineConnectionPool.Failure failure) {
-                taken.completeExceptionally(new AssertionError(failure.toString()));
+                acquired.completeExceptionally(new AssertionError(failure.toString()));
             }
         });
-        return taken.join();
+        return acquired.join();
     }
 
     private Request request() {
         return client.newRequest("http://" + engine.address() + "/x")
                 .method("POST")
-                .headers(h -> h.put("Attempt-Id", "t1"))
+                .headers(headers -> headers.put("Attempt-Id", "t1"))
                 .body(new BytesRequestContent(new byte[100_000]));
     }
 
@@ -100,9 +100,9 @@
         return result;
     }
 
-    /** Jetty's receiver may touch a buffer after it has given it back, so no other connection may ever get it. */
+    /** Jetty's receiver may access a buffer after its release, so no other connection may ever acquire it. */
     @Test
-    void noBufferIsSharedBetweenConnections() {
+    void buffersAreNotSharedBetweenConnections() {
         ByteBufferPool buffers = client.getByteBufferPool();
         RetainableByteBuffer first = buffers.acquire(4096, false);
         byte[] array = first.getByteBuffer().array();
@@ -111,41 +111,41 @@
     }
 
     @Test
-    void connectionIsKeptAfterAWholeAnswer() {
+    void connectionIsReusedAfterACompleteResponse() {
         PooledConnection first = acquire();
         assertTrue(send(first, request()).join().isSucceeded());
-        connections.release(first, KEPT);
+        connections.release(first, KEEP_ALIVE);
         assertSame(first, acquire());
     }
 
-    /** The attempt may be given up between the choice of its connection and the send. */
+    /** An attempt may be abandoned between the acquisition of its connection and the send. */
     @Test
-    void whatWasGivenUpBeforeTheSendIsNeverSent() {
+    void requestAbandonedBeforeTheSendIsNeverSent() {
         PooledConnection connection = acquire();
         Request request = request();
         connections.discard(connection);
-        request.abort(new IllegalStateException("given up"));
+        request.abort(new IllegalStateException("abandoned"));
         assertTrue(send(connection, request).join().isFailed());
         assertTrue(send(acquire(), request()).join().isSucceeded());
         assertEquals(1, engine.requests.size());
     }
 
-    /** Half an answer that nobody asked for, on a connection at rest. */
+    /** The engine sends part of an unsolicited response on an idle connection. */
     @Test
-    void connectionThatSpeaksAtRestCarriesNothingMore() throws Exception {
+    void connectionThatReceivesBytesWhileIdleIsNotReused() throws Exception {
         PooledConnection first = acquire();
         assertTrue(send(first, request()).join().isSucceeded());
-        connections.release(first, KEPT);
-        long had = first.connection().getBytesIn();
+        connections.release(first, KEEP_ALIVE);
+        long bytesBefore = first.connection().getBytesIn();
         ScriptedEngine.writeText(sockets.take().getOutputStream(), "HTTP/1.1 200 OK\r\nAttempt-Id: t");
-        while (first.connection().getBytesIn() == had) {
+        while (first.connection().getBytesIn() == bytesBefore) {
             Thread.onSpinWait();
         }
         assertNotSame(first, acquire());
         assertTrue(first.connection().isClosed());
     }
 
-    /** One connection may be open: an unused one given back is counted once, and used again if it is new. */
+    /** With a limit of one connection: an unused one that is released counts once, and is reused if it was new. */
     @Test
     void unusedConnectionIsCountedOnce() {
         PooledConnection fresh = acquire();
@@ -153,9 +153,9 @@
         PooledConnection again = acquire();
         assertSame(fresh, again);
         connections.releaseUnused(again);
-        assertTrue(again.connection().isClosed(), "how long it rested is not known any more");
+        assertTrue(again.connection().isClosed(), "its total idle time is no longer known");
         PooledConnection other = acquire();
-        CompletableFuture<Boolean> full = new CompletableFuture<>();
+        CompletableFuture<Boolean> limitReached = new CompletableFuture<>();
         connections.acquire(
                 "i-1",
                 NodeId.of(engine.address()),
@@ -164,44 +164,44 @@
                 new EngineConnectionPool.AcquireListener() {
                     @Override
                     public void onAcquired(PooledConnection connection) {
-                        full.complete(false);
+                        limitReached.complete(false);
                     }
 
                     @Override
                     public void onAcquireFailed(EngineConnectionPool.Failure failure) {
-                        full.complete(failure == EngineConnectionPool.Failure.LIMIT_REACHED);
+                        limitReached.complete(failure == EngineConnectionPool.Failure.LIMIT_REACHED);
                     }
                 });
-        assertTrue(full.join(), "more connections than allowed");
+        assertTrue(limitReached.join(), "the connection limit was exceeded");
         assertFalse(other.connection().isClosed());
     }
 
     @Test
-    void silenceAloneEndsNoRequest() {
+    void clientHasNoIdleTimeout() {
         assertEquals(0, client.getIdleTimeout());
     }
 
-    /** Where nodes outnumber the connections that an engine accepts, an idle one would be missing elsewhere. */
+    /** If there are more nodes than connections to an engine, an idle connection would be missing at another node. */
     @Test
-    void nothingStaysIdleWhereConnectionsAreScarce() {
+    void noConnectionStaysIdleIfTheyAreScarce() {
         ConnectionLimit scarce = new ConnectionLimit(1, false);
         PooledConnection first = acquire(scarce, true);
-        connections.release(first, KEPT);
+        connections.release(first, KEEP_ALIVE);
         assertTrue(first.connection().isClosed());
         assertNotSame(first, acquire(scarce, true));
     }
 
-    /** What may run only once goes over a new connection also where this node may hold only one. */
+    /** A non-repeatable request gets a new connection even if this node may have only one open. */
     @Test
-    void anOldConnectionMakesRoomForWhatMayRunOnlyOnce() {
+    void oldConnectionIsReplacedForANonRepeatableRequest() {
         ConnectionLimit single = new ConnectionLimit(1, true);
         PooledConnection first = acquire(single, false);
-        connections.release(first, KEPT);
-        laterMs = 2000;
+        connections.release(first, KEEP_ALIVE);
+        clockOffsetMs = 2000;
         PooledConnection second = acquire(single, false);
         assertNotSame(first, second);
         assertTrue(first.connection().isClosed());
-        connections.release(second, KEPT);
-        assertSame(second, acquire(single, false), "a fresh one is used again");
+        connections.release(second, KEEP_ALIVE);
+        assertSame(second, acquire(single, false), "a recently used connection is reused");
     }
 }
--- a/src/test/java/ringspindle/proxy/ScriptedEngine.java
+++ b/src/test/java/ringspindle/proxy/ScriptedEngine.java
@@ -15,19 +15,19 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** A stand-in engine on loopback that does what its script says, and keeps what it was sent. */
+/** A fake engine on loopback that records the requests it receives and answers each of them with a script. */
 final class ScriptedEngine implements AutoCloseable {
-    /** One request as it came. */
+    /** One request as it was received. */
     record ReceivedRequest(String requestLine, Map<String, String> headers, byte[] body) {}
 
-    /** What a script may do with one request. */
+    /** Answers one request; an exception closes the connection. */
     interface Script {
         void run(ReceivedRequest request, OutputStream out, Socket socket) throws Exception;
     }
 
     final ServerSocket server;
     final BlockingQueue<ReceivedRequest> requests = new LinkedBlockingQueue<>();
-    /** Gets a token when a wire ends from the other side. */
+    /** Receives an element whenever a connection ends. */
     final BlockingQueue<String> closed = new LinkedBlockingQueue<>();
 
     private volatile Script script;
@@ -36,16 +36,16 @@
     ScriptedEngine(Script script) throws IOException {
         this.script = script;
         server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        Thread t = new Thread(this::accept);
-        t.setDaemon(true);
-        t.start();
+        Thread thread = new Thread(this::accept);
+        thread.setDaemon(true);
+        thread.start();
     }
 
     void setScript(Script newScript) {
         script = newScript;
     }
 
-    /** Runs that as soon as a head is read, before the body is. */
+    /** Sets a script that runs once the headers are read, before the body is. */
     void setEarlyScript(Script newScript) {
         earlyScript = newScript;
     }
@@ -57,60 +57,61 @@
     private void accept() {
         try {
             while (true) {
-                Socket s = server.accept();
-                Thread t = new Thread(() -> serve(s));
-                t.setDaemon(true);
-                t.start();
+                Socket socket = server.accept();
+                Thread thread = new Thread(() -> serve(socket));
+                thread.setDaemon(true);
+                thread.start();
             }
-        } catch (IOException x) {
-            // closed
+        } catch (IOException serverClosed) {
+            // The test has ended.
         }
     }
 
-    private void serve(Socket s) {
-        try (s) {
-            InputStream in = new BufferedInputStream(s.getInputStream());
+    private void serve(Socket socket) {
+        try (socket) {
+            InputStream in = new BufferedInputStream(socket.getInputStream());
             while (true) {
-                String line = line(in);
-                if (line == null) {
+                String requestLine = readLine(in);
+                if (requestLine == null) {
                     break;
                 }
                 Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-                for (String h = line(in); h != null && !h.isEmpty(); h = line(in)) {
-                    int colon = h.indexOf(':');
-                    headers.put(h.substring(0, colon), h.substring(colon + 1).trim());
+                for (String line = readLine(in); line != null && !line.isEmpty(); line = readLine(in)) {
+                    int colon = line.indexOf(':');
+                    headers.put(
+                            line.substring(0, colon), line.substring(colon + 1).trim());
                 }
                 Script beforeBody = earlyScript;
                 if (beforeBody != null) {
-                    ReceivedRequest head = new ReceivedRequest(line, headers, new byte[0]);
+                    ReceivedRequest head = new ReceivedRequest(requestLine, headers, new byte[0]);
                     requests.add(head);
-                    beforeBody.run(head, s.getOutputStream(), s);
+                    beforeBody.run(head, socket.getOutputStream(), socket);
                 }
                 byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("Content-Length", "0")));
-                ReceivedRequest x = new ReceivedRequest(line, headers, body);
-                requests.add(x);
-                script.run(x, s.getOutputStream(), s);
-                s.getOutputStream().flush();
+                ReceivedRequest request = new ReceivedRequest(requestLine, headers, body);
+                requests.add(request);
+                script.run(request, socket.getOutputStream(), socket);
+                socket.getOutputStream().flush();
             }
-        } catch (Exception x) {
-            // the script broke it off, or the other side did
+        } catch (Exception aborted) {
+            // The script or the proxy ended the connection.
         } finally {
             closed.add("closed");
         }
     }
 
-    private static String line(InputStream in) throws IOException {
-        ByteArrayOutputStream b = new ByteArrayOutputStream();
-        int c;
-        while ((c = in.read()) != '\n') {
-            if (c < 0) {
+    private static String readLine(InputStream in) throws IOException {
+        ByteArrayOutputStream line = new ByteArrayOutputStream();
+        int next;
+        while ((next = in.read()) != '\n') {
+            if (next < 0) {
                 return null;
             }
-            if (c != '\r') {
-                b.write(c);
+            if (next != '\r') {
+                line.write(next);
             }
         }
-        return b.toString(ISO_8859_1);
+        return line.toString(ISO_8859_1);
     }
 
     static void writeText(OutputStream out, String text) throws IOException {
@@ -118,20 +119,21 @@
         out.flush();
     }
 
-    /** A whole answer with the seal. */
-    static Script respondWith(int status, String body, String more) {
-        return (s, out, socket) -> writeText(
+    /** Returns a script that sends a complete response with the seal. */
+    static Script respondWith(int status, String body, String moreHeaders) {
+        return (request, out, socket) -> writeText(
                 out,
-                "HTTP/1.1 " + status + " X\r\nAttempt-Id: " + s.headers().get("Attempt-Id") + "\r\nServer-Seal: s\r\n"
-                        + more + "Content-Length: " + body.length() + "\r\n\r\n" + body);
+                "HTTP/1.1 " + status + " X\r\nAttempt-Id: " + request.headers().get("Attempt-Id")
+                        + "\r\nServer-Seal: s\r\n" + moreHeaders + "Content-Length: " + body.length() + "\r\n\r\n"
+                        + body);
     }
 
-    static String chunk(String s) {
-        return Integer.toHexString(s.length()) + "\r\n" + s + "\r\n";
+    static String chunk(String text) {
+        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    static String streamHead(ReceivedRequest s) {
-        return "HTTP/1.1 200 OK\r\nAttempt-Id: " + s.headers().get("Attempt-Id") + "\r\nServer-Seal: "
+    static String streamHead(ReceivedRequest request) {
+        return "HTTP/1.1 200 OK\r\nAttempt-Id: " + request.headers().get("Attempt-Id") + "\r\nServer-Seal: "
                 + "seal\r\nContent-Type: text/event-stream\r\nWeight-Versions: 1\r\nTransfer-Encoding: chunked\r\n\r\n";
     }
 
--- a/src/test/java/ringspindle/proxy/StreamContentTest.java
+++ b/src/test/java/ringspindle/proxy/StreamContentTest.java
@@ -17,7 +17,7 @@
 import ringspindle.proxy.EventStreams.Ending;
 import ringspindle.proxy.EventStreams.Received;
 
-/** What may stand in a stream: long events, events without an id, changes of the weights. */
+/** Forwarding of long events, events without an id, and changes of the weight version within a stream. */
 @Timeout(60)
 class StreamContentTest extends ProxyFixture {
     private static final int MEBIBYTE = 1 << 20;
@@ -25,39 +25,41 @@
     private final List<ScriptedEngine.ReceivedRequest> requests = Collections.synchronizedList(new ArrayList<>());
 
     @Test
-    void longEventIsPassedOnWhole() throws Exception {
-        String longOne = "id: 0\ndata: " + "x".repeat(3 * MEBIBYTE) + "\n\n";
+    void longEventIsForwarded() throws Exception {
+        String longEvent = "id: 0\ndata: " + "x".repeat(3 * MEBIBYTE) + "\n\n";
         engine(
                 "i-1",
                 "z",
-                (seen, out, socket) -> ScriptedEngine.writeText(
+                (request, out, socket) -> ScriptedEngine.writeText(
                         out,
-                        ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk(longOne + event(1)) + END_OF_CHUNKS));
+                        ScriptedEngine.streamHead(request)
+                                + ScriptedEngine.chunk(longEvent + event(1))
+                                + END_OF_CHUNKS));
         Received received = Received.of(ok("/short/x", "t1"));
         assertTrue(received.looksComplete());
-        assertEquals(longOne + event(1), received.body());
+        assertEquals(longEvent + event(1), received.body());
     }
 
     @Test
-    void eventsWithoutAnIdArePassedOn() throws Exception {
+    void eventsWithoutAnIdAreForwarded() throws Exception {
         String stream = ": comment\n\n" + event(0) + "data: none\n\n" + event(1);
         engine(
                 "i-1",
                 "z",
-                (seen, out, socket) -> ScriptedEngine.writeText(
-                        out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk(stream) + END_OF_CHUNKS));
+                (request, out, socket) -> ScriptedEngine.writeText(
+                        out, ScriptedEngine.streamHead(request) + ScriptedEngine.chunk(stream) + END_OF_CHUNKS));
         Received received = Received.of(ok("/short/x", "t1"));
         assertTrue(received.looksComplete());
         assertEquals(stream, received.body());
     }
 
-    /** A further run could bring it again, or not: nobody can tell the engine where to go on. */
+    /** The next engine cannot be told where to resume, so it might send the event again or skip it. */
     @Test
-    void streamBrokenBehindDataWithoutAnIdIsNotResumed() throws Exception {
-        ScriptedEngine.Script script = (seen, out, socket) -> {
-            requests.add(seen);
+    void streamBrokenAfterDataWithoutAnIdIsNotResumed() throws Exception {
+        ScriptedEngine.Script script = (request, out, socket) -> {
+            requests.add(request);
             ScriptedEngine.writeText(
-                    out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk(event(0) + "data: none\n\n"));
+                    out, ScriptedEngine.streamHead(request) + ScriptedEngine.chunk(event(0) + "data: none\n\n"));
             Ending.CLOSE.end(socket);
         };
         engine("i-1", "z", script);
@@ -68,23 +70,23 @@
         assertEquals(1, requests.size());
     }
 
-    /** An engine that goes on with other weights than those of the events before is no continuation. */
+    /** A response with another weight version than the previous events does not resume the stream. */
     @Test
-    void runWithOtherWeightsIsNotJoined() throws Exception {
-        ScriptedEngine.Script script = (seen, out, socket) -> {
-            requests.add(seen);
+    void responseWithOtherWeightsDoesNotResumeTheStream() throws Exception {
+        ScriptedEngine.Script script = (request, out, socket) -> {
+            requests.add(request);
             if (requests.size() == 1) {
                 String change = "weight-versions: 2\nid: 1\ndata: <1>\n\n";
                 ScriptedEngine.writeText(
-                        out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk(event(0) + change));
+                        out, ScriptedEngine.streamHead(request) + ScriptedEngine.chunk(event(0) + change));
                 Ending.CLOSE.end(socket);
             }
-            // says 1 in its head, though 2 was asked for
+            // The headers say version 1 although 2 was requested.
             ScriptedEngine.writeText(
-                    out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk(events(2, LAST_ID)) + END_OF_CHUNKS);
+                    out, ScriptedEngine.streamHead(request) + ScriptedEngine.chunk(events(2, LAST_ID)) + END_OF_CHUNKS);
         };
         for (String id : List.of("i-1", "i-2")) {
-            // says of no weights which it has, so that it is asked
+            // The engine announces no weight version, so that it may be selected.
             String address = engine(id, "z", script).address();
             picker.updateEngine(id, new Engine(8, 0, false, -1, -1, "s", address, "z", "v"), 2, clock.nowMs());
         }
--- a/src/test/java/ringspindle/proxy/StreamFaultsTest.java
+++ b/src/test/java/ringspindle/proxy/StreamFaultsTest.java
@@ -24,7 +24,7 @@
 import ringspindle.proxy.EventStreams.Ending;
 import ringspindle.proxy.EventStreams.Received;
 
-/** Every way in which an engine's stream goes wrong, in every state of the request: the cells of docs/STREAMS.md. */
+/** Every fault of an engine's stream in every state of the request: the cells of the table in docs/STREAMS.md. */
 @Timeout(60)
 class StreamFaultsTest extends ProxyFixture {
     private static final String CLOSE = "Connection: close\r\n";
@@ -32,46 +32,46 @@
     static final int LAST_ID = 9;
     private static final int MEBIBYTE = 1 << 20;
 
-    /** What an engine sends in place of the event that is due, and how it ends. */
+    /** What an engine sends instead of the next event, and how the connection ends. */
     private enum Fault {
         CLOSED("", "", Ending.CLOSE),
         HALF_CLOSED("", "", Ending.HALF_CLOSE),
         RESET("", "", Ending.RESET),
         CLOSED_INSIDE_EVENT("id: NEXT\ndata: <NE", "", Ending.CLOSE),
         RESET_INSIDE_EVENT("id: NEXT\ndata: <NE", "", Ending.RESET),
-        ID_TOO_HIGH("id: AFTER\ndata: <AFTER>\n\n", END_OF_CHUNKS, Ending.CLOSE),
-        ID_TWICE("id: BEFORE\ndata: <BEFORE>\n\n", END_OF_CHUNKS, Ending.CLOSE),
-        ID_NO_NUMBER("id: x\ndata: <x>\n\n", END_OF_CHUNKS, Ending.CLOSE),
+        ID_GAP("id: AFTER\ndata: <AFTER>\n\n", END_OF_CHUNKS, Ending.CLOSE),
+        ID_DUPLICATE("id: BEFORE\ndata: <BEFORE>\n\n", END_OF_CHUNKS, Ending.CLOSE),
+        ID_NOT_A_NUMBER("id: x\ndata: <x>\n\n", END_OF_CHUNKS, Ending.CLOSE),
         ID_EMPTY("id:\ndata: <x>\n\n", END_OF_CHUNKS, Ending.CLOSE),
         NO_BLANK_LINE("id: NEXT\ndata: <NEXT>\n", END_OF_CHUNKS, Ending.CLOSE),
         EVENT_TOO_LONG("id: NEXT\ndata: " + "x".repeat(5 * MEBIBYTE) + "\n\n", END_OF_CHUNKS, Ending.CLOSE),
         SECOND_HEAD("", "HTTP/1.1 200 OK\r\nServer-Seal: other\r\nContent-Length: 0\r\n\r\n", Ending.CLOSE);
 
         private final String chunk;
-        private final String behind;
+        private final String afterChunk;
         private final Ending ending;
 
-        Fault(String chunk, String behind, Ending ending) {
+        Fault(String chunk, String afterChunk, Ending ending) {
             this.chunk = chunk;
-            this.behind = behind;
+            this.afterChunk = afterChunk;
             this.ending = ending;
         }
 
-        /** Sends it where that event is due; a reset waits until what came before was passed on. */
-        void happen(OutputStream out, Socket socket, int next, CountDownLatch passedOn) throws Exception {
+        /** Sends the fault instead of event {@code next}; a reset waits until the earlier events were forwarded. */
+        void inject(OutputStream out, Socket socket, int next, CountDownLatch forwarded) throws Exception {
             String text = chunk.replace("NEXT", Integer.toString(next))
                     .replace("AFTER", Integer.toString(next + 1))
                     .replace("BEFORE", Integer.toString(next - 1));
-            ScriptedEngine.writeText(out, (text.isEmpty() ? "" : ScriptedEngine.chunk(text)) + behind);
+            ScriptedEngine.writeText(out, (text.isEmpty() ? "" : ScriptedEngine.chunk(text)) + afterChunk);
             if (ending == Ending.RESET) {
-                passedOn.await();
+                forwarded.await();
             }
             ending.end(socket);
         }
 
-        /** True if it is none where nothing says which id the first event has. */
-        boolean needsAnEarlierId() {
-            return this == ID_TOO_HIGH || this == ID_TWICE;
+        /** Returns true if it is only a fault after an earlier id, because the first id of a stream may be any. */
+        boolean needsEarlierId() {
+            return this == ID_GAP || this == ID_DUPLICATE;
         }
     }
 
@@ -89,54 +89,58 @@
         return out.toString();
     }
 
-    private static int firstDue(ScriptedEngine.ReceivedRequest seen) {
-        return Integer.parseInt(seen.headers().getOrDefault("Last-Event-Id", "-1")) + 1;
+    private static int nextId(ScriptedEngine.ReceivedRequest request) {
+        return Integer.parseInt(request.headers().getOrDefault("Last-Event-Id", "-1")) + 1;
     }
 
-    /** Two engines, of which the first that is asked sends so many events before the fault; the second is whole or not. */
-    private CountDownLatch engines(int before, Fault fault, boolean secondIsWhole) throws Exception {
-        CountDownLatch passedOn = new CountDownLatch(1);
-        ScriptedEngine.Script script = (seen, out, socket) -> {
-            requests.add(seen);
-            int run = requests.size();
-            int due = firstDue(seen);
-            ScriptedEngine.writeText(out, ScriptedEngine.streamHead(seen).replace("seal", "seal" + run));
-            if (run == 2 && secondIsWhole) {
-                ScriptedEngine.writeText(out, ScriptedEngine.chunk(events(due, LAST_ID)) + END_OF_CHUNKS);
+    /**
+     * Starts two engines. The first to get the request sends {@code before} events and then the fault; so does the
+     * second one unless it completes the stream.
+     */
+    private CountDownLatch startEngines(int before, Fault fault, boolean secondCompletes) throws Exception {
+        CountDownLatch forwarded = new CountDownLatch(1);
+        ScriptedEngine.Script script = (request, out, socket) -> {
+            requests.add(request);
+            int attempt = requests.size();
+            int next = nextId(request);
+            ScriptedEngine.writeText(out, ScriptedEngine.streamHead(request).replace("seal", "seal" + attempt));
+            if (attempt == 2 && secondCompletes) {
+                ScriptedEngine.writeText(out, ScriptedEngine.chunk(events(next, LAST_ID)) + END_OF_CHUNKS);
                 return;
             }
             if (before > 0) {
-                ScriptedEngine.writeText(out, ScriptedEngine.chunk(events(due, due + before - 1)));
+                ScriptedEngine.writeText(out, ScriptedEngine.chunk(events(next, next + before - 1)));
             }
-            fault.happen(out, socket, due + before, passedOn);
+            fault.inject(out, socket, next + before, forwarded);
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
-        return passedOn;
+        return forwarded;
     }
 
-    private Received answer(String path, String more, String awaited, CountDownLatch passedOn) throws Exception {
-        Socket client = send(path, "t1", CLOSE + more, "");
-        return Received.of(EventStreams.readAll(client, awaited, passedOn::countDown));
+    private Received sendRequest(String path, String moreHeaders, String awaited, CountDownLatch forwarded)
+            throws Exception {
+        Socket client = send(path, "t1", CLOSE + moreHeaders, "");
+        return Received.of(EventStreams.readAll(client, awaited, forwarded::countDown));
     }
 
-    private static void assertBrokenBehind(int last, Received received) {
+    private static void assertAbortedAfter(int lastId, Received received) {
         assertEquals(200, received.status());
         assertEquals(List.of("seal1"), received.seals());
-        assertEquals(events(0, last), received.body());
+        assertEquals(events(0, lastId), received.body());
         assertFalse(received.looksComplete());
     }
 
     static Stream<Fault> faultsOfAFirstEvent() {
-        return Stream.of(Fault.values()).filter(fault -> !fault.needsAnEarlierId());
+        return Stream.of(Fault.values()).filter(fault -> !fault.needsEarlierId());
     }
 
     @ParameterizedTest
     @MethodSource("faultsOfAFirstEvent")
-    void beforeTheHeadIsOutItIsAFailure(Fault fault) throws Exception {
-        CountDownLatch passedOn = engines(0, fault, true);
-        passedOn.countDown();
-        Received received = answer("/short/x", "", "", passedOn);
+    void faultBeforeTheFirstEventIsAFailure(Fault fault) throws Exception {
+        CountDownLatch forwarded = startEngines(0, fault, true);
+        forwarded.countDown();
+        Received received = sendRequest("/short/x", "", "", forwarded);
         assertEquals(502, received.status());
         assertEquals(List.of(), received.seals());
         assertEquals(1, requests.size());
@@ -144,10 +148,10 @@
 
     @ParameterizedTest
     @MethodSource("faultsOfAFirstEvent")
-    void beforeTheHeadIsOutAnotherEngineIsAskedFromTheStart(Fault fault) throws Exception {
-        CountDownLatch passedOn = engines(0, fault, true);
-        passedOn.countDown();
-        Received received = answer("/long/x", "", "", passedOn);
+    void faultBeforeTheFirstEventIsRetriedFromTheStart(Fault fault) throws Exception {
+        CountDownLatch forwarded = startEngines(0, fault, true);
+        forwarded.countDown();
+        Received received = sendRequest("/long/x", "", "", forwarded);
         assertTrue(received.looksComplete());
         assertEquals(List.of("seal2"), received.seals());
         assertEquals(events(0, LAST_ID), received.body());
@@ -156,17 +160,17 @@
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void behindEventsItShowsWhereTheRunMayNotBeRepeated(Fault fault) throws Exception {
-        CountDownLatch passedOn = engines(2, fault, true);
-        assertBrokenBehind(1, answer("/short/x", "", "<1>", passedOn));
+    void faultAfterEventsAbortsANonResumableStream(Fault fault) throws Exception {
+        CountDownLatch forwarded = startEngines(2, fault, true);
+        assertAbortedAfter(1, sendRequest("/short/x", "", "<1>", forwarded));
         assertEquals(1, requests.size());
     }
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void behindEventsAnotherEngineGoesOn(Fault fault) throws Exception {
-        CountDownLatch passedOn = engines(2, fault, true);
-        Received received = answer("/long/x", "", "<1>", passedOn);
+    void faultAfterEventsIsResumedAtAnotherEngine(Fault fault) throws Exception {
+        CountDownLatch forwarded = startEngines(2, fault, true);
+        Received received = sendRequest("/long/x", "", "<1>", forwarded);
         assertTrue(received.looksComplete());
         assertEquals(List.of("seal1"), received.seals());
         assertEquals(events(0, LAST_ID), received.body());
@@ -175,37 +179,37 @@
         assertEquals("1", second.get("Expected-Revision"));
     }
 
-    /** Both runs go wrong, and the route allows two. */
+    /** Both attempts fail, and the route allows two. */
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void inTheLastRunThatIsAllowedItShows(Fault fault) throws Exception {
-        CountDownLatch passedOn = engines(2, fault, false);
-        // a reset of the second run waits for nothing: what it sent may be lost, and nothing else
-        Received received = answer("/long/x", "", "<1>", passedOn);
-        boolean mayLose = fault.ending == Ending.RESET;
-        assertBrokenBehind(mayLose && !received.body().contains("<3>") ? 1 : 3, received);
+    void faultInTheLastAllowedAttemptAbortsTheStream(Fault fault) throws Exception {
+        CountDownLatch forwarded = startEngines(2, fault, false);
+        // A reset of the second attempt is not delayed, so only the events of that attempt may be lost.
+        Received received = sendRequest("/long/x", "", "<1>", forwarded);
+        boolean mayLoseEvents = fault.ending == Ending.RESET;
+        assertAbortedAfter(mayLoseEvents && !received.body().contains("<3>") ? 1 : 3, received);
         assertEquals(2, requests.size());
     }
 
-    /** The client itself goes on behind an event: the first id is known, and a wrong one is passed on from no engine. */
+    /** The client resumes after an event: the next id is known, and no engine's wrong id is forwarded. */
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void behindTheClientsOwnLastEvent(Fault fault) throws Exception {
-        CountDownLatch passedOn = engines(0, fault, true);
-        passedOn.countDown();
-        Received received = answer("/long/x", "Last-Event-Id: 4\r\nExpected-Revision: 1\r\n", "", passedOn);
+    void faultAfterTheClientsLastEvent(Fault fault) throws Exception {
+        CountDownLatch forwarded = startEngines(0, fault, true);
+        forwarded.countDown();
+        Received received = sendRequest("/long/x", "Last-Event-Id: 4\r\nExpected-Revision: 1\r\n", "", forwarded);
         assertTrue(received.looksComplete());
         assertEquals(List.of("seal2"), received.seals());
         assertEquals(events(5, LAST_ID), received.body());
-        requests.forEach(seen -> assertEquals("4", seen.headers().get("Last-Event-Id")));
-        requests.forEach(seen -> assertEquals("1", seen.headers().get("Expected-Revision")));
+        requests.forEach(request -> assertEquals("4", request.headers().get("Last-Event-Id")));
+        requests.forEach(request -> assertEquals("1", request.headers().get("Expected-Revision")));
     }
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void behindTheClientsOwnLastEventAndFurtherOnes(Fault fault) throws Exception {
-        CountDownLatch passedOn = engines(2, fault, true);
-        Received received = answer("/long/x", "Last-Event-Id: 4\r\nExpected-Revision: 1\r\n", "<6>", passedOn);
+    void faultAfterTheClientsLastEventAndFurtherOnes(Fault fault) throws Exception {
+        CountDownLatch forwarded = startEngines(2, fault, true);
+        Received received = sendRequest("/long/x", "Last-Event-Id: 4\r\nExpected-Revision: 1\r\n", "<6>", forwarded);
         assertTrue(received.looksComplete());
         assertEquals(List.of("seal1"), received.seals());
         assertEquals(events(5, LAST_ID), received.body());
@@ -214,11 +218,11 @@
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void onANodeThatIsLeaving(Fault fault) throws Exception {
-        CountDownLatch passedOn = engines(2, fault, true);
+    void faultOnAStoppingNode(Fault fault) throws Exception {
+        CountDownLatch forwarded = startEngines(2, fault, true);
         front.leave(clock.nowMs() + 60_000);
-        Received received = answer("/short/x", "", "<1>", passedOn);
-        assertBrokenBehind(1, received);
+        Received received = sendRequest("/short/x", "", "<1>", forwarded);
+        assertAbortedAfter(1, received);
         assertTrue(received.head().contains("Connection: close"), received.head());
     }
 
@@ -227,20 +231,20 @@
                 .flatMap(fault -> Stream.of("/short/x", "/long/x").map(path -> Arguments.of(fault, path)));
     }
 
-    /** More than fits into all buffers on the way: the engine is far ahead, and writes to the client have to wait. */
+    /** Sends more than fits into all buffers: the engine is far ahead, and writes to the client are pending. */
     @ParameterizedTest
     @MethodSource("faultsAndRoutes")
-    void whileTheClientIsSlowerThanTheEngine(Fault fault, String path) throws Exception {
+    void faultWhileTheClientIsSlowerThanTheEngine(Fault fault, String path) throws Exception {
         String filler = "x".repeat(MEBIBYTE);
-        ScriptedEngine.Script script = (seen, out, socket) -> {
-            requests.add(seen);
-            ScriptedEngine.writeText(out, ScriptedEngine.streamHead(seen).replace("seal", "seal" + requests.size()));
-            for (int id = firstDue(seen); id < 24; id++) {
+        ScriptedEngine.Script script = (request, out, socket) -> {
+            requests.add(request);
+            ScriptedEngine.writeText(out, ScriptedEngine.streamHead(request).replace("seal", "seal" + requests.size()));
+            for (int id = nextId(request); id < 24; id++) {
                 ScriptedEngine.writeText(
                         out, ScriptedEngine.chunk("id: " + id + "\ndata: <" + id + ">" + filler + "\n\n"));
             }
             if (requests.size() == 1) {
-                fault.happen(out, socket, 24, new CountDownLatch(0));
+                fault.inject(out, socket, 24, new CountDownLatch(0));
             }
             ScriptedEngine.writeText(out, END_OF_CHUNKS);
         };
@@ -263,17 +267,17 @@
             assertEquals(all.toString(), ids);
             assertTrue(received.looksComplete());
         } else {
-            // a reset takes along what the relay had not read; every other end comes behind all events
+            // A reset discards what the proxy had not read; any other end is only seen after all events.
             assertTrue(fault.ending == Ending.RESET || all.toString().equals(ids), ids);
             assertFalse(received.looksComplete());
         }
     }
 
-    /** All events came, but not the last chunk: another run sends none, and its end is the stream's. */
+    /** All events arrived but not the last chunk: another attempt sends no events, and its end completes the stream. */
     @Test
-    void resetBehindTheLastEventIsMadeGoodByAnEmptyRun() throws Exception {
-        CountDownLatch passedOn = engines(LAST_ID + 1, Fault.RESET, true);
-        Received received = answer("/long/x", "", "<" + LAST_ID + ">", passedOn);
+    void resetAfterTheLastEventIsRepairedByAnEmptyAttempt() throws Exception {
+        CountDownLatch forwarded = startEngines(LAST_ID + 1, Fault.RESET, true);
+        Received received = sendRequest("/long/x", "", "<" + LAST_ID + ">", forwarded);
         assertTrue(received.looksComplete());
         assertEquals(events(0, LAST_ID), received.body());
         assertEquals(Integer.toString(LAST_ID), requests.get(1).headers().get("Last-Event-Id"));
@@ -281,21 +285,21 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/short/x", "/long/x"})
-    void silenceIsGoneOnWithOrEndsAtTheDeadline(String path) throws Exception {
-        CountDownLatch never = new CountDownLatch(1);
-        ScriptedEngine.Script script = (seen, out, socket) -> {
-            requests.add(seen);
-            int due = firstDue(seen);
-            ScriptedEngine.writeText(out, ScriptedEngine.streamHead(seen));
+    void silentStreamIsResumedOrEndsAtTheDeadline(String path) throws Exception {
+        CountDownLatch testEnd = new CountDownLatch(1);
+        ScriptedEngine.Script script = (request, out, socket) -> {
+            requests.add(request);
+            int next = nextId(request);
+            ScriptedEngine.writeText(out, ScriptedEngine.streamHead(request));
             if (requests.size() == 1) {
                 ScriptedEngine.writeText(out, ScriptedEngine.chunk(events(0, 1)));
-                never.await();
+                testEnd.await();
             }
-            ScriptedEngine.writeText(out, ScriptedEngine.chunk(events(due, LAST_ID)) + END_OF_CHUNKS);
+            ScriptedEngine.writeText(out, ScriptedEngine.chunk(events(next, LAST_ID)) + END_OF_CHUNKS);
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
-        Received received = answer(path, "", "what never comes", never);
+        Received received = sendRequest(path, "", "what never comes", testEnd);
         boolean resumable = path.startsWith("/long/");
         assertEquals(events(0, resumable ? LAST_ID : 1), received.body());
         assertEquals(resumable, received.looksComplete());
@@ -304,29 +308,30 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "Content-Length: 0\r\n\r\n"})
-    void headWithoutABodyIsNoStream(String rest) throws Exception {
+    void responseWithoutABodyIsNoStream(String rest) throws Exception {
         engine(
                 "i-1",
                 "z",
-                (seen, out, socket) -> ScriptedEngine.writeText(out, EventStreams.head(seen, "seal", "1") + rest));
-        Received received = answer("/short/x", "", "", new CountDownLatch(1));
+                (request, out, socket) ->
+                        ScriptedEngine.writeText(out, EventStreams.head(request, "seal", "1") + rest));
+        Received received = sendRequest("/short/x", "", "", new CountDownLatch(1));
         assertEquals(502, received.status());
         assertEquals(List.of(), received.seals());
     }
 
-    /** What stands behind the end belongs to nobody, also where it looks like a further answer. */
+    /** Bytes after the end are dropped, even if they look like another response. */
     @ParameterizedTest
     @EnumSource(
             value = EventStreams.Framing.class,
             names = {"ONE_CHUNK", "CONTENT_LENGTH"})
-    void bytesBehindTheEndArePassedOnToNobody(EventStreams.Framing framing) throws Exception {
-        engine("i-1", "z", (seen, out, socket) -> {
-            String head = EventStreams.head(seen, "seal", "1");
-            byte[] whole = EventStreams.answer(head, framing, List.of(event(0), event(1)))
+    void bytesAfterTheEndAreNotForwarded(EventStreams.Framing framing) throws Exception {
+        engine("i-1", "z", (request, out, socket) -> {
+            String head = EventStreams.head(request, "seal", "1");
+            byte[] response = EventStreams.response(head, framing, List.of(event(0), event(1)))
                     .bytes();
-            out.write(whole);
+            out.write(response);
             ScriptedEngine.writeText(
-                    out, event(2) + EventStreams.head(seen, "other", "1") + "Content-Length: 0\r\n\r\n");
+                    out, event(2) + EventStreams.head(request, "other", "1") + "Content-Length: 0\r\n\r\n");
         });
         for (int i = 0; i < 3; i++) {
             Received received = Received.of(ok("/short/x", "t" + i));
@@ -336,7 +341,7 @@
                 assertEquals(events(0, 1), received.body());
                 assertTrue(received.looksComplete());
             } else {
-                // the surplus came in a read of its own, when the connection carried the next request
+                // The surplus arrived in a separate read, when the connection carried the next request.
                 assertTrue(i > 0, received.head());
                 assertEquals(502, received.status());
             }
