--- a/src/main/java/ringspindle/proxy/ClientEndPoint.java
+++ b/src/main/java/ringspindle/proxy/ClientEndPoint.java
@@ -91,7 +91,7 @@
     /** Runs when the client has closed the connection; null while it is not watched. */
     private Runnable onClientGone;
     /** How far the next request's headers have been received. */
-    private final HeadProgress headProgress = new HeadProgress();
+    private final HeaderProgress headerProgress = new HeaderProgress();
 
     private boolean headerTimerScheduled;
 
@@ -126,14 +126,14 @@
     /** Called when the headers of a request are complete. */
     void onHead() {
         synchronized (lock) {
-            headProgress.onHead();
+            headerProgress.onHeadersComplete();
         }
     }
 
     /** Called when the response is complete, so that the next request may follow. */
     void onRequestEnded() {
         synchronized (lock) {
-            headProgress.onRequestEnded();
+            headerProgress.onRequestEnded();
         }
     }
 
@@ -141,11 +141,11 @@
     private void ensureHeaderTimer() {
         synchronized (lock) {
             if (!isParsingHeaders()) {
-                headProgress.onNoHead();
+                headerProgress.onNoHeaders();
             }
-            if (headProgress.isInHead() && !headerTimerScheduled) {
+            if (headerProgress.isReceivingHeaders() && !headerTimerScheduled) {
                 headerTimerScheduled = true;
-                scheduleHeaderTimer(headProgress.remainingMs(connector.headerTimeoutMs, clock.nowMs()));
+                scheduleHeaderTimer(headerProgress.remainingMs(connector.headerTimeoutMs, clock.nowMs()));
             }
         }
     }
@@ -165,13 +165,13 @@
         synchronized (lock) {
             long nowMs = clock.nowMs();
             if (nowMs - dueMs > PAUSE_THRESHOLD_MS) {
-                headProgress.restart(nowMs);
+                headerProgress.restart(nowMs);
             }
-            long remainingMs = headProgress.remainingMs(connector.headerTimeoutMs, nowMs);
+            long remainingMs = headerProgress.remainingMs(connector.headerTimeoutMs, nowMs);
             if (!isParsingHeaders()) {
-                headProgress.onNoHead();
+                headerProgress.onNoHeaders();
             }
-            if (!headProgress.isInHead() || !isOpen()) {
+            if (!headerProgress.isReceivingHeaders() || !isOpen()) {
                 headerTimerScheduled = false;
                 return;
             }
@@ -340,7 +340,7 @@
     public int fill(ByteBuffer buffer) throws IOException {
         synchronized (lock) {
             if (readAhead != null) {
-                headProgress.onBytes(clock.nowMs());
+                headerProgress.onBytes(clock.nowMs());
                 return takeReadAhead(buffer);
             }
             if (inputClosed) {
@@ -350,7 +350,7 @@
         int filled = super.fill(buffer);
         if (filled > 0) {
             synchronized (lock) {
-                headProgress.onBytes(clock.nowMs());
+                headerProgress.onBytes(clock.nowMs());
             }
         }
         return filled;
--- a/src/main/java/ringspindle/proxy/EngineMaintenance.java
+++ b/src/main/java/ringspindle/proxy/EngineMaintenance.java
@@ -6,17 +6,17 @@
     EngineMaintenance NONE = new EngineMaintenance() {
         @Override
         public void probeEngines() {
-            // there are none
+            // There are no engines.
         }
 
         @Override
         public void tick() {
-            // there are none
+            // There are no engines.
         }
 
         @Override
         public void closeIdleConnections() {
-            // there are none
+            // There are no engines.
         }
 
         @Override
--- a/src/main/java/ringspindle/proxy/EventSplitter.java
+++ b/src/main/java/ringspindle/proxy/EventSplitter.java
@@ -17,7 +17,7 @@
         private static final long serialVersionUID = 1;
 
         private OversizedEventException() {
-            super("an event is larger than " + MAX_EVENT_BYTES + " bytes");
+            super("event exceeds " + MAX_EVENT_BYTES + " bytes");
         }
     }
 
--- a/src/main/java/ringspindle/proxy/HeadProgress.java
+++ b/src/main/java/ringspindle/proxy/HeaderProgress.java
@@ -4,11 +4,11 @@
  * Tracks whether a client's connection is between requests, receiving the headers of a request, or past them. Times are
  * in ms of a monotonic clock and are passed to each call. Not thread safe.
  */
-final class HeadProgress {
+final class HeaderProgress {
     private enum State {
         BETWEEN_REQUESTS,
-        IN_HEAD,
-        IN_REQUEST
+        RECEIVING_HEADERS,
+        PROCESSING_REQUEST
     }
 
     private State state = State.BETWEEN_REQUESTS;
@@ -17,14 +17,14 @@
     /** Records that bytes were received. */
     void onBytes(long nowMs) {
         if (state == State.BETWEEN_REQUESTS) {
-            state = State.IN_HEAD;
+            state = State.RECEIVING_HEADERS;
             startMs = nowMs;
         }
     }
 
     /** Records that the headers are complete. */
-    void onHead() {
-        state = State.IN_REQUEST;
+    void onHeadersComplete() {
+        state = State.PROCESSING_REQUEST;
     }
 
     /** Records that the response is complete. */
@@ -33,15 +33,15 @@
     }
 
     /** Records that the received bytes were the rest of an already answered request, and no next request has begun. */
-    void onNoHead() {
-        if (state == State.IN_HEAD) {
+    void onNoHeaders() {
+        if (state == State.RECEIVING_HEADERS) {
             state = State.BETWEEN_REQUESTS;
         }
     }
 
     /** Returns true while headers are being received. */
-    boolean isInHead() {
-        return state == State.IN_HEAD;
+    boolean isReceivingHeaders() {
+        return state == State.RECEIVING_HEADERS;
     }
 
     /** Returns how much longer the headers may take, 0 or less if they are overdue. */
--- a/src/test/java/ringspindle/proxy/BrokenStreamTest.java
+++ b/src/test/java/ringspindle/proxy/BrokenStreamTest.java
@@ -34,8 +34,8 @@
         throw new IOException("reset");
     }
 
-    private static boolean looksComplete(String answer) {
-        return answer.startsWith("HTTP/1.1 200") && answer.endsWith(END_OF_CHUNKS);
+    private static boolean looksComplete(String response) {
+        return response.startsWith("HTTP/1.1 200") && response.endsWith(END_OF_CHUNKS);
     }
 
     /** Sends the events, and resets the connection only after the proxy has forwarded them. */
--- a/src/test/java/ringspindle/proxy/LimitsTest.java
+++ b/src/test/java/ringspindle/proxy/LimitsTest.java
@@ -194,9 +194,9 @@
         assertThrows(SocketTimeoutException.class, () -> stream.getInputStream().read());
         stream.setSoTimeout(20_000);
         moreEvents.countDown();
-        String whole = all(stream);
-        assertTrue(whole.startsWith("HTTP/1.1 200") && whole.contains("data: x\n\nid: 1\ndata: y"), whole);
-        assertTrue(whole.contains("Connection: close"), whole);
+        String complete = all(stream);
+        assertTrue(complete.startsWith("HTTP/1.1 200") && complete.contains("data: x\n\nid: 1\ndata: y"), complete);
+        assertTrue(complete.contains("Connection: close"), complete);
     }
 
     /** Clients use open connections until the process exits: a late request is refused or delays the exit. */
