--- a/src/main/java/ringspindle/controlplane/ExperimentTask.java
+++ b/src/main/java/ringspindle/controlplane/ExperimentTask.java
@@ -27,8 +27,8 @@
 
 /**
  * Distributes outcome summaries of experiments. On the head of the view it also evaluates the experiments and submits
- * orders, one at a time and tagged with the epoch of the view. Does nothing without an open experiment. Called only by
- * the tick.
+ * commands, one at a time and tagged with the epoch of the view. Does nothing without an open experiment. Called only
+ * by the tick.
  */
 final class ExperimentTask {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -42,7 +42,7 @@
     private final Map<Long, ExperimentWatch> watches = new HashMap<>();
     private long summarySequence;
     /** Written by the tick and by the thread that receives the outcome. */
-    private volatile boolean orderPending;
+    private volatile boolean commandPending;
 
     ExperimentTask(NodeContext context, long incarnation, FleetState fleet, ReplicationDriver replication) {
         this.context = context;
@@ -51,7 +51,7 @@
         this.replication = replication;
     }
 
-    /** Sends summaries, and submits the next order if this node is the head of the view. */
+    /** Sends summaries, and submits the next command if this node is the head of the view. */
     void tick(View view, boolean quorate, long ticks, long nowMs) {
         if (ticks % EVALUATION_PERIOD_TICKS != 0) {
             return;
@@ -70,7 +70,7 @@
                 sendSummaries(view.head());
             }
         }
-        if (isHead && !orderPending) {
+        if (isHead && !commandPending) {
             evaluate(open, view.epoch(), nowMs);
         }
     }
@@ -123,13 +123,13 @@
     private void submit(Experiment experiment, JudgeOrder order, long epoch) {
         LOG.atInfo()
                 .with(LogField.REASON, order)
-                .log("submitting order for experiment %s", experiment.plan().name());
-        orderPending = true;
+                .log("submitting command for experiment %s", experiment.plan().name());
+        commandPending = true;
         replication.call(
                 CallKind.EXPERIMENT,
                 0,
                 experiment.plan().name(),
                 order.body(epoch, experiment.id()),
-                (outcome, reply) -> orderPending = false);
+                (outcome, reply) -> commandPending = false);
     }
 }
--- a/src/main/java/ringspindle/controlplane/HeadTasks.java
+++ b/src/main/java/ringspindle/controlplane/HeadTasks.java
@@ -3,8 +3,8 @@
 import ringspindle.protocol.Message.View;
 
 /**
- * Runs the tasks that only the head of the view performs and that submit orders: rollouts, experiments, shard placement
- * and usage reports. Called only by the tick.
+ * Runs the tasks that only the head of the view performs and that submit commands: rollouts, experiments, shard
+ * placement and usage reports. Called only by the tick.
  */
 final class HeadTasks {
     private final RolloutTask rollouts;
--- a/src/main/java/ringspindle/controlplane/PlatformClient.java
+++ b/src/main/java/ringspindle/controlplane/PlatformClient.java
@@ -11,7 +11,7 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 import ringspindle.protocol.NodeId;
 
-/** Sends HTTP requests to the platform for the node that holds the duty lease. Thread safe. */
+/** Sends HTTP requests to the platform for the node that holds the head lease. Thread safe. */
 public final class PlatformClient {
     /** Status that is reported if there is no response. */
     static final int NO_RESPONSE = 0;
@@ -33,7 +33,7 @@
     /**
      * Posts a JSON document.
      *
-     * @param owner the name of the node that holds the duty lease
+     * @param owner the name of the node that holds the head lease
      * @param fencingToken a number that increases whenever another node takes over
      * @param statusCallback receives the response status, or {@link #NO_RESPONSE}
      */
--- a/src/main/java/ringspindle/controlplane/RolloutController.java
+++ b/src/main/java/ringspindle/controlplane/RolloutController.java
@@ -13,36 +13,36 @@
 import ringspindle.replication.Rollout;
 import ringspindle.rollout.RolloutPlanner;
 
-/** Drives rollouts, one order at a time. Does nothing without a rollout. Called only by the tick. */
+/** Drives rollouts, one command at a time. Does nothing without a rollout. Called only by the tick. */
 final class RolloutController {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final int REPORT_REQUEST_TICKS = 6;
 
-    /** Submits orders to the replicated state. */
+    /** Submits commands to the replicated state. */
     @FunctionalInterface
-    interface OrderSubmitter {
+    interface CommandSubmitter {
         /** Submits one step of the rollout of a service, and runs {@code completed} once its outcome is known. */
-        void submit(String service, byte[] order, Runnable completed);
+        void submit(String service, byte[] command, Runnable completed);
     }
 
     private final EngineReportClient reports;
-    private final OrderSubmitter submitter;
+    private final CommandSubmitter submitter;
     private final Map<String, RolloutPlanner> planners = new HashMap<>();
     /** Written by the tick and by the thread that receives the outcome. */
-    private volatile boolean orderPending;
+    private volatile boolean commandPending;
 
-    RolloutController(EngineReportClient reports, OrderSubmitter submitter) {
+    RolloutController(EngineReportClient reports, CommandSubmitter submitter) {
         this.reports = reports;
         this.submitter = submitter;
     }
 
-    /** Returns true while the outcome of the last order is pending. */
-    boolean orderPending() {
-        return orderPending;
+    /** Returns true while the outcome of the last command is pending. */
+    boolean commandPending() {
+        return commandPending;
     }
 
     /**
-     * Submits the next order, if there is one.
+     * Submits the next command, if there is one.
      *
      * @param membersOf returns the engines of a service
      * @param addressOf returns the address of an engine, null if it is unknown
@@ -73,7 +73,7 @@
                 .with(LogField.SERVICE, service)
                 .with(LogField.ENGINE, order.id())
                 .with(LogField.REASON, order.cause())
-                .log("submitting rollout order: %s", order.order());
+                .log("submitting rollout command: %s", order.order());
         String body = Json.createObjectBuilder()
                 .add("order", order.order())
                 .add("id", order.id())
@@ -81,7 +81,7 @@
                 .add("epoch", epoch)
                 .build()
                 .toString();
-        orderPending = true;
-        submitter.submit(service, body.getBytes(UTF_8), () -> orderPending = false);
+        commandPending = true;
+        submitter.submit(service, body.getBytes(UTF_8), () -> commandPending = false);
     }
 }
--- a/src/main/java/ringspindle/controlplane/RolloutTask.java
+++ b/src/main/java/ringspindle/controlplane/RolloutTask.java
@@ -30,8 +30,8 @@
         this.engines = engines;
         controller = new RolloutController(
                 reports,
-                (service, order, completed) ->
-                        replication.call(CallKind.ROLLOUT, 0, service, order, (outcome, reply) -> completed.run()));
+                (service, command, completed) ->
+                        replication.call(CallKind.ROLLOUT, 0, service, command, (outcome, reply) -> completed.run()));
     }
 
     /**
@@ -42,7 +42,7 @@
      */
     void tick(View view, boolean canDecide, long ticks, long nowMs) {
         boolean isHead = view != null && canDecide && view.head().equals(self);
-        if (!isHead || ticks % PERIOD_TICKS != 0 || controller.orderPending()) {
+        if (!isHead || ticks % PERIOD_TICKS != 0 || controller.commandPending()) {
             return;
         }
         List<Rollout> rollouts = fleet.read(store -> store.all(FactKind.ROLLOUT).stream()
--- a/src/main/java/ringspindle/controlplane/ShardTask.java
+++ b/src/main/java/ringspindle/controlplane/ShardTask.java
@@ -32,7 +32,7 @@
     private PlacementPlanner planner;
     /** Time at which this node became the head, negative while it is not. */
     private long headSinceMs = -1;
-    /** Shards with a pending order. */
+    /** Shards with a pending command. */
     private final Set<Integer> pendingShards = new HashSet<>();
     /** Shards without a leader, as last logged. */
     private Map<Integer, ShardCondition> loggedLeaderless = Map.of();
--- a/src/main/java/ringspindle/controlplane/VersionRolloutTask.java
+++ b/src/main/java/ringspindle/controlplane/VersionRolloutTask.java
@@ -55,8 +55,8 @@
         for (VersionRollout rollout : active) {
             long ageMs = nowMs - firstSeenMs.get(rollout.service());
             if (isHead && ageMs > rollout.durationS() * MS_PER_S * END_FRACTION) {
-                byte[] order = VersionRollout.endCommand(Status.REVERTED, view.epoch());
-                replication.call(CallKind.VERSION, 0, rollout.service(), order, (outcome, reply) -> {});
+                byte[] command = VersionRollout.endCommand(Status.REVERTED, view.epoch());
+                replication.call(CallKind.VERSION, 0, rollout.service(), command, (outcome, reply) -> {});
             }
         }
     }
--- a/src/test/java/ringspindle/controlplane/QuorumTrackerTest.java
+++ b/src/test/java/ringspindle/controlplane/QuorumTrackerTest.java
@@ -119,7 +119,7 @@
         contacts.put(C, new VoterContact(900, 4, false));
         tick(1000);
         assertTrue(tracker.majorityReachable(1000));
-        assertFalse(tracker.upToDate(1000), "a newer view may have committed orders that this node lacks");
+        assertFalse(tracker.upToDate(1000), "a newer view may have committed commands that this node lacks");
         contact(D, 950);
         tick(1100);
         assertTrue(tracker.upToDate(1100), "a majority of this view knows no newer one");
--- a/src/test/java/ringspindle/controlplane/ShutdownHandoverTest.java
+++ b/src/test/java/ringspindle/controlplane/ShutdownHandoverTest.java
@@ -43,7 +43,7 @@
         assertFalse(isComplete(WITHOUT_A, upToDatePeer(B), new PeerState(C, 4, 7, false)), "follows an older view");
         assertFalse(
                 isComplete(WITHOUT_A, upToDatePeer(B), new PeerState(C, 5, 6, false)),
-                "lacks the last committed order");
+                "lacks the last committed command");
         assertFalse(isComplete(WITHOUT_A, upToDatePeer(B), new PeerState(C, 5, 7, true)), "is relearning");
     }
 
--- a/src/test/java/ringspindle/controlplane/StoredDataTest.java
+++ b/src/test/java/ringspindle/controlplane/StoredDataTest.java
@@ -58,7 +58,7 @@
     private static final long SECOND_DIGEST = -5436588999356980419L;
     private static final long RULES_DIGEST = -4998462923779231862L;
     private static final long PATCH_DIGEST = 269719543056127170L;
-    /** Placeholder for the revision of an order on serving rules. */
+    /** Placeholder for the revision of a command on serving rules. */
     private static final long NO_REVISION = -1;
 
     private static final String ROLLOUT = "{\"service\":\"chat\",\"target\":8,\"from\":7,\"atOnce\":2,\"floor\":0.75,"
