--- a/src/main/java/ringspindle/controlplane/fleet/DataNodeDirectory.java
+++ b/src/main/java/ringspindle/controlplane/fleet/DataNodeDirectory.java
@@ -21,17 +21,17 @@
 
 /**
  * Data nodes as known from gossiped facts. The control node that holds a data node's session publishes its fact, which
- * stays valid while that control node is in touch. Also tracks when each other control node was last in touch. Guarded
- * by the fleet's lock.
+ * stays valid while that control node is reachable. Also tracks when each other control node was last reachable.
+ * Guarded by the fleet's lock.
  */
 public final class DataNodeDirectory {
     /** A data node's fact is valid for this long after it changed, whichever control node published it. */
     private static final int CHANGE_VALID_MS = 3000;
-    /** It is valid for this long after the control node that published it was last in touch. */
+    /** A fact is valid for this long after the control node that published it was last reachable. */
     private static final int PUBLISHER_LOST_VALID_MS = 2000;
     /**
      * While this node is isolated, it uses facts of data nodes in other regions for this long after their publisher was
-     * last in touch.
+     * last reachable.
      */
     private static final int ISOLATED_VALID_MS = 15_000;
 
@@ -42,7 +42,7 @@
     private final SessionTable sessions;
     private final FleetFacts facts;
     private final DecodedFacts<DataNodeFact> nodes;
-    /** When each other control node was last in touch, as of the last tick. */
+    /** When each other control node was last reachable, as of the last tick. */
     private final Map<NodeId, Long> lastLinkedMs = new HashMap<>();
 
     DataNodeDirectory(NodeId self, SessionTable sessions, FleetFacts facts) {
@@ -54,7 +54,7 @@
 
     /**
      * Publishes the session of a data node; publishes it again if it changed or if the control node that published it
-     * is out of touch.
+     * is unreachable.
      */
     public void onHeartbeat(SessionTable.Peer peer, Heartbeat heartbeat) {
         DecodedFacts.Entry<DataNodeFact> entry = entry(peer);
@@ -74,7 +74,7 @@
 
     /**
      * Publishes that the session of a data node closed, unless the node has a session with another control node that is
-     * in touch.
+     * reachable.
      */
     public void onSessionClosed(SessionTable.Peer peer) {
         if (isPublishedElsewhere(peer)) {
@@ -121,15 +121,16 @@
     /**
      * Data nodes that accept requests.
      *
-     * @param inTouch whether a majority is in touch: if so, nodes with a valid fact; if not, those with a session here
+     * @param majorityReachable if true, nodes with a valid fact; if false, nodes with a session here
      */
-    List<Hello> ready(boolean inTouch, long nowMs) {
-        return nodesWhere(DataNodeFact::ready, (fact, node) -> isUsable(fact, node, inTouch, nowMs));
+    List<Hello> ready(boolean majorityReachable, long nowMs) {
+        return nodesWhere(DataNodeFact::ready, (fact, node) -> isUsable(fact, node, majorityReachable, nowMs));
     }
 
     /** Data nodes that are shutting down and still accept requests, selected by the same rule as {@link #ready}. */
-    List<Hello> leaving(boolean inTouch, long nowMs) {
-        return nodesWhere(DataNodeFact::servesWhileLeaving, (fact, node) -> isUsable(fact, node, inTouch, nowMs));
+    List<Hello> leaving(boolean majorityReachable, long nowMs) {
+        return nodesWhere(
+                DataNodeFact::servesWhileLeaving, (fact, node) -> isUsable(fact, node, majorityReachable, nowMs));
     }
 
     /** Data nodes that accepted requests by the last facts received, if these are recent; used while isolated. */
@@ -138,8 +139,8 @@
     }
 
     /** While this node is isolated, facts from other control nodes may be stale, so only its own sessions count. */
-    private boolean isUsable(Fact fact, DataNodeFact node, boolean inTouch, long nowMs) {
-        return inTouch ? isValid(fact, node, nowMs) : hasSession(node);
+    private boolean isUsable(Fact fact, DataNodeFact node, boolean majorityReachable, long nowMs) {
+        return majorityReachable ? isValid(fact, node, nowMs) : hasSession(node);
     }
 
     /** Data nodes that match the predicate and whose facts are usable now. */
@@ -160,7 +161,7 @@
         return nowMs - lastLinkedMs.getOrDefault(dataNode.via(), SessionTable.NEVER_MS) < periodMs;
     }
 
-    /** Records which control nodes are in touch; the facts that one published expire soon after it is lost. */
+    /** Records which control nodes are reachable; the facts that one published expire soon after it is lost. */
     public void tick(long nowMs) {
         for (SessionTable.Peer peer : sessions.peers()) {
             NodeId node = peer.hello().node();
@@ -175,7 +176,7 @@
         return peer != null && peer.linked();
     }
 
-    /** True while the control node that published the fact is in touch, and for a short time after. */
+    /** True while the control node that published the fact is reachable, and for a short time after. */
     private boolean isValid(Fact fact, DataNodeFact dataNode, long nowMs) {
         if (changedWithin(CHANGE_VALID_MS, fact, nowMs)) {
             return true;
@@ -203,11 +204,11 @@
     }
 
     /** Describes the known nodes for log lines: the status of each, and whether its fact is used. */
-    public String describe(boolean inTouch, long nowMs) {
+    public String describe(boolean majorityReachable, long nowMs) {
         StringJoiner described = new StringJoiner(", ");
         for (DecodedFacts.Entry<DataNodeFact> entry : nodes.all()) {
             DataNodeFact node = entry.value();
-            boolean usable = isUsable(entry.fact(), node, inTouch, nowMs);
+            boolean usable = isUsable(entry.fact(), node, majorityReachable, nowMs);
             described.add(node.hello().name() + " " + status(node) + (usable ? "" : " (not counted)"));
         }
         return described.toString();
--- a/src/main/java/ringspindle/controlplane/fleet/FrontendResolver.java
+++ b/src/main/java/ringspindle/controlplane/fleet/FrontendResolver.java
@@ -30,19 +30,19 @@
      * is then directed there, because nodes here could only reject them.
      *
      * @param allowed the regions that may serve the host; only evaluated if needed
-     * @param inTouch whether a majority is in touch. Without one, only data nodes with a session here count as near the
-     *     client, because facts from other control nodes may be stale. The configuration may be stale too: it still
-     *     directs clients to home regions, but no client of a host without home regions to another region
+     * @param majorityReachable whether this node reaches a majority. Without one, only data nodes with a session here
+     *     count as near the client, because facts from other control nodes may be stale. The configuration may be stale
+     *     too: it still directs clients to home regions, but no client of a host without home regions to another region
      */
     public Resolution resolve(
-            String region, String zone, Supplier<AllowedRegions> allowed, boolean inTouch, long nowMs) {
-        if (!inTouch) {
+            String region, String zone, Supplier<AllowedRegions> allowed, boolean majorityReachable, long nowMs) {
+        if (!majorityReachable) {
             List<String> inHomes = homeAddresses(region, allowed.get(), nowMs);
             if (!inHomes.isEmpty()) {
                 return new Resolution(Scope.HOMES, inHomes);
             }
         }
-        List<Hello> ready = dataNodes.ready(inTouch, nowMs);
+        List<Hello> ready = dataNodes.ready(majorityReachable, nowMs);
         List<String> nearest = addressesWhere(ready, node -> node.zone().equals(zone));
         if (!nearest.isEmpty()) {
             return new Resolution(Scope.ZONE, nearest);
@@ -52,16 +52,16 @@
             return new Resolution(Scope.REGION, nearest);
         }
         AllowedRegions regions = allowed.get();
-        Resolution remote = resolveRemote(ready, regions, inTouch);
-        return remote.addresses().isEmpty() ? lastServing(region, regions, inTouch, nowMs) : remote;
+        Resolution remote = resolveRemote(ready, regions, majorityReachable);
+        return remote.addresses().isEmpty() ? lastServing(region, regions, majorityReachable, nowMs) : remote;
     }
 
     /**
      * The last resort: of the data nodes that are shutting down in the client's region, else in a home region, the one
      * that continues to accept requests the longest.
      */
-    private Resolution lastServing(String region, AllowedRegions allowed, boolean inTouch, long nowMs) {
-        List<Hello> leaving = dataNodes.leaving(inTouch, nowMs);
+    private Resolution lastServing(String region, AllowedRegions allowed, boolean majorityReachable, long nowMs) {
+        List<Hello> leaving = dataNodes.leaving(majorityReachable, nowMs);
         List<String> last = lastServingAddresses(leaving, node -> node.region().equals(region));
         if (last.isEmpty() && allowed instanceof AllowedRegions.Only) {
             last = lastServingAddresses(leaving, node -> allowed.allows(node.region()));
@@ -77,9 +77,9 @@
     }
 
     /** Selects data nodes in other regions than the client's. */
-    private static Resolution resolveRemote(List<Hello> ready, AllowedRegions allowed, boolean inTouch) {
+    private static Resolution resolveRemote(List<Hello> ready, AllowedRegions allowed, boolean majorityReachable) {
         Scope scope = allowed instanceof AllowedRegions.Only ? Scope.HOMES : Scope.ANYWHERE;
-        if (scope == Scope.ANYWHERE && !inTouch) {
+        if (scope == Scope.ANYWHERE && !majorityReachable) {
             return Resolution.NOWHERE;
         }
         List<String> addresses = addressesWhere(ready, node -> allowed.allows(node.region()));
--- a/src/main/java/ringspindle/controlplane/server/ControlPlaneMetrics.java
+++ b/src/main/java/ringspindle/controlplane/server/ControlPlaneMetrics.java
@@ -87,13 +87,13 @@
     }
 
     private static Map<String, Integer> sessions(ControlNode node) {
-        Map<String, Integer> inTouch = new TreeMap<>(Map.of("control", 0, "data", 0));
+        Map<String, Integer> linkedByKind = new TreeMap<>(Map.of("control", 0, "data", 0));
         for (FleetQueries.Session session : node.queries().sessions()) {
             if (session.linked()) {
                 String kind = session.hello().kind() == NodeKind.CONTROL ? "control" : "data";
-                inTouch.merge(kind, 1, Integer::sum);
+                linkedByKind.merge(kind, 1, Integer::sum);
             }
         }
-        return inTouch;
+        return linkedByKind;
     }
 }
--- a/src/main/java/ringspindle/controlplane/server/LedgerPage.java
+++ b/src/main/java/ringspindle/controlplane/server/LedgerPage.java
@@ -71,13 +71,13 @@
     private static JsonArrayBuilder dataNodes(FleetQueries queries) {
         JsonArrayBuilder nodes = JSON.createArrayBuilder();
         queries.dataNodes()
-                .forEach((fact, inTouch) -> nodes.add(JSON.createObjectBuilder()
+                .forEach((fact, ready) -> nodes.add(JSON.createObjectBuilder()
                         .add("node", fact.hello().node().toString())
                         .add("name", fact.hello().name())
                         .add("zone", fact.hello().zone())
                         .add("region", fact.hello().region())
                         .add("life", fact.hello().life())
-                        .add("inTouch", inTouch)));
+                        .add("inTouch", ready)));
         return nodes;
     }
 
--- a/src/main/java/ringspindle/controlplane/server/RetirementResource.java
+++ b/src/main/java/ringspindle/controlplane/server/RetirementResource.java
@@ -7,7 +7,7 @@
 import ringspindle.protocol.FactKind;
 import ringspindle.replication.CallKind;
 
-/** Retires storage nodes: empties them so that they can be removed. */
+/** Retires storage nodes: drains them so that they can be removed. */
 final class RetirementResource {
     private static final JsonProvider JSON = JsonProvider.provider();
 
@@ -17,7 +17,7 @@
         this.node = node;
     }
 
-    /** Starts to empty a node. */
+    /** Starts to drain a node. */
     void start(ApiExchange exchange) {
         if (!node.serving().upToDate()) {
             exchange.respond(Outcome.UNCLEAR);
@@ -39,16 +39,16 @@
         return node.fleet().read(store -> store.get(FactKind.RETIREMENT, name)) != null;
     }
 
-    /** Responds with whether a node has been emptied. */
+    /** Responds with whether a node has been drained. */
     void get(ApiExchange exchange) {
         if (!node.serving().upToDate()) {
             exchange.respond(Outcome.UNCLEAR);
         } else if (!isRetiring(exchange.argument())) {
             exchange.respond(Outcome.NO_SUCH);
         } else {
-            boolean empty = node.storageNodes().isDrained(exchange.argument());
+            boolean drained = node.storageNodes().isDrained(exchange.argument());
             exchange.respond(JSON.createObjectBuilder()
-                    .add("state", empty ? "completed" : "active")
+                    .add("state", drained ? "completed" : "active")
                     .build());
         }
     }
--- a/src/test/java/ringspindle/controlplane/fleet/DataNodeDirectoryTest.java
+++ b/src/test/java/ringspindle/controlplane/fleet/DataNodeDirectoryTest.java
@@ -74,7 +74,7 @@
         return "10.1.0." + number + ":80";
     }
 
-    /** The other control node answers a heartbeat, so that both nodes are in touch. */
+    /** The other control node answers a heartbeat, so that both nodes are connected. */
     private void receiveHeartbeatFromOther(long number) {
         Heartbeat sent = sessions.nextHeartbeat(OTHER, NodeFlags.NONE, 0, 0, 0, nowMs);
         sessions.received(OTHER, new Heartbeat(number, sent.n(), NodeFlags.NONE, 0, 0, 0, List.of(SELF)), nowMs);
@@ -182,7 +182,9 @@
     void clientOfAnIsolatedRegionIsDirectedToTheHomeRegionsOfItsHost() {
         addDataNodesInBothRegions();
         assertEquals(
-                List.of(address(2)), addresses("b", Set.of("a")), "while in touch, the nodes of the client's region");
+                List.of(address(2)),
+                addresses("b", Set.of("a")),
+                "while a majority is reachable, the nodes of the client's region");
         assertEquals(List.of(address(1)), addressesWhileIsolated("b", Set.of("a")));
         assertEquals(List.of(address(2)), addressesWhileIsolated("b", Set.of("a", "b")), "its own region is a home");
         assertEquals(List.of(address(2)), addressesWhileIsolated("b", NO_HOMES));
--- a/src/test/java/ringspindle/controlplane/fleet/ResolutionHistoryTest.java
+++ b/src/test/java/ringspindle/controlplane/fleet/ResolutionHistoryTest.java
@@ -120,7 +120,7 @@
         long[] clock = {1_000_000};
         Node node = new Node(clock);
         long version = 0;
-        boolean inTouch = true;
+        boolean majorityReachable = true;
         for (int step = 0; step < STEPS; step++) {
             clock[0] += random.nextInt(800);
             version++;
@@ -128,7 +128,7 @@
             NodeFlags flags = FLAGS.get(random.nextInt(FLAGS.size()));
             switch (random.nextInt(8)) {
                 case 0 -> node = new Node(clock);
-                case 1 -> inTouch = !inTouch;
+                case 1 -> majorityReachable = !majorityReachable;
                 case 2 -> node.facts.merge(List.of(configuration(version)));
                 case 3 -> {
                     node.sessions.opened(hello, clock[0]);
@@ -141,11 +141,11 @@
                 node.receiveHeartbeat(OTHER, NodeFlags.NONE, version);
             }
             node.advance();
-            check(node, inTouch, "seed " + seed + " step " + step);
+            check(node, majorityReachable, "seed " + seed + " step " + step);
         }
     }
 
-    private void check(Node node, boolean inTouch, String location) {
+    private void check(Node node, boolean majorityReachable, String location) {
         Map<String, String> regionOf = new HashMap<>();
         for (int number = 1; number <= NODES_PER_REGION * REGIONS.size(); number++) {
             regionOf.put(
@@ -154,8 +154,8 @@
         }
         for (String host : HOMES_OF.keySet()) {
             for (String region : REGIONS) {
-                Resolution resolution =
-                        node.resolver.resolve(region, "z" + region, () -> node.homes.of(host), inTouch, node.clock[0]);
+                Resolution resolution = node.resolver.resolve(
+                        region, "z" + region, () -> node.homes.of(host), majorityReachable, node.clock[0]);
                 for (String address : resolution.addresses()) {
                     if (!allowed(host, region, regionOf.get(address))) {
                         violations.add(location + ": a client in " + region + " asking for " + host + " is directed to "
