--- a/src/main/java/ringspindle/controlplane/fleet/LoadAggregator.java
+++ b/src/main/java/ringspindle/controlplane/fleet/LoadAggregator.java
@@ -119,7 +119,8 @@
     }
 
     /**
-     * Sends the aggregated load to the region's other control nodes and to data nodes, and by service to other regions.
+     * Sends the aggregated load to the region's other control nodes and to the data nodes that report here, and by
+     * service to other regions.
      */
     public void send(long nowMs) {
         LoadSummary own = dataNodeReports.sum(nowMs);
--- a/src/main/java/ringspindle/controlplane/server/CounterResource.java
+++ b/src/main/java/ringspindle/controlplane/server/CounterResource.java
@@ -16,6 +16,7 @@
 /** Increments replicated counters and reads their totals; both work on either side of a partition. */
 final class CounterResource {
     private static final int MAX_BODY_BYTES = 4096;
+    /** Limits the length of a counter's name and of an increment's id. */
     private static final int MAX_NAME_CHARS = 256;
 
     /** A requested increment; the instance id identifies it across retries. */
