--- a/src/main/java/ringspindle/controlplane/server/LedgerPage.java
+++ b/src/main/java/ringspindle/controlplane/server/LedgerPage.java
@@ -63,7 +63,7 @@
                 && state.config().length > 0
                 && FleetConfig.read(FleetConfig.unpack(state.config()))
                         instanceof Validated.Valid<FleetConfig> config) {
-            rules.idleRules(config.value()).forEach(idle::add);
+            rules.rulesWithUnknownRoute(config.value()).forEach(idle::add);
         }
         return idle;
     }
--- a/src/main/java/ringspindle/loadbalancing/AttemptWindow.java
+++ b/src/main/java/ringspindle/loadbalancing/AttemptWindow.java
@@ -62,7 +62,7 @@
             }
         } else if (outcome == AttemptOutcome.NOT_RUN) {
             increment(kind, NOT_RUN);
-        } else if (outcome.againstEngine()) {
+        } else if (outcome.countsAsEngineFailure()) {
             increment(kind, FAILED);
         }
     }
--- a/src/main/java/ringspindle/loadbalancing/EngineTableLoadBalancer.java
+++ b/src/main/java/ringspindle/loadbalancing/EngineTableLoadBalancer.java
@@ -270,7 +270,7 @@
             return;
         }
         boolean staleConnection = firstByteMs == STALE_CONNECTION;
-        boolean countsAsFailure = outcome.againstEngine() && !staleConnection;
+        boolean countsAsFailure = outcome.countsAsEngineFailure() && !staleConnection;
         recordEnd(engine, request, staleConnection ? AttemptOutcome.PARENT_ENDED : outcome, firstByteMs, nowMs);
         if (countsAsFailure) {
             AttemptCounts ownCounts = engine.attempts().countsOfAllKinds(nowMs);
--- a/src/main/java/ringspindle/proxy/ProxyHandler.java
+++ b/src/main/java/ringspindle/proxy/ProxyHandler.java
@@ -365,11 +365,11 @@
             LOG.atFine()
                     .with(LogField.REQUEST, event.actionId())
                     .with(LogField.OUTCOME, end)
-                    .with(LogField.ATTEMPTS, event.attempts())
+                    .with(LogField.ATTEMPTS, event.attemptCount())
                     .with(LogField.LAST_ATTEMPT, event.lastOutcome())
                     .with(LogField.COMMITTED, event.responseCommitted())
                     .with(LogField.ELAPSED_MS, event.elapsedMs())
-                    .with(LogField.REMAINING_MS, event.leftMs())
+                    .with(LogField.REMAINING_MS, event.remainingMs())
                     .log("request did not complete");
         }
     }
--- a/src/main/java/ringspindle/retry/AttemptOutcome.java
+++ b/src/main/java/ringspindle/retry/AttemptOutcome.java
@@ -20,11 +20,11 @@
     PARENT_ENDED(false, false);
 
     private final boolean notRun;
-    private final boolean againstEngine;
+    private final boolean countsAsEngineFailure;
 
-    AttemptOutcome(boolean notRun, boolean againstEngine) {
+    AttemptOutcome(boolean notRun, boolean countsAsEngineFailure) {
         this.notRun = notRun;
-        this.againstEngine = againstEngine;
+        this.countsAsEngineFailure = countsAsEngineFailure;
     }
 
     /** True where the engine has not run the request and never will. */
@@ -33,7 +33,7 @@
     }
 
     /** True where this counts as a failure in the engine's health. */
-    public boolean againstEngine() {
-        return againstEngine;
+    public boolean countsAsEngineFailure() {
+        return countsAsEngineFailure;
     }
 }
--- a/src/main/java/ringspindle/routing/Affinity.java
+++ b/src/main/java/ringspindle/routing/Affinity.java
@@ -6,11 +6,11 @@
  * <p>A prefix is a list of parts, each a hash and its tokens: {@code "5c1e07a2:800,91bd3f06:410,e4402b7d:250"}. The last
  * part is the request's own, all before it are shared with other requests.
  *
- * @param parts most shared parts that are compared
- * @param tokens no part that begins behind so many tokens is compared
+ * @param maxParts most shared parts that are compared
+ * @param maxTokens no part that begins behind so many tokens is compared
  * @param maxImbalance how many times the mean load the holder may have before it counts as busy
  */
-public record Affinity(Basis basis, int parts, int tokens, double maxImbalance) {
+public record Affinity(Basis basis, int maxParts, int maxTokens, double maxImbalance) {
     /** What is compared. The names are those of the rules document and of command output, in lower case. */
     public enum Basis {
         /** The first shared parts of the prompt. */
@@ -43,7 +43,7 @@
     public Key key(String prefix) {
         String[] prefixParts = prefix.split(",");
         return switch (basis) {
-            case PROMPT -> shared(prefixParts, parts, tokens, 1);
+            case PROMPT -> shared(prefixParts, maxParts, maxTokens, 1);
             case SESSION -> ofSession(prefixParts);
             case NONE -> new Key(0, sharedTokens(prefixParts));
         };
@@ -72,7 +72,7 @@
      *
      * @param minTokens tokens that these parts must have together, else nothing is compared
      */
-    private static Key shared(String[] prefixParts, int maxParts, int maxTokens, int minTokens) {
+    private static Key shared(String[] prefixParts, int partLimit, int tokenLimit, int minTokens) {
         long hash = 0;
         int comparedTokens = 0;
         int sharedTokens = 0;
@@ -83,7 +83,7 @@
                 continue;
             }
             int partTokens = tokens(part.substring(colon + 1));
-            if (i < maxParts && sharedTokens < maxTokens) {
+            if (i < partLimit && sharedTokens < tokenLimit) {
                 hash = hash * 31 + part.substring(0, colon).hashCode();
                 comparedTokens += partTokens;
             }
--- a/src/main/java/ringspindle/routing/ServingRules.java
+++ b/src/main/java/ringspindle/routing/ServingRules.java
@@ -67,7 +67,7 @@
     }
 
     /** Names of the rules whose route the configuration does not have; they stay valid and never apply. */
-    public List<String> idleRules(FleetConfig configuration) {
+    public List<String> rulesWithUnknownRoute(FleetConfig configuration) {
         Set<String> routes = new HashSet<>();
         configuration.routes().forEach(route -> routes.add(route.name()));
         return rules.stream()
--- a/src/main/java/ringspindle/routing/ServingRulesParser.java
+++ b/src/main/java/ringspindle/routing/ServingRulesParser.java
@@ -148,9 +148,9 @@
     private ServingRule rule(JsonFields rule, String name, RequestMatcher matcher) {
         JsonFields requestClass = rule.object("class");
         requestClass.rejectUnknown("rank", "share", "waitMs");
-        int rank = requestClass.integer("rank", 0, MAX_RANK, ServingRule.RANK_OF_ROUTE);
+        int rank = requestClass.integer("rank", 0, MAX_RANK, ServingRule.UNSET_RANK);
         double share = requestClass.decimal("share", 0, 1, 0);
-        int waitMs = requestClass.integer("waitMs", 0, MAX_WAIT_MS, ServingRule.DEFAULT_WAIT);
+        int waitMs = requestClass.integer("waitMs", 0, MAX_WAIT_MS, ServingRule.UNSET_WAIT_MS);
         Affinity affinity = rule.has("affinity") ? affinity(rule) : null;
         List<FallbackTarget> whenBusy = fallbackTargets(rule, "busy", waitMs);
         List<FallbackTarget> whenUnavailable = fallbackTargets(rule, "gone", waitMs);
--- a/src/test/java/ringspindle/retry/RaceSteps.java
+++ b/src/test/java/ringspindle/retry/RaceSteps.java
@@ -92,7 +92,7 @@
     private void end(AttemptOutcome e) {
         Attempt a = attempts.get(attempts.size() - 1);
         verdict = action.endAttempt(a, e, policy, nowMs);
-        if (a.outcome() != null && a.outcome().againstEngine()) {
+        if (a.outcome() != null && a.outcome().countsAsEngineFailure()) {
             assertNotEquals(State.CANCELED, action.state(), "what ended the action counts against an engine");
             against.add(a.outcome());
         }
--- a/src/test/java/ringspindle/routing/RulesDocumentsTest.java
+++ b/src/test/java/ringspindle/routing/RulesDocumentsTest.java
@@ -55,7 +55,7 @@
         note(String.format(Locale.ROOT, "%.6f", rules.shareReservedForOthers(rule)));
         if (rule.affinity() != null) {
             note(rule.affinity().basis().name());
-            note(rule.affinity().parts() + " " + rule.affinity().tokens() + " "
+            note(rule.affinity().maxParts() + " " + rule.affinity().maxTokens() + " "
                     + rule.affinity().maxImbalance());
             note(rule.affinity().key("5c1e07a2:800,91bd3f06:410,e4402b7d:250").hash());
         }
@@ -80,7 +80,7 @@
         rules.all().forEach(rule -> noteRule(rules, rule));
         noteErrors(ServingRulesValidator.validate(rules, config(), Set.of("ahd", "srt")));
         noteErrors(ServingRulesValidator.validate(rules, null, Set.of()));
-        note(rules.idleRules(config()));
+        note(rules.rulesWithUnknownRoute(config()));
         for (String route : List.of("scrip", "other")) {
             for (int promptTokens : List.of(0, 3000, 7000)) {
                 for (boolean home : List.of(true, false)) {
--- a/src/test/java/ringspindle/routing/ServingRulesTest.java
+++ b/src/test/java/ringspindle/routing/ServingRulesTest.java
@@ -176,7 +176,7 @@
                         new ConfigError.UnknownName("rules[0].match.route", "none"),
                         new ConfigError.UnknownName("rules[0].match.model", "q")),
                 ServingRulesValidator.validate(read(names), config(), Set.of()));
-        assertEquals(List.of("a"), read(names).idleRules(config()));
+        assertEquals(List.of("a"), read(names).rulesWithUnknownRoute(config()));
     }
 
     /** A client may send any prefix; one without parts belongs to no session and shares nothing. */
