--- a/src/main/java/ringspindle/retry/AtomicAction.java
+++ b/src/main/java/ringspindle/retry/AtomicAction.java
@@ -10,9 +10,9 @@
  * cleanups run and the listener is told in the thread that made that move, and only there.
  */
 final class AtomicAction implements Action {
-    private record Standing(State state, CancelCause cause) {}
+    private record ActionStatus(State state, CancelCause cause) {}
 
-    private static final Standing ACTIVE = new Standing(State.ACTIVE, null);
+    private static final ActionStatus ACTIVE = new ActionStatus(State.ACTIVE, null);
 
     /** A child scope; its outcome is set once. */
     private static final class ChildAttempt implements Attempt {
@@ -59,8 +59,8 @@
         }
 
         boolean mayHaveRun() {
-            AttemptOutcome ended = outcome.get();
-            return sent && (ended == null || !ended.notRun());
+            AttemptOutcome endOutcome = outcome.get();
+            return sent && (endOutcome == null || !endOutcome.notRun());
         }
     }
 
@@ -68,13 +68,13 @@
     private final long openedMs;
     private final long deadlineMs;
     private final Listener listener;
-    private final AtomicReference<Standing> standing = new AtomicReference<>(ACTIVE);
+    private final AtomicReference<ActionStatus> status = new AtomicReference<>(ACTIVE);
     private final List<ChildAttempt> attempts = Collections.synchronizedList(new ArrayList<>(2));
-    /** Guards itself and {@link #cleanedUp}. */
+    /** Guards itself and {@link #cleanupsDrained}. */
     private final List<Runnable> cleanups = new ArrayList<>(2);
 
-    private boolean cleanedUp;
-    private volatile boolean committed;
+    private boolean cleanupsDrained;
+    private volatile boolean responseCommitted;
     private volatile AttemptOutcome lastOutcome;
 
     AtomicAction(String id, long nowMs, long deadlineMs, Listener listener) {
@@ -91,7 +91,7 @@
 
     @Override
     public State state() {
-        return standing.get().state();
+        return status.get().state();
     }
 
     @Override
@@ -105,7 +105,7 @@
     }
 
     private boolean isActive() {
-        return standing.get() == ACTIVE;
+        return status.get() == ACTIVE;
     }
 
     @Override
@@ -122,44 +122,44 @@
 
     @Override
     public void commitResponse() {
-        committed = true;
+        responseCommitted = true;
     }
 
     @Override
     public boolean isResponseCommitted() {
-        return committed;
+        return responseCommitted;
     }
 
     @Override
     public boolean complete(long nowMs) {
-        return end(new Standing(State.COMPLETED, null), nowMs);
+        return end(new ActionStatus(State.COMPLETED, null), nowMs);
     }
 
     @Override
     public boolean cancel(CancelCause cause, long nowMs) {
-        return end(new Standing(State.CANCELED, cause), nowMs);
+        return end(new ActionStatus(State.CANCELED, cause), nowMs);
     }
 
-    private boolean end(Standing ended, long nowMs) {
-        if (!standing.compareAndSet(ACTIVE, ended)) {
+    private boolean end(ActionStatus ended, long nowMs) {
+        if (!status.compareAndSet(ACTIVE, ended)) {
             return false;
         }
-        takeCleanups().forEach(Runnable::run);
+        drainCleanups().forEach(Runnable::run);
         listener.onActionEnded(new TerminalEvent(
                 id,
                 ended.state(),
                 ended.cause(),
                 attempts.size(),
-                committed,
+                responseCommitted,
                 lastOutcome,
                 nowMs - openedMs,
                 deadlineMs - nowMs));
         return true;
     }
 
-    private List<Runnable> takeCleanups() {
+    private List<Runnable> drainCleanups() {
         synchronized (cleanups) {
-            cleanedUp = true;
+            cleanupsDrained = true;
             List<Runnable> registered = new ArrayList<>(cleanups);
             cleanups.clear();
             return registered;
@@ -185,22 +185,22 @@
 
     @Override
     public RetryDecision endAttempt(Attempt attempt, AttemptOutcome outcome, RetryPolicy policy, long nowMs) {
-        ChildAttempt child = (ChildAttempt) attempt;
-        boolean over = !isActive();
-        AttemptOutcome actual = actualOutcome(child, outcome, over);
-        if (!child.outcome.compareAndSet(null, actual)) {
+        ChildAttempt childAttempt = (ChildAttempt) attempt;
+        boolean actionEnded = !isActive();
+        AttemptOutcome actual = actualOutcome(childAttempt, outcome, actionEnded);
+        if (!childAttempt.outcome.compareAndSet(null, actual)) {
             return RetryDecision.NOTHING;
         }
         lastOutcome = actual;
-        if (over || actual == AttemptOutcome.ANSWERED) {
+        if (actionEnded || actual == AttemptOutcome.ANSWERED) {
             return RetryDecision.NOTHING;
         }
-        return RetryRule.decide(policy, committed, mayHaveRun(), sentCount(), nowMs < deadlineMs);
+        return RetryRule.decide(policy, responseCommitted, mayHaveRun(), sentCount(), nowMs < deadlineMs);
     }
 
     /** What ended the parent is no failure of the engine, and what was never sent cannot have run. */
-    private static AttemptOutcome actualOutcome(ChildAttempt attempt, AttemptOutcome outcome, boolean over) {
-        if (over && outcome != AttemptOutcome.ANSWERED) {
+    private static AttemptOutcome actualOutcome(ChildAttempt attempt, AttemptOutcome outcome, boolean actionEnded) {
+        if (actionEnded && outcome != AttemptOutcome.ANSWERED) {
             return AttemptOutcome.PARENT_ENDED;
         }
         return outcome == AttemptOutcome.BROKEN && !attempt.isSent() ? AttemptOutcome.NOT_SENT : outcome;
@@ -220,7 +220,7 @@
     @Override
     public void onEnd(Runnable cleanup) {
         synchronized (cleanups) {
-            if (!cleanedUp) {
+            if (!cleanupsDrained) {
                 cleanups.add(cleanup);
                 return;
             }
--- a/src/main/java/ringspindle/retry/RetryRule.java
+++ b/src/main/java/ringspindle/retry/RetryRule.java
@@ -12,18 +12,18 @@
     /**
      * The decision.
      *
-     * @param committed output has reached the client
+     * @param responseCommitted output has reached the client
      * @param mayHaveRun some attempt so far may have run the request
      * @param sentAttempts how many attempts reached an engine
      * @param timeLeft the action's deadline has not come
      */
     static RetryDecision decide(
-            RetryPolicy policy, boolean committed, boolean mayHaveRun, int sentAttempts, boolean timeLeft) {
-        boolean mayTryAgain = timeLeft && sentAttempts < policy.maxAttempts();
-        if (committed) {
-            return policy.resumable() && mayTryAgain ? RetryDecision.RESUME : RetryDecision.BREAK_OFF;
+            RetryPolicy policy, boolean responseCommitted, boolean mayHaveRun, int sentAttempts, boolean timeLeft) {
+        boolean mayRetry = timeLeft && sentAttempts < policy.maxAttempts();
+        if (responseCommitted) {
+            return policy.resumable() && mayRetry ? RetryDecision.RESUME : RetryDecision.BREAK_OFF;
         }
-        if (mayTryAgain && (!mayHaveRun || policy.repeatable())) {
+        if (mayRetry && (!mayHaveRun || policy.repeatable())) {
             return RetryDecision.FALLBACK;
         }
         return mayHaveRun ? RetryDecision.FAIL : RetryDecision.REFUSE;
--- a/src/main/java/ringspindle/routing/Affinity.java
+++ b/src/main/java/ringspindle/routing/Affinity.java
@@ -24,6 +24,11 @@
     /** Without rules, a shorter prefix is read again sooner than a request crosses to where it is cached. */
     private static final int DEFAULT_MIN_TOKENS = 1000;
 
+    /** Odd multiplier that combines the hashes of consecutive parts. */
+    private static final int HASH_MULTIPLIER = 31;
+    /** 2^64 divided by the golden ratio, the multiplier of Fibonacci hashing. */
+    private static final long GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15L;
+
     private static final Key NO_KEY = new Key(0, 0);
 
     /**
@@ -36,20 +41,20 @@
 
     /** The key of a request to which no rule applies: by all shared parts, if they have a thousand tokens together. */
     public static Key defaultKey(String prefix) {
-        return shared(prefix.split(","), Integer.MAX_VALUE, Integer.MAX_VALUE, DEFAULT_MIN_TOKENS);
+        return promptKey(prefix.split(","), Integer.MAX_VALUE, Integer.MAX_VALUE, DEFAULT_MIN_TOKENS);
     }
 
     /** The key of a request with that prefix; parts that cannot be read are left out. */
     public Key key(String prefix) {
         String[] prefixParts = prefix.split(",");
         return switch (basis) {
-            case PROMPT -> shared(prefixParts, maxParts, maxTokens, 1);
-            case SESSION -> ofSession(prefixParts);
+            case PROMPT -> promptKey(prefixParts, maxParts, maxTokens, 1);
+            case SESSION -> sessionKey(prefixParts);
             case NONE -> new Key(0, sharedTokens(prefixParts));
         };
     }
 
-    private static Key ofSession(String[] prefixParts) {
+    private static Key sessionKey(String[] prefixParts) {
         if (prefixParts.length == 0) {
             // nothing but commas
             return NO_KEY;
@@ -60,11 +65,11 @@
             return NO_KEY;
         }
         long hash = last.substring(0, colon).hashCode();
-        return new Key(spread(hash), sharedTokens(prefixParts));
+        return new Key(mixBits(hash), sharedTokens(prefixParts));
     }
 
     private static int sharedTokens(String[] prefixParts) {
-        return shared(prefixParts, Integer.MAX_VALUE, Integer.MAX_VALUE, 0).sharedTokens();
+        return promptKey(prefixParts, Integer.MAX_VALUE, Integer.MAX_VALUE, 0).sharedTokens();
     }
 
     /**
@@ -72,7 +77,7 @@
      *
      * @param minTokens tokens that these parts must have together, else nothing is compared
      */
-    private static Key shared(String[] prefixParts, int partLimit, int tokenLimit, int minTokens) {
+    private static Key promptKey(String[] prefixParts, int partLimit, int tokenLimit, int minTokens) {
         long hash = 0;
         int comparedTokens = 0;
         int sharedTokens = 0;
@@ -82,23 +87,23 @@
             if (colon <= 0) {
                 continue;
             }
-            int partTokens = tokens(part.substring(colon + 1));
+            int partTokens = parseTokens(part.substring(colon + 1));
             if (i < partLimit && sharedTokens < tokenLimit) {
-                hash = hash * 31 + part.substring(0, colon).hashCode();
+                hash = hash * HASH_MULTIPLIER + part.substring(0, colon).hashCode();
                 comparedTokens += partTokens;
             }
             sharedTokens += partTokens;
         }
         boolean longEnough = comparedTokens >= minTokens && comparedTokens > 0;
-        return new Key(longEnough ? spread(hash) : 0, sharedTokens);
+        return new Key(longEnough ? mixBits(hash) : 0, sharedTokens);
     }
 
     /** Spreads the bits of a hash; never 0. */
-    private static long spread(long hash) {
-        return (hash == 0 ? 1 : hash) * 0x9E3779B97F4A7C15L;
+    private static long mixBits(long hash) {
+        return (hash == 0 ? 1 : hash) * GOLDEN_RATIO_64;
     }
 
-    private static int tokens(String number) {
+    private static int parseTokens(String number) {
         try {
             return Math.max(0, Integer.parseInt(number.trim()));
         } catch (NumberFormatException e) {
--- a/src/main/java/ringspindle/routing/JsonFields.java
+++ b/src/main/java/ringspindle/routing/JsonFields.java
@@ -59,8 +59,8 @@
         }
     }
 
-    void outOfRange(String key, String value, String wanted) {
-        errors.add(new ConfigError.OutOfRange(path + "." + key, value, wanted));
+    void outOfRange(String key, String value, String expected) {
+        errors.add(new ConfigError.OutOfRange(path + "." + key, value, expected));
     }
 
     /** The fields of an object; those of an empty one if there is none. */
--- a/src/main/java/ringspindle/routing/RequestLedger.java
+++ b/src/main/java/ringspindle/routing/RequestLedger.java
@@ -28,13 +28,13 @@
     }
 
     private static final class OpenAction {
-        final ClassRecord record;
+        final ClassCounters counters;
         final boolean idempotent;
         int sent;
         int notRun;
 
-        OpenAction(ClassRecord record, boolean idempotent) {
-            this.record = record;
+        OpenAction(ClassCounters counters, boolean idempotent) {
+            this.counters = counters;
             this.idempotent = idempotent;
         }
 
@@ -44,7 +44,7 @@
     }
 
     /** Counts of one class under one revision of the rules. */
-    private static final class ClassRecord {
+    private static final class ClassCounters {
         final long revision;
         final String requestClass;
         long admitted;
@@ -60,7 +60,7 @@
         long resumed;
         long runTwice;
 
-        ClassRecord(long revision, String requestClass) {
+        ClassCounters(long revision, String requestClass) {
             this.revision = revision;
             this.requestClass = requestClass;
         }
@@ -99,9 +99,9 @@
         }
     }
 
-    private final Map<String, OpenAction> open = new HashMap<>();
+    private final Map<String, OpenAction> openActions = new HashMap<>();
     /** By revision and class, in the order of their text, which reports keep. */
-    private final Map<String, ClassRecord> records = new TreeMap<>();
+    private final Map<String, ClassCounters> countersByClass = new TreeMap<>();
 
     private long endedTwice;
 
@@ -112,48 +112,48 @@
      * @param idempotent whether it may run more than once
      */
     public synchronized void onAdmitted(String actionId, long revision, String requestClass, boolean idempotent) {
-        ClassRecord record =
-                records.computeIfAbsent(revision + " " + requestClass, key -> new ClassRecord(revision, requestClass));
-        if (open.putIfAbsent(actionId, new OpenAction(record, idempotent)) != null) {
+        ClassCounters counters = countersByClass.computeIfAbsent(
+                revision + " " + requestClass, key -> new ClassCounters(revision, requestClass));
+        if (openActions.putIfAbsent(actionId, new OpenAction(counters, idempotent)) != null) {
             endedTwice++;
             return;
         }
-        record.admitted++;
-        record.inProgress++;
+        counters.admitted++;
+        counters.inProgress++;
     }
 
     /** An attempt goes out to an engine; it may resume an earlier one. */
     public synchronized void onSent(String actionId, boolean resumes) {
-        OpenAction action = open.get(actionId);
+        OpenAction action = openActions.get(actionId);
         if (action == null) {
             return;
         }
         action.sent++;
-        action.record.sent++;
-        action.record.resumed += resumes ? 1 : 0;
+        action.counters.sent++;
+        action.counters.resumed += resumes ? 1 : 0;
     }
 
     /** The engine said that an attempt which was sent has not run. */
     public synchronized void onNotRun(String actionId) {
-        OpenAction action = open.get(actionId);
+        OpenAction action = openActions.get(actionId);
         if (action == null) {
             return;
         }
         action.notRun++;
-        action.record.notRun++;
+        action.counters.notRun++;
     }
 
     /** The action's one terminal event. */
     public synchronized void onEnded(TerminalEvent event) {
-        OpenAction action = open.remove(event.actionId());
+        OpenAction action = openActions.remove(event.actionId());
         if (action == null) {
             endedTwice++;
             return;
         }
-        ClassRecord record = action.record;
-        record.countEnd(event.cause());
-        record.mayHaveRun += action.mayHaveRun();
-        record.runTwice += !action.idempotent && action.mayHaveRun() > 1 ? 1 : 0;
+        ClassCounters counters = action.counters;
+        counters.countEnd(event.cause());
+        counters.mayHaveRun += action.mayHaveRun();
+        counters.runTwice += !action.idempotent && action.mayHaveRun() > 1 ? 1 : 0;
     }
 
     /**
@@ -166,7 +166,7 @@
      */
     public synchronized LedgerReport report(long life, long seq, long revision, long digest) {
         List<LedgerRow> rows = new ArrayList<>();
-        records.values().forEach(record -> rows.add(record.toRow()));
+        countersByClass.values().forEach(counters -> rows.add(counters.toRow()));
         return new LedgerReport(life, seq, revision, digest, endedTwice, rows);
     }
 
--- a/src/main/java/ringspindle/routing/ServingRulesParser.java
+++ b/src/main/java/ringspindle/routing/ServingRulesParser.java
@@ -23,8 +23,8 @@
     private static final int MAX_RULES = 200;
     private static final int MAX_NAME_LENGTH = 60;
     private static final int MAX_RANK = 9;
-    private static final int MAX_PARTS = 64;
-    private static final int MAX_TOKENS = 100_000_000;
+    private static final int MAX_AFFINITY_PARTS = 64;
+    private static final int MAX_AFFINITY_TOKENS = 100_000_000;
     private static final double MAX_IMBALANCE = 100;
     private static final double DEFAULT_MAX_IMBALANCE = 1.5;
     /** Shares are sums of decimal fractions. */
@@ -44,22 +44,22 @@
             return new Invalid<>(invalid.errors());
         }
         ServingRulesParser parser = new ServingRulesParser();
-        ServingRules rules = parser.document(((Valid<JsonObject>) json).value());
+        ServingRules rules = parser.parseDocument(((Valid<JsonObject>) json).value());
         return parser.errors.isEmpty() ? new Valid<>(rules) : new Invalid<>(List.copyOf(parser.errors));
     }
 
-    private ServingRules document(JsonObject source) {
+    private ServingRules parseDocument(JsonObject source) {
         JsonFields document = new JsonFields(source, "", errors);
         document.rejectUnknown("revision", "rules", "default");
         long revision = document.integer("revision", 1, Long.MAX_VALUE >> 1, -1L);
         if (!document.has("revision")) {
             errors.add(new ConfigError.Missing("revision"));
         }
-        List<ServingRule> rules = rules(document);
+        List<ServingRule> rules = parseRules(document);
         rejectUnreachable(rules);
-        JsonFields otherwise = document.object("default");
-        otherwise.rejectUnknown("class", "affinity", "busy", "gone");
-        ServingRule defaultRule = rule(otherwise, ServingRules.DEFAULT_CLASS, RequestMatcher.ALL);
+        JsonFields defaultFields = document.object("default");
+        defaultFields.rejectUnknown("class", "affinity", "busy", "gone");
+        ServingRule defaultRule = parseRule(defaultFields, ServingRules.DEFAULT_CLASS, RequestMatcher.ALL);
         ServingRules result = new ServingRules(source, revision, List.copyOf(rules), defaultRule);
         if (result.totalShare() > 1 + SHARE_TOLERANCE) {
             String total = String.format(Locale.ROOT, "%.3f", result.totalShare());
@@ -68,7 +68,7 @@
         return result;
     }
 
-    private List<ServingRule> rules(JsonFields document) {
+    private List<ServingRule> parseRules(JsonFields document) {
         List<JsonValue> list = document.array("rules");
         if (list.size() > MAX_RULES) {
             errors.add(new ConfigError.OutOfRange("rules", list.size() + " rules", "at most " + MAX_RULES));
@@ -83,14 +83,14 @@
             }
             JsonFields fields = new JsonFields(object, path, errors);
             fields.rejectUnknown("name", "match", "class", "affinity", "busy", "gone");
-            String name = name(fields, names);
-            RequestMatcher matcher = matcher(fields);
-            rules.add(rule(fields, name, matcher));
+            String name = parseName(fields, names);
+            RequestMatcher matcher = parseMatcher(fields);
+            rules.add(parseRule(fields, name, matcher));
         }
         return rules;
     }
 
-    private String name(JsonFields rule, Set<String> names) {
+    private String parseName(JsonFields rule, Set<String> names) {
         String name = rule.text("name");
         if (name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
             rule.outOfRange("name", name, "1 to " + MAX_NAME_LENGTH + " letters");
@@ -112,7 +112,7 @@
         }
     }
 
-    private RequestMatcher matcher(JsonFields rule) {
+    private RequestMatcher parseMatcher(JsonFields rule) {
         JsonFields match = rule.object("match");
         match.rejectUnknown("route", "host", "path", "model", "prompt", "home");
         JsonFields prompt = match.object("prompt");
@@ -122,7 +122,7 @@
         if (maxTokens < minTokens) {
             prompt.outOfRange("to", Integer.toString(maxTokens), "no less than from");
         }
-        Boolean homeBound = homeBound(match);
+        Boolean homeBound = parseHomeBound(match);
         return new RequestMatcher(
                 match.text("route"),
                 match.text("host"),
@@ -134,7 +134,7 @@
     }
 
     /** Null if the rule is for requests that are bound to regions as well as for others. */
-    private static Boolean homeBound(JsonFields match) {
+    private static Boolean parseHomeBound(JsonFields match) {
         JsonValue value = match.value("home");
         if (value == null) {
             return null;
@@ -145,43 +145,43 @@
         return value == JsonValue.TRUE;
     }
 
-    private ServingRule rule(JsonFields rule, String name, RequestMatcher matcher) {
+    private ServingRule parseRule(JsonFields rule, String name, RequestMatcher matcher) {
         JsonFields requestClass = rule.object("class");
         requestClass.rejectUnknown("rank", "share", "waitMs");
         int rank = requestClass.integer("rank", 0, MAX_RANK, ServingRule.UNSET_RANK);
         double share = requestClass.decimal("share", 0, 1, 0);
         int waitMs = requestClass.integer("waitMs", 0, MAX_WAIT_MS, ServingRule.UNSET_WAIT_MS);
-        Affinity affinity = rule.has("affinity") ? affinity(rule) : null;
-        List<FallbackTarget> whenBusy = fallbackTargets(rule, "busy", waitMs);
-        List<FallbackTarget> whenUnavailable = fallbackTargets(rule, "gone", waitMs);
+        Affinity affinity = rule.has("affinity") ? parseAffinity(rule) : null;
+        List<FallbackTarget> whenBusy = parseFallbackTargets(rule, "busy", waitMs);
+        List<FallbackTarget> whenUnavailable = parseFallbackTargets(rule, "gone", waitMs);
         return new ServingRule(name, matcher, rank, share, waitMs, affinity, whenBusy, whenUnavailable);
     }
 
-    private static Affinity affinity(JsonFields rule) {
+    private static Affinity parseAffinity(JsonFields rule) {
         JsonFields affinity = rule.object("affinity");
         affinity.rejectUnknown("by", "parts", "tokens", "uneven");
         return new Affinity(
-                basis(affinity),
-                affinity.integer("parts", 1, MAX_PARTS, MAX_PARTS),
-                affinity.integer("tokens", 1, MAX_TOKENS, Integer.MAX_VALUE),
+                parseBasis(affinity),
+                affinity.integer("parts", 1, MAX_AFFINITY_PARTS, MAX_AFFINITY_PARTS),
+                affinity.integer("tokens", 1, MAX_AFFINITY_TOKENS, Integer.MAX_VALUE),
                 affinity.decimal("uneven", 1, MAX_IMBALANCE, DEFAULT_MAX_IMBALANCE));
     }
 
-    private static Affinity.Basis basis(JsonFields affinity) {
-        String wanted = affinity.text("by");
-        return switch (wanted) {
+    private static Affinity.Basis parseBasis(JsonFields affinity) {
+        String value = affinity.text("by");
+        return switch (value) {
             case "prompt" -> Affinity.Basis.PROMPT;
             case "session" -> Affinity.Basis.SESSION;
             case "none" -> Affinity.Basis.NONE;
             default -> {
-                affinity.outOfRange("by", wanted, "prompt, session or none");
+                affinity.outOfRange("by", value, "prompt, session or none");
                 yield Affinity.Basis.NONE;
             }
         };
     }
 
     /** Fallback targets, whose waits together may be no longer than the class waits. */
-    private List<FallbackTarget> fallbackTargets(JsonFields rule, String key, int classWaitMs) {
+    private List<FallbackTarget> parseFallbackTargets(JsonFields rule, String key, int classWaitMs) {
         List<JsonValue> list = rule.array(key);
         List<FallbackTarget> targets = new ArrayList<>();
         long totalWaitMs = 0;
@@ -192,7 +192,7 @@
                 continue;
             }
             JsonFields fields = new JsonFields(object, path, errors);
-            FallbackTarget target = fallbackTarget(fields);
+            FallbackTarget target = parseFallbackTarget(fields);
             totalWaitMs += target.waitMs();
             if (totalWaitMs > 0 && totalWaitMs > classWaitMs) {
                 fields.outOfRange(
@@ -205,32 +205,32 @@
         return List.copyOf(targets);
     }
 
-    private static FallbackTarget fallbackTarget(JsonFields fields) {
+    private static FallbackTarget parseFallbackTarget(JsonFields fields) {
         fields.rejectUnknown("to", "names", "waitMs");
-        FallbackTarget.Scope scope = scope(fields);
-        List<String> regions = regions(fields);
+        FallbackTarget.Scope scope = parseScope(fields);
+        List<String> regions = parseRegions(fields);
         if ((scope == FallbackTarget.Scope.REGIONS) == regions.isEmpty()) {
             fields.outOfRange("names", regions.toString(), "names where to is regions, none elsewhere");
         }
         return new FallbackTarget(scope, regions, fields.integer("waitMs", 0, MAX_WAIT_MS, 0));
     }
 
-    private static FallbackTarget.Scope scope(JsonFields fields) {
-        String wanted = fields.text("to");
-        return switch (wanted) {
+    private static FallbackTarget.Scope parseScope(JsonFields fields) {
+        String value = fields.text("to");
+        return switch (value) {
             case "next" -> FallbackTarget.Scope.NEXT;
             case "zone" -> FallbackTarget.Scope.ZONE;
             case "region" -> FallbackTarget.Scope.REGION;
             case "regions" -> FallbackTarget.Scope.REGIONS;
             case "any" -> FallbackTarget.Scope.ANY;
             default -> {
-                fields.outOfRange("to", wanted, "next, zone, region, regions or any");
+                fields.outOfRange("to", value, "next, zone, region, regions or any");
                 yield FallbackTarget.Scope.ANY;
             }
         };
     }
 
-    private static List<String> regions(JsonFields fields) {
+    private static List<String> parseRegions(JsonFields fields) {
         List<String> regions = new ArrayList<>();
         for (JsonValue value : fields.array("names")) {
             if (value instanceof JsonString name && !name.getString().isEmpty()) {
--- a/src/main/java/ringspindle/routing/ServingRulesValidator.java
+++ b/src/main/java/ringspindle/routing/ServingRulesValidator.java
@@ -39,13 +39,13 @@
     private void checkRule(ServingRule rule, String path) {
         FleetConfig.Route route = null;
         if (configuration != null) {
-            route = route(rule.match().route());
+            route = findRoute(rule.match().route());
             if (route == null && !rule.match().route().isEmpty()) {
                 errors.add(new ConfigError.UnknownName(
                         path + ".match.route", rule.match().route()));
             }
             String model = rule.match().model();
-            if (!model.isEmpty() && !models().contains(model)) {
+            if (!model.isEmpty() && !modelNames().contains(model)) {
                 errors.add(new ConfigError.UnknownName(path + ".match.model", model));
             }
         }
@@ -71,14 +71,14 @@
         }
     }
 
-    private FleetConfig.Route route(String name) {
+    private FleetConfig.Route findRoute(String name) {
         return configuration.routes().stream()
                 .filter(route -> route.name().equals(name))
                 .findFirst()
                 .orElse(null);
     }
 
-    private Set<String> models() {
+    private Set<String> modelNames() {
         Set<String> models = new TreeSet<>();
         JsonArray services = configuration.source().getJsonArray("services");
         if (services == null) {
--- a/src/test/java/ringspindle/retry/RaceSteps.java
+++ b/src/test/java/ringspindle/retry/RaceSteps.java
@@ -22,204 +22,204 @@
 
 /** Steps of the scenarios in which completion, cancellation and deadlines race. */
 public class RaceSteps {
-    private final List<TerminalEvent> terminals = new ArrayList<>();
+    private final List<TerminalEvent> terminalEvents = new ArrayList<>();
     private final AtomicInteger cleanups = new AtomicInteger();
     private final List<Attempt> attempts = new ArrayList<>();
-    private final List<AttemptOutcome> against = new ArrayList<>();
+    private final List<AttemptOutcome> engineFailures = new ArrayList<>();
     private Action action;
     private RetryPolicy policy;
-    private RetryDecision verdict;
+    private RetryDecision decision;
     private long nowMs;
-    private int races;
+    private int raceCount;
 
     @Given("a {word} action with {int} engine(s) at most and {int} ms")
-    public void open(String kind, int most, int ms) {
-        policy = new RetryPolicy(!kind.equals("once-only"), kind.equals("resumable"), most);
-        action = Action.open("a-1", 0, ms, terminals::add);
+    public void open(String kind, int maxAttempts, int deadlineMs) {
+        policy = new RetryPolicy(!kind.equals("once-only"), kind.equals("resumable"), maxAttempts);
+        action = Action.open("a-1", 0, deadlineMs, terminalEvents::add);
         action.onEnd(cleanups::incrementAndGet);
     }
 
     @When("it has come to {string}")
-    public void come(String when) {
-        comeAfter(when, AttemptOutcome.BROKEN);
+    public void advanceTo(String phase) {
+        advanceTo(phase, AttemptOutcome.BROKEN);
     }
 
     @When("it has come to {string} after {word}")
-    public void comeAfter(String when, String end) {
-        comeAfter(when, AttemptOutcome.valueOf(end));
+    public void advanceTo(String phase, String firstOutcome) {
+        advanceTo(phase, AttemptOutcome.valueOf(firstOutcome));
     }
 
-    private void comeAfter(String when, AttemptOutcome firstEnd) {
-        switch (when) {
+    private void advanceTo(String phase, AttemptOutcome firstOutcome) {
+        switch (phase) {
             case "admission":
             case "queued":
                 assertTrue(action.isLive(nowMs));
                 break;
             case "connecting":
-                start();
+                startAttempt();
                 break;
             case "waiting for a byte":
-                start().markSent();
+                startAttempt().markSent();
                 break;
             case "mid-stream":
-                start().markSent();
+                startAttempt().markSent();
                 action.commitResponse();
                 break;
             case "fallback reserved":
-                start().markSent();
-                end(firstEnd);
-                assertEquals(RetryDecision.FALLBACK, verdict);
-                against.clear();
+                startAttempt().markSent();
+                endAttempt(firstOutcome);
+                assertEquals(RetryDecision.FALLBACK, decision);
+                engineFailures.clear();
                 break;
             case "during fallback":
-                start().markSent();
-                end(firstEnd);
-                against.clear();
-                start().markSent();
+                startAttempt().markSent();
+                endAttempt(firstOutcome);
+                engineFailures.clear();
+                startAttempt().markSent();
                 break;
             default:
-                fail("no such boundary: " + when);
+                fail("no such phase: " + phase);
         }
     }
 
-    private Attempt start() {
-        Attempt a = action.startAttempt(nowMs, 3000);
-        assertNotNull(a);
-        attempts.add(a);
-        return a;
+    private Attempt startAttempt() {
+        Attempt attempt = action.startAttempt(nowMs, 3000);
+        assertNotNull(attempt);
+        attempts.add(attempt);
+        return attempt;
     }
 
-    private void end(AttemptOutcome e) {
-        Attempt a = attempts.get(attempts.size() - 1);
-        verdict = action.endAttempt(a, e, policy, nowMs);
-        if (a.outcome() != null && a.outcome().countsAsEngineFailure()) {
+    private void endAttempt(AttemptOutcome outcome) {
+        Attempt attempt = attempts.get(attempts.size() - 1);
+        decision = action.endAttempt(attempt, outcome, policy, nowMs);
+        if (attempt.outcome() != null && attempt.outcome().countsAsEngineFailure()) {
             assertNotEquals(State.CANCELED, action.state(), "what ended the action counts against an engine");
-            against.add(a.outcome());
+            engineFailures.add(attempt.outcome());
         }
     }
 
     @When("the client goes")
-    public void gone() {
+    public void clientDisconnects() {
         action.cancel(CancelCause.CLIENT_GONE, nowMs);
         // the wire to the engine breaks because of that, and twice at that
         if (!attempts.isEmpty() && attempts.get(attempts.size() - 1).outcome() == null) {
-            end(AttemptOutcome.BROKEN);
-            assertEquals(RetryDecision.NOTHING, verdict);
-            end(AttemptOutcome.BROKEN);
-            assertEquals(RetryDecision.NOTHING, verdict);
+            endAttempt(AttemptOutcome.BROKEN);
+            assertEquals(RetryDecision.NOTHING, decision);
+            endAttempt(AttemptOutcome.BROKEN);
+            assertEquals(RetryDecision.NOTHING, decision);
         }
         assertFalse(action.cancel(CancelCause.CLIENT_GONE, nowMs));
     }
 
     @When("the answer is whole")
-    public void whole() {
-        end(AttemptOutcome.ANSWERED);
+    public void responseCompletes() {
+        endAttempt(AttemptOutcome.ANSWERED);
         assertTrue(action.complete(nowMs));
     }
 
     @When("the attempt ends with {word}")
-    public void ends(String e) {
-        end(AttemptOutcome.valueOf(e));
+    public void attemptEnds(String outcome) {
+        endAttempt(AttemptOutcome.valueOf(outcome));
     }
 
     @When("{int} ms pass")
-    public void pass(int ms) {
-        nowMs += ms;
+    public void advanceClock(int elapsedMs) {
+        nowMs += elapsedMs;
     }
 
     @Then("the verdict is {word}")
-    public void verdict(String v) {
-        assertEquals(RetryDecision.valueOf(v), verdict);
+    public void assertDecision(String expected) {
+        assertEquals(RetryDecision.valueOf(expected), decision);
     }
 
     @Then("it is {word} by {word}")
-    public void is(String state, String cause) {
+    public void assertCanceled(String state, String cause) {
         assertEquals(State.valueOf(state), action.state());
-        assertEquals(CancelCause.valueOf(cause), terminals.get(0).cause());
+        assertEquals(CancelCause.valueOf(cause), terminalEvents.get(0).cause());
     }
 
     @Then("it is COMPLETED")
-    public void completed() {
+    public void assertCompleted() {
         assertEquals(State.COMPLETED, action.state());
     }
 
     @Then("{int} attempts were started")
-    public void started(int n) {
-        assertEquals(n, action.attemptCount());
+    public void assertAttemptCount(int expected) {
+        assertEquals(expected, action.attemptCount());
     }
 
     @Then("no further attempt can start")
-    public void none() {
+    public void assertNoFurtherAttempt() {
         assertFalse(action.isLive(nowMs));
         assertNull(action.startAttempt(nowMs, 100));
     }
 
     @Then("the response is {}")
-    public void committed(String how) {
-        assertEquals(how.equals("committed"), action.isResponseCommitted());
+    public void assertResponseCommitted(String expected) {
+        assertEquals(expected.equals("committed"), action.isResponseCommitted());
     }
 
     @Then("nothing counts against an engine")
-    public void nothing() {
-        assertEquals(List.of(), against);
+    public void assertNoEngineFailure() {
+        assertEquals(List.of(), engineFailures);
     }
 
     @Then("cleanup ran once")
-    public void cleanup() {
+    public void assertOneCleanup() {
         assertEquals(1, cleanups.get());
     }
 
     @Then("there is one terminal event")
-    public void one() {
-        assertEquals(1, terminals.size());
+    public void assertOneTerminalEvent() {
+        assertEquals(1, terminalEvents.size());
     }
 
     @Then("the first attempt ended with {word}")
-    public void first(String e) {
-        assertEquals(AttemptOutcome.valueOf(e), attempts.get(0).outcome());
+    public void assertFirstOutcome(String outcome) {
+        assertEquals(AttemptOutcome.valueOf(outcome), attempts.get(0).outcome());
     }
 
     @Then("an attempt of {int} ms ends at {int} ms with its parent")
-    public void withParent(int ms, int at) {
-        Attempt a = action.startAttempt(0, ms);
-        assertEquals(at, a.deadlineMs());
-        assertFalse(a.hasOwnTimeout());
+    public void assertDeadlineOfAction(int timeoutMs, int expectedMs) {
+        Attempt attempt = action.startAttempt(0, timeoutMs);
+        assertEquals(expectedMs, attempt.deadlineMs());
+        assertFalse(attempt.hasOwnTimeout());
     }
 
     @Then("an attempt of {int} ms ends at {int} ms alone")
-    public void alone(int ms, int at) {
-        Attempt a = action.startAttempt(0, ms);
-        assertEquals(at, a.deadlineMs());
-        assertTrue(a.hasOwnTimeout());
+    public void assertOwnDeadline(int timeoutMs, int expectedMs) {
+        Attempt attempt = action.startAttempt(0, timeoutMs);
+        assertEquals(expectedMs, attempt.deadlineMs());
+        assertTrue(attempt.hasOwnTimeout());
     }
 
     @When("completion and cancellation race {int} times")
-    public void race(int times) throws Exception {
-        ExecutorService two = Executors.newFixedThreadPool(2);
-        for (int i = 0; i < times; i++) {
-            AtomicInteger events = new AtomicInteger();
-            AtomicInteger cleaned = new AtomicInteger();
-            Action a = Action.open("a", 0, 1000, t -> events.incrementAndGet());
-            a.onEnd(cleaned::incrementAndGet);
-            CyclicBarrier both = new CyclicBarrier(2);
-            Future<Boolean> done = two.submit(() -> {
-                both.await();
-                return a.complete(1);
+    public void raceCompletionAndCancellation(int rounds) throws Exception {
+        ExecutorService executor = Executors.newFixedThreadPool(2);
+        for (int i = 0; i < rounds; i++) {
+            AtomicInteger eventCount = new AtomicInteger();
+            AtomicInteger cleanupCount = new AtomicInteger();
+            Action racedAction = Action.open("a", 0, 1000, event -> eventCount.incrementAndGet());
+            racedAction.onEnd(cleanupCount::incrementAndGet);
+            CyclicBarrier barrier = new CyclicBarrier(2);
+            Future<Boolean> completed = executor.submit(() -> {
+                barrier.await();
+                return racedAction.complete(1);
             });
-            Future<Boolean> gone = two.submit(() -> {
-                both.await();
-                return a.cancel(CancelCause.CLIENT_GONE, 1);
+            Future<Boolean> canceled = executor.submit(() -> {
+                barrier.await();
+                return racedAction.cancel(CancelCause.CLIENT_GONE, 1);
             });
-            assertTrue(done.get() ^ gone.get());
-            assertEquals(1, events.get());
-            assertEquals(1, cleaned.get());
-            races++;
+            assertTrue(completed.get() ^ canceled.get());
+            assertEquals(1, eventCount.get());
+            assertEquals(1, cleanupCount.get());
+            raceCount++;
         }
-        two.shutdown();
+        executor.shutdown();
     }
 
     @Then("each had one winner and one terminal event")
-    public void winners() {
-        assertEquals(2000, races);
+    public void assertOneWinnerPerRace() {
+        assertEquals(2000, raceCount);
     }
 }
--- a/src/test/java/ringspindle/routing/RequestLedgerTest.java
+++ b/src/test/java/ringspindle/routing/RequestLedgerTest.java
@@ -16,77 +16,80 @@
 
 /** The laws hold on sound histories, and each broken one shows. */
 class RequestLedgerTest {
-    private static TerminalEvent end(String id, CancelCause cause) {
+    private static TerminalEvent terminalEvent(String id, CancelCause cause) {
         return new TerminalEvent(
                 id, cause == null ? Action.State.COMPLETED : Action.State.CANCELED, cause, 1, false, null, 5, 5);
     }
 
-    private static LedgerRow row(RequestLedger l) {
-        return l.report(1, 1, 3, 9).rows().get(0);
+    private static LedgerRow row(RequestLedger ledger) {
+        return ledger.report(1, 1, 3, 9).rows().get(0);
     }
 
     @Test
-    void soundHistoriesKeepTheLaws() {
-        Random luck = new Random(1);
-        RequestLedger l = new RequestLedger();
-        List<String> open = new ArrayList<>();
+    void consistentHistoriesViolateNoInvariant() {
+        Random random = new Random(1);
+        RequestLedger ledger = new RequestLedger();
+        List<String> openIds = new ArrayList<>();
         for (int i = 0; i < 3000; i++) {
             String id = "f-" + i;
-            l.onAdmitted(id, luck.nextInt(3), luck.nextBoolean() ? "digests" : "questions", false);
-            l.onSent(id, false);
-            if (luck.nextInt(3) == 0) {
-                l.onNotRun(id);
-                l.onSent(id, false);
+            ledger.onAdmitted(id, random.nextInt(3), random.nextBoolean() ? "digests" : "questions", false);
+            ledger.onSent(id, false);
+            if (random.nextInt(3) == 0) {
+                ledger.onNotRun(id);
+                ledger.onSent(id, false);
             }
-            open.add(id);
-            if (luck.nextInt(3) > 0) {
-                CancelCause[] all = CancelCause.values();
-                int c = luck.nextInt(all.length + 1);
-                l.onEnded(end(open.remove(luck.nextInt(open.size())), c == all.length ? null : all[c]));
+            openIds.add(id);
+            if (random.nextInt(3) > 0) {
+                CancelCause[] causes = CancelCause.values();
+                int causeIndex = random.nextInt(causes.length + 1);
+                ledger.onEnded(terminalEvent(
+                        openIds.remove(random.nextInt(openIds.size())),
+                        causeIndex == causes.length ? null : causes[causeIndex]));
             }
-            assertEquals(Set.of(), RequestLedger.violations(l.report(1, i, 3, 9)));
+            assertEquals(Set.of(), RequestLedger.violations(ledger.report(1, i, 3, 9)));
         }
-        long inProgress = l.report(1, 1, 3, 9).rows().stream()
+        long inProgress = ledger.report(1, 1, 3, 9).rows().stream()
                 .mapToLong(LedgerRow::inProgress)
                 .sum();
-        assertEquals(open.size(), inProgress);
+        assertEquals(openIds.size(), inProgress);
     }
 
     @Test
-    void anActionThatMayRunOnceAndMayHaveRunTwiceShows() {
-        RequestLedger l = new RequestLedger();
-        l.onAdmitted("a", 3, "c", false);
-        l.onSent("a", false);
-        l.onSent("a", false);
-        l.onEnded(end("a", null));
-        assertEquals(Set.of(Violation.RUN_TWICE), RequestLedger.violations(l.report(1, 1, 3, 9)));
+    void secondRunOfNonRepeatableActionIsReported() {
+        RequestLedger ledger = new RequestLedger();
+        ledger.onAdmitted("a", 3, "c", false);
+        ledger.onSent("a", false);
+        ledger.onSent("a", false);
+        ledger.onEnded(terminalEvent("a", null));
+        assertEquals(Set.of(Violation.RUN_TWICE), RequestLedger.violations(ledger.report(1, 1, 3, 9)));
         RequestLedger repeatable = new RequestLedger();
         repeatable.onAdmitted("a", 3, "c", true);
         repeatable.onSent("a", false);
         repeatable.onSent("a", true);
-        repeatable.onEnded(end("a", null));
+        repeatable.onEnded(terminalEvent("a", null));
         assertEquals(Set.of(), RequestLedger.violations(repeatable.report(1, 1, 3, 9)));
         assertEquals(1, row(repeatable).resumed());
         assertEquals(2, row(repeatable).mayHaveRun());
     }
 
     @Test
-    void secondTerminalEventsShow() {
-        RequestLedger l = new RequestLedger();
-        l.onAdmitted("a", 3, "c", false);
-        l.onEnded(end("a", null));
-        l.onEnded(end("a", CancelCause.GIVEN_UP));
-        assertEquals(Set.of(Violation.ENDED_TWICE), RequestLedger.violations(l.report(1, 1, 3, 9)));
-        RequestLedger never = new RequestLedger();
-        never.onEnded(end("b", null));
-        assertEquals(Set.of(Violation.ENDED_TWICE), RequestLedger.violations(never.report(1, 1, 3, 9)));
+    void secondTerminalEventIsReported() {
+        RequestLedger ledger = new RequestLedger();
+        ledger.onAdmitted("a", 3, "c", false);
+        ledger.onEnded(terminalEvent("a", null));
+        ledger.onEnded(terminalEvent("a", CancelCause.GIVEN_UP));
+        assertEquals(Set.of(Violation.ENDED_TWICE), RequestLedger.violations(ledger.report(1, 1, 3, 9)));
+        RequestLedger neverAdmitted = new RequestLedger();
+        neverAdmitted.onEnded(terminalEvent("b", null));
+        assertEquals(Set.of(Violation.ENDED_TWICE), RequestLedger.violations(neverAdmitted.report(1, 1, 3, 9)));
     }
 
     @Test
-    void lostActionsShowInTheSum() {
-        LedgerRow lost = new LedgerRow(3, 10, 1, 7, 1, 0, 0, 0, 9, 0, 9, 0, 0, "c");
-        assertEquals(Set.of(Violation.SUM), RequestLedger.violations(new LedgerReport(1, 1, 3, 9, 0, List.of(lost))));
-        LedgerRow whole = new LedgerRow(3, 10, 1, 7, 1, 0, 0, 1, 9, 0, 9, 0, 0, "c");
-        assertEquals(Set.of(), RequestLedger.violations(new LedgerReport(1, 1, 3, 9, 0, List.of(whole))));
+    void unaccountedActionBreaksTheSum() {
+        LedgerRow unbalanced = new LedgerRow(3, 10, 1, 7, 1, 0, 0, 0, 9, 0, 9, 0, 0, "c");
+        assertEquals(
+                Set.of(Violation.SUM), RequestLedger.violations(new LedgerReport(1, 1, 3, 9, 0, List.of(unbalanced))));
+        LedgerRow balanced = new LedgerRow(3, 10, 1, 7, 1, 0, 0, 1, 9, 0, 9, 0, 0, "c");
+        assertEquals(Set.of(), RequestLedger.violations(new LedgerReport(1, 1, 3, 9, 0, List.of(balanced))));
     }
 }
--- a/src/test/java/ringspindle/routing/RulesDocumentsTest.java
+++ b/src/test/java/ringspindle/routing/RulesDocumentsTest.java
@@ -23,11 +23,11 @@
 class RulesDocumentsTest {
     private static final String EXPECTED = "/ringspindle/routing/rules-documents.txt";
     private static final int SEEDS = 40;
-    private static final int DOCUMENTS = 150;
+    private static final int DOCUMENTS_PER_SEED = 150;
 
-    private final Set<String> kindsOfErrors = new TreeSet<>();
+    private final Set<String> errorTypes = new TreeSet<>();
     private long hash;
-    private int refused;
+    private int rejected;
 
     private static FleetConfig config() {
         String json =
@@ -37,54 +37,56 @@
         return ((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
     }
 
-    private void note(Object fact) {
-        hash = hash * 31 + fact.toString().hashCode();
+    private void addToHash(Object value) {
+        hash = hash * 31 + value.toString().hashCode();
     }
 
-    private void noteErrors(List<ConfigError> errors) {
+    private void addErrors(List<ConfigError> errors) {
         for (ConfigError error : errors) {
-            note(error.getClass().getSimpleName());
-            note(error.text());
-            kindsOfErrors.add(error.getClass().getSimpleName());
+            addToHash(error.getClass().getSimpleName());
+            addToHash(error.text());
+            errorTypes.add(error.getClass().getSimpleName());
         }
     }
 
-    private void noteRule(ServingRules rules, ServingRule rule) {
-        note(rule.name());
-        note(rule.rank() + " " + rule.share() + " " + rule.waitMs());
-        note(String.format(Locale.ROOT, "%.6f", rules.shareReservedForOthers(rule)));
+    private void addRule(ServingRules rules, ServingRule rule) {
+        addToHash(rule.name());
+        addToHash(rule.rank() + " " + rule.share() + " " + rule.waitMs());
+        addToHash(String.format(Locale.ROOT, "%.6f", rules.shareReservedForOthers(rule)));
         if (rule.affinity() != null) {
-            note(rule.affinity().basis().name());
-            note(rule.affinity().maxParts() + " " + rule.affinity().maxTokens() + " "
+            addToHash(rule.affinity().basis().name());
+            addToHash(rule.affinity().maxParts() + " " + rule.affinity().maxTokens() + " "
                     + rule.affinity().maxImbalance());
-            note(rule.affinity().key("5c1e07a2:800,91bd3f06:410,e4402b7d:250").hash());
+            addToHash(rule.affinity()
+                    .key("5c1e07a2:800,91bd3f06:410,e4402b7d:250")
+                    .hash());
         }
         for (List<FallbackTarget> targets : List.of(rule.whenBusy(), rule.whenUnavailable())) {
             for (FallbackTarget target : targets) {
-                note(target.scope().name() + " " + target.regions() + " " + target.waitMs());
+                addToHash(target.scope().name() + " " + target.regions() + " " + target.waitMs());
             }
         }
     }
 
-    private void noteDocument(String json) {
-        Validated<ServingRules> read = ServingRules.read(json.getBytes(UTF_8));
-        if (read instanceof Validated.Invalid<ServingRules> invalid) {
-            refused++;
-            noteErrors(invalid.errors());
+    private void addDocument(String json) {
+        Validated<ServingRules> result = ServingRules.read(json.getBytes(UTF_8));
+        if (result instanceof Validated.Invalid<ServingRules> invalid) {
+            rejected++;
+            addErrors(invalid.errors());
             return;
         }
-        ServingRules rules = ((Validated.Valid<ServingRules>) read).value();
-        note(rules.revision());
-        note(rules.digest());
-        note(new String(rules.bytes(), UTF_8));
-        rules.all().forEach(rule -> noteRule(rules, rule));
-        noteErrors(ServingRulesValidator.validate(rules, config(), Set.of("ahd", "srt")));
-        noteErrors(ServingRulesValidator.validate(rules, null, Set.of()));
-        note(rules.rulesWithUnknownRoute(config()));
+        ServingRules rules = ((Validated.Valid<ServingRules>) result).value();
+        addToHash(rules.revision());
+        addToHash(rules.digest());
+        addToHash(new String(rules.bytes(), UTF_8));
+        rules.all().forEach(rule -> addRule(rules, rule));
+        addErrors(ServingRulesValidator.validate(rules, config(), Set.of("ahd", "srt")));
+        addErrors(ServingRulesValidator.validate(rules, null, Set.of()));
+        addToHash(rules.rulesWithUnknownRoute(config()));
         for (String route : List.of("scrip", "other")) {
             for (int promptTokens : List.of(0, 3000, 7000)) {
-                for (boolean home : List.of(true, false)) {
-                    note(rules.match(new RequestAttributes(route, "h", "/s/x", "m", promptTokens, home))
+                for (boolean homeBound : List.of(true, false)) {
+                    addToHash(rules.match(new RequestAttributes(route, "h", "/s/x", "m", promptTokens, homeBound))
                             .name());
                 }
             }
@@ -92,8 +94,8 @@
     }
 
     private static List<String> expected() throws IOException {
-        try (InputStream in = RulesDocumentsTest.class.getResourceAsStream(EXPECTED)) {
-            return new String(in.readAllBytes(), UTF_8)
+        try (InputStream input = RulesDocumentsTest.class.getResourceAsStream(EXPECTED)) {
+            return new String(input.readAllBytes(), UTF_8)
                     .lines()
                     .filter(line -> !line.startsWith("#"))
                     .toList();
@@ -101,21 +103,23 @@
     }
 
     @Test
-    void documentsAreReadAsWasRecorded() throws IOException {
+    void parsingMatchesRecordedHashes() throws IOException {
         List<String> actual = new ArrayList<>();
         for (int seed = 1; seed <= SEEDS; seed++) {
             RandomRulesDocument documents = new RandomRulesDocument(seed);
-            for (int i = 0; i < DOCUMENTS; i++) {
-                noteDocument(documents.next());
+            for (int i = 0; i < DOCUMENTS_PER_SEED; i++) {
+                addDocument(documents.next());
             }
-            actual.add("seed=" + seed + " refused=" + refused + " hash=" + Long.toHexString(hash));
+            actual.add("seed=" + seed + " refused=" + rejected + " hash=" + Long.toHexString(hash));
         }
         assertEquals(String.join("\n", expected()), String.join("\n", actual));
-        assertTrue(refused > SEEDS * DOCUMENTS / 5 && refused < SEEDS * DOCUMENTS * 4 / 5, "refused " + refused);
-        Set<String> all = Set.of(
+        assertTrue(
+                rejected > SEEDS * DOCUMENTS_PER_SEED / 5 && rejected < SEEDS * DOCUMENTS_PER_SEED * 4 / 5,
+                "rejected " + rejected);
+        Set<String> possibleErrorTypes = Set.of(
                 "Missing", "UnknownField", "OutOfRange", "SameName", "Unreachable", "UnknownName", "OutsideHomes");
-        assertTrue(kindsOfErrors.containsAll(Set.of("Missing", "UnknownField", "OutOfRange", "Unreachable")));
-        assertTrue(all.containsAll(kindsOfErrors), kindsOfErrors.toString());
-        assertTrue(kindsOfErrors.containsAll(Set.of("UnknownName", "OutsideHomes")), kindsOfErrors.toString());
+        assertTrue(errorTypes.containsAll(Set.of("Missing", "UnknownField", "OutOfRange", "Unreachable")));
+        assertTrue(possibleErrorTypes.containsAll(errorTypes), errorTypes.toString());
+        assertTrue(errorTypes.containsAll(Set.of("UnknownName", "OutsideHomes")), errorTypes.toString());
     }
 }
--- a/src/test/java/ringspindle/routing/ServingRulesTest.java
+++ b/src/test/java/ringspindle/routing/ServingRulesTest.java
@@ -17,7 +17,7 @@
 
 /** Serving rules as operators write them: the first that fits wins, and what is wrong is refused with its place. */
 class ServingRulesTest {
-    static final String GOOD = """
+    static final String VALID_DOCUMENT = """
             {"revision": 3,
              "rules": [
               {"name": "digests", "match": {"prompt": {"from": 5000}},
@@ -31,16 +31,16 @@
             """;
 
     private static ServingRules read(String json) {
-        Validated<ServingRules> c = ServingRules.read(json.getBytes(UTF_8));
+        Validated<ServingRules> result = ServingRules.read(json.getBytes(UTF_8));
         assertTrue(
-                c instanceof Validated.Valid<ServingRules>,
-                () -> ((Validated.Invalid<ServingRules>) c).errors().toString());
-        return ((Validated.Valid<ServingRules>) c).value();
+                result instanceof Validated.Valid<ServingRules>,
+                () -> ((Validated.Invalid<ServingRules>) result).errors().toString());
+        return ((Validated.Valid<ServingRules>) result).value();
     }
 
-    private static List<ConfigError> problems(String json) {
-        return ServingRules.read(json.getBytes(UTF_8)) instanceof Validated.Invalid<ServingRules> bad
-                ? bad.errors()
+    private static List<ConfigError> errors(String json) {
+        return ServingRules.read(json.getBytes(UTF_8)) instanceof Validated.Invalid<ServingRules> invalid
+                ? invalid.errors()
                 : List.of();
     }
 
@@ -51,96 +51,104 @@
         return ((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
     }
 
-    private static RequestAttributes asked(String route, int prompt, boolean home) {
-        return new RequestAttributes(route, "h", "/s/x", "m", prompt, home);
+    private static RequestAttributes request(String route, int promptTokens, boolean homeBound) {
+        return new RequestAttributes(route, "h", "/s/x", "m", promptTokens, homeBound);
     }
 
     @Test
-    void firstThatFitsWinsAndTheDefaultClosesTheList() {
-        ServingRules r = read(GOOD);
-        assertEquals("digests", r.match(asked("scrip", 17_000, true)).name());
-        assertEquals("questions", r.match(asked("scrip", 383, true)).name());
+    void firstMatchingRuleAppliesElseTheDefault() {
+        ServingRules rules = read(VALID_DOCUMENT);
+        assertEquals("digests", rules.match(request("scrip", 17_000, true)).name());
+        assertEquals("questions", rules.match(request("scrip", 383, true)).name());
         assertEquals(
-                ServingRules.DEFAULT_CLASS, r.match(asked("scrip", 383, false)).name());
-        assertEquals(5, r.match(asked("other", 383, true)).rank());
+                ServingRules.DEFAULT_CLASS,
+                rules.match(request("scrip", 383, false)).name());
+        assertEquals(5, rules.match(request("other", 383, true)).rank());
         assertEquals(
                 0.5,
-                r.shareReservedForOthers(r.match(asked("", 17_000, true))),
+                rules.shareReservedForOthers(rules.match(request("", 17_000, true))),
                 1e-9,
                 "what digests leave to questions");
-        assertEquals(0.75, r.shareReservedForOthers(r.match(asked("other", 3, false))), 1e-9);
+        assertEquals(0.75, rules.shareReservedForOthers(rules.match(request("other", 3, false))), 1e-9);
         assertEquals(
                 List.of(
                         new FallbackTarget(FallbackTarget.Scope.REGION, List.of(), 0),
                         new FallbackTarget(FallbackTarget.Scope.REGIONS, List.of("srt"), 0)),
-                r.all().get(0).whenUnavailable());
-        assertEquals(r.digest(), read(new String(r.bytes(), UTF_8)).digest(), "the same after a round trip");
+                rules.all().get(0).whenUnavailable());
+        assertEquals(rules.digest(), read(new String(rules.bytes(), UTF_8)).digest(), "the same after a round trip");
     }
 
     @Test
-    void keysAreTheSameForWhatIsSharedAndAsWithoutRulesWhereNothingIsSaid() {
-        String one = "5c1e07a2:800,91bd3f06:410,e4402b7d:250";
-        String other = "5c1e07a2:800,aaaaaaaa:410,e4402b7e:250";
-        Affinity first = new Affinity(Affinity.Basis.PROMPT, 1, Integer.MAX_VALUE, 1.5);
-        assertEquals(first.key(one).hash(), first.key(other).hash());
+    void affinityKeyCoversTheComparedPartsOnly() {
+        String prefix = "5c1e07a2:800,91bd3f06:410,e4402b7d:250";
+        String otherPrefix = "5c1e07a2:800,aaaaaaaa:410,e4402b7e:250";
+        Affinity firstPartAffinity = new Affinity(Affinity.Basis.PROMPT, 1, Integer.MAX_VALUE, 1.5);
+        assertEquals(
+                firstPartAffinity.key(prefix).hash(),
+                firstPartAffinity.key(otherPrefix).hash());
         assertNotEquals(
-                Affinity.defaultKey(one).hash(), Affinity.defaultKey(other).hash());
-        assertEquals(1210, first.key(one).sharedTokens(), "all that is shared is still read again elsewhere");
+                Affinity.defaultKey(prefix).hash(),
+                Affinity.defaultKey(otherPrefix).hash());
+        assertEquals(
+                1210, firstPartAffinity.key(prefix).sharedTokens(), "all that is shared is still read again elsewhere");
         assertEquals(0, Affinity.defaultKey("a:999,b:5").hash(), "short heads are held by nobody");
         assertNotEquals(0, Affinity.defaultKey("a:1000,b:5").hash());
         assertEquals(
-                new Affinity(Affinity.Basis.PROMPT, 64, 800, 1.5).key(one).hash(),
-                first.key(one).hash(),
+                new Affinity(Affinity.Basis.PROMPT, 64, 800, 1.5).key(prefix).hash(),
+                firstPartAffinity.key(prefix).hash(),
                 "no part that begins behind 800");
-        Affinity session = new Affinity(Affinity.Basis.SESSION, 64, Integer.MAX_VALUE, 1.5);
-        assertEquals(session.key("x:1,s:9").hash(), session.key("y:7,s:12").hash());
+        Affinity sessionAffinity = new Affinity(Affinity.Basis.SESSION, 64, Integer.MAX_VALUE, 1.5);
+        assertEquals(
+                sessionAffinity.key("x:1,s:9").hash(),
+                sessionAffinity.key("y:7,s:12").hash());
         assertEquals(
                 0,
                 new Affinity(Affinity.Basis.NONE, 64, Integer.MAX_VALUE, 1.5)
-                        .key(one)
+                        .key(prefix)
                         .hash());
-        for (String odd : List.of("", ",", "x", "x:", ":5,y:1", "a:b,c:d")) {
-            assertEquals(0, first.key(odd).hash(), odd);
+        for (String malformedPrefix : List.of("", ",", "x", "x:", ":5,y:1", "a:b,c:d")) {
+            assertEquals(0, firstPartAffinity.key(malformedPrefix).hash(), malformedPrefix);
         }
     }
 
     @Test
-    void whatIsWrongIsRefusedWithItsTypeAndPlace() {
-        Map<String, ConfigError> wrong = new LinkedHashMap<>();
-        wrong.put("{\"rules\":[]}", new ConfigError.Missing("revision"));
-        wrong.put("{\"revision\":1,\"rule\":[]}", new ConfigError.UnknownField("", "rule"));
-        wrong.put(
+    void invalidDocumentsAreRejectedWithErrorTypeAndPath() {
+        Map<String, ConfigError> expectedErrors = new LinkedHashMap<>();
+        expectedErrors.put("{\"rules\":[]}", new ConfigError.Missing("revision"));
+        expectedErrors.put("{\"revision\":1,\"rule\":[]}", new ConfigError.UnknownField("", "rule"));
+        expectedErrors.put(
                 "{\"revision\":1,\"rules\":[{\"name\":\"a\",\"match\":{\"user\":\"x\"}}]}",
                 new ConfigError.UnknownField("rules[0].match", "user"));
-        wrong.put(
+        expectedErrors.put(
                 "{\"revision\":1,\"rules\":[{\"name\":\"a\",\"match\":{\"route\":\"x\"}},{\"name\":\"a\"}]}",
                 new ConfigError.SameName("a"));
-        wrong.put(
+        expectedErrors.put(
                 "{\"revision\":1,\"rules\":[{\"name\":\"a\"},{\"name\":\"b\",\"match\":{\"route\":\"x\"}}]}",
                 new ConfigError.Unreachable("rules[1]", "a"));
-        wrong.put(
+        expectedErrors.put(
                 "{\"revision\":1,\"rules\":[{\"name\":\"a\",\"match\":{\"path\":\"/x/\"}},{\"name\":\"b\",\"match\":{\"path\":\"/x/y/\"}}]}",
                 new ConfigError.Unreachable("rules[1]", "a"));
-        wrong.put(
+        expectedErrors.put(
                 "{\"revision\":1,\"default\":{\"class\":{\"waitMs\":-1}}}",
                 new ConfigError.OutOfRange("default.class.waitMs", "-1", "a whole number from 0 to 30000"));
-        wrong.put(
+        expectedErrors.put(
                 "{\"revision\":1,\"default\":{\"class\":{\"waitMs\":86400000}}}",
                 new ConfigError.OutOfRange("default.class.waitMs", "86400000", "a whole number from 0 to 30000"));
-        wrong.put(
+        expectedErrors.put(
                 "{\"revision\":1,\"rules\":[{\"name\":\"a\",\"match\":{\"route\":\"x\"},\"class\":{\"share\":0.7}}],\"default\":{\"class\":{\"share\":0.6}}}",
                 new ConfigError.OutOfRange("shares of all classes", "1.300", "at most 1 together"));
-        wrong.put(
+        expectedErrors.put(
                 "{\"revision\":1,\"default\":{\"busy\":[{\"to\":\"moon\"}]}}",
                 new ConfigError.OutOfRange("default.busy[0].to", "moon", "next, zone, region, regions or any"));
-        wrong.put(
+        expectedErrors.put(
                 "{\"revision\":1,\"default\":{\"class\":{\"waitMs\":50},\"busy\":[{\"to\":\"zone\",\"waitMs\":30},{\"to\":\"any\",\"waitMs\":30}]}}",
                 new ConfigError.OutOfRange(
                         "default.busy[1].waitMs", "60 with those before", "at most the class's waitMs, 50"));
-        wrong.put(
+        expectedErrors.put(
                 "{\"revision\":1,\"default\":{\"gone\":[{\"to\":\"regions\"}]}}",
                 new ConfigError.OutOfRange("default.gone[0].names", "[]", "names where to is regions, none elsewhere"));
-        wrong.forEach((json, p) -> assertTrue(problems(json).contains(p), json + " gives " + problems(json)));
+        expectedErrors.forEach(
+                (json, expected) -> assertTrue(errors(json).contains(expected), json + " gives " + errors(json)));
         for (String json : List.of(
                 "",
                 "{",
@@ -152,31 +160,32 @@
                 "{\"revision\":1,\"rules\":{}}",
                 "{\"revision\":1,\"rules\":[7]}",
                 "{\"revision\":1,\"rules\":[{\"name\":\"plain\"}]}")) {
-            assertFalse(problems(json).isEmpty(), json);
+            assertFalse(errors(json).isEmpty(), json);
         }
         assertEquals(
                 List.of(new ConfigError.TooLong(ServingRules.MAX_BYTES + 1, ServingRules.MAX_BYTES)),
-                problems(" ".repeat(ServingRules.MAX_BYTES + 1)));
+                errors(" ".repeat(ServingRules.MAX_BYTES + 1)));
     }
 
     @Test
-    void namesAreCheckedAgainstConfigurationAndZones() {
-        assertEquals(List.of(), ServingRulesValidator.validate(read(GOOD), config(), Set.of("ahd", "srt")));
+    void namesAreCheckedAgainstConfigurationAndRegions() {
+        assertEquals(List.of(), ServingRulesValidator.validate(read(VALID_DOCUMENT), config(), Set.of("ahd", "srt")));
         assertEquals(
                 List.of(new ConfigError.UnknownName("rules[0].gone[1].names", "srt")),
-                ServingRulesValidator.validate(read(GOOD), config(), Set.of("ahd")));
-        String homes =
+                ServingRulesValidator.validate(read(VALID_DOCUMENT), config(), Set.of("ahd")));
+        String forbiddenRegion =
                 "{\"revision\":1,\"rules\":[{\"name\":\"a\",\"match\":{\"route\":\"scrip\"},\"gone\":[{\"to\":\"regions\",\"names\":[\"srt\"]}]}]}";
         assertEquals(
                 List.of(new ConfigError.OutsideHomes("rules[0].gone[0].names", "srt")),
-                ServingRulesValidator.validate(read(homes), config(), Set.of("ahd", "srt")));
-        String names = "{\"revision\":1,\"rules\":[{\"name\":\"a\",\"match\":{\"route\":\"none\",\"model\":\"q\"}}]}";
+                ServingRulesValidator.validate(read(forbiddenRegion), config(), Set.of("ahd", "srt")));
+        String unknownNames =
+                "{\"revision\":1,\"rules\":[{\"name\":\"a\",\"match\":{\"route\":\"none\",\"model\":\"q\"}}]}";
         assertEquals(
                 List.of(
                         new ConfigError.UnknownName("rules[0].match.route", "none"),
                         new ConfigError.UnknownName("rules[0].match.model", "q")),
-                ServingRulesValidator.validate(read(names), config(), Set.of()));
-        assertEquals(List.of("a"), read(names).rulesWithUnknownRoute(config()));
+                ServingRulesValidator.validate(read(unknownNames), config(), Set.of()));
+        assertEquals(List.of("a"), read(unknownNames).rulesWithUnknownRoute(config()));
     }
 
     /** A client may send any prefix; one without parts belongs to no session and shares nothing. */
