--- a/src/main/java/ringspindle/retry/Action.java
+++ b/src/main/java/ringspindle/retry/Action.java
@@ -1,8 +1,8 @@
 package ringspindle.retry;
 
 /**
- * A client's request as one logical action: the parent scope of all that is done for it. It is active until exactly one of
- * completion and cancellation wins; its attempts are child scopes that cannot outlive it.
+ * Lifecycle of one client request and parent scope of its attempts. An action is active until either completion or
+ * cancellation takes effect, never both. Attempts cannot outlive their action.
  *
  * <pre>{@code
  * Action action = Action.open("node-1", nowMs, 8000, event -> log(event));
@@ -14,73 +14,73 @@
  * <p>All times are milliseconds of the steady clock. Thread safe.
  */
 public interface Action {
-    /** Where an action stands. */
+    /** Lifecycle state. */
     enum State {
         ACTIVE,
         COMPLETED,
         CANCELED
     }
 
-    /** Told of the action's end, once. */
+    /** Receives exactly one notification when the action ends. */
     interface Listener {
-        /** The action has ended, by completion or cancellation. */
+        /** Called when the action has completed or was canceled. */
         void onActionEnded(TerminalEvent event);
     }
 
-    /** Its identifier, with nothing of the client in it. */
+    /** Returns the identifier, which contains no client data. */
     String id();
 
-    /** Where it stands. */
+    /** Returns the current state. */
     State state();
 
-    /** When the whole action is over at the latest. */
+    /** Returns the overall deadline. */
     long deadlineMs();
 
     /**
-     * True while a new attempt may start: it is active, and time is left. To be asked after each wait and just before
-     * anything is sent.
+     * Returns whether a new attempt may start: the action is active and its deadline has not passed. Callers must check
+     * this after each wait and immediately before sending.
      */
     boolean isLive(long nowMs);
 
     /**
-     * Opens a child scope whose deadline is the sooner of its own and the action's.
+     * Starts an attempt whose deadline is the earlier of its own timeout and the action's deadline.
      *
-     * @param timeoutMs how long the attempt may take by itself; 0 or less for as long as the action
-     * @return null if the action is over
+     * @param timeoutMs timeout of the attempt; 0 or less to use only the deadline of the action
+     * @return null if the action has ended or its deadline has passed
      */
     Attempt startAttempt(long nowMs, long timeoutMs);
 
-    /** Notes that output reaches the client: from here on the action is resumed or broken off, never started anew. */
+    /** Records that output reaches the client. From then on the action can be resumed or aborted but not restarted. */
     void commitResponse();
 
-    /** True once output has reached the client. */
+    /** Returns whether output has reached the client. */
     boolean isResponseCommitted();
 
-    /** Makes the transition from active to completed; true for the one caller that made it. */
+    /** Changes the state from active to completed; returns true only to the caller that made the change. */
     boolean complete(long nowMs);
 
-    /** Makes the transition from active to canceled; true for the one caller that made it. */
+    /** Changes the state from active to canceled; returns true only to the caller that made the change. */
     boolean cancel(CancelCause cause, long nowMs);
 
-    /** True if any attempt so far may have run the request. */
+    /** Returns whether any attempt so far may have run the request. */
     boolean mayHaveRun();
 
-    /** How many attempts were started. */
+    /** Returns the number of attempts started. */
     int attemptCount();
 
     /**
-     * Ends an attempt and decides what follows. An attempt that breaks because the action is over ends as
-     * {@link AttemptOutcome#PARENT_ENDED}, whatever its outcome looked like.
+     * Ends an attempt and decides what to do next. If the action has already ended, any outcome other than
+     * {@link AttemptOutcome#ANSWERED} is recorded as {@link AttemptOutcome#PARENT_ENDED}.
      */
     RetryDecision endAttempt(Attempt attempt, AttemptOutcome outcome, RetryPolicy policy, long nowMs);
 
-    /** Registers what is to be released once the action is over; runs it at once if it is. */
+    /** Registers a cleanup to run when the action ends; runs it immediately if the action has ended. */
     void onEnd(Runnable cleanup);
 
     /**
      * Opens an active action.
      *
-     * @param timeLimitMs how long it may take
+     * @param timeLimitMs maximum duration of the action
      */
     static Action open(String id, long nowMs, long timeLimitMs, Listener listener) {
         return new AtomicAction(id, nowMs, nowMs + timeLimitMs, listener);
--- a/src/main/java/ringspindle/retry/AtomicAction.java
+++ b/src/main/java/ringspindle/retry/AtomicAction.java
@@ -6,15 +6,16 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * The parent scope. Invariant: state and cause move together, once, from {@link #ACTIVE} to an end, in one compare-and-set;
- * cleanups run and the listener is told in the thread that made that move, and only there.
+ * Implements the lifecycle of an action. Invariant: state and cause change together, exactly once, from {@link #ACTIVE}
+ * to a terminal status by compare-and-set. Only the thread that makes this change runs the registered cleanups and
+ * notifies the listener; a cleanup registered later runs in the thread that registers it.
  */
 final class AtomicAction implements Action {
     private record ActionStatus(State state, CancelCause cause) {}
 
     private static final ActionStatus ACTIVE = new ActionStatus(State.ACTIVE, null);
 
-    /** A child scope; its outcome is set once. */
+    /** An attempt of this action; its outcome is set once. */
     private static final class ChildAttempt implements Attempt {
         private final int number;
         private final long deadlineMs;
@@ -70,7 +71,7 @@
     private final Listener listener;
     private final AtomicReference<ActionStatus> status = new AtomicReference<>(ACTIVE);
     private final List<ChildAttempt> attempts = Collections.synchronizedList(new ArrayList<>(2));
-    /** Guards itself and {@link #cleanupsDrained}. */
+    /** Synchronize on this list to access it or {@link #cleanupsDrained}. */
     private final List<Runnable> cleanups = new ArrayList<>(2);
 
     private boolean cleanupsDrained;
@@ -198,7 +199,7 @@
         return RetryRule.decide(policy, responseCommitted, mayHaveRun(), sentCount(), nowMs < deadlineMs);
     }
 
-    /** What ended the parent is no failure of the engine, and what was never sent cannot have run. */
+    /** An attempt cut short by the end of its action is no engine failure, and one never sent cannot have run. */
     private static AttemptOutcome actualOutcome(ChildAttempt attempt, AttemptOutcome outcome, boolean actionEnded) {
         if (actionEnded && outcome != AttemptOutcome.ANSWERED) {
             return AttemptOutcome.PARENT_ENDED;
@@ -206,7 +207,7 @@
         return outcome == AttemptOutcome.BROKEN && !attempt.isSent() ? AttemptOutcome.NOT_SENT : outcome;
     }
 
-    /** Attempts that reached an engine; what was not sent does not count toward the route's limit. */
+    /** Returns the number of attempts sent to an engine; only those count toward the route's limit. */
     private int sentCount() {
         int sent = 0;
         synchronized (attempts) {
--- a/src/main/java/ringspindle/retry/Attempt.java
+++ b/src/main/java/ringspindle/retry/Attempt.java
@@ -1,22 +1,22 @@
 package ringspindle.retry;
 
-/** One try at one engine: a child scope of its action, which it cannot outlive. */
+/** One attempt to serve a request at one engine. It cannot outlive its action. */
 public interface Attempt {
-    /** 1 for the first of its action. */
+    /** Returns the number of the attempt within its action, starting at 1. */
     int number();
 
-    /** When it is over at the latest, in ms of the steady clock; never later than the action's deadline. */
+    /** Returns the deadline in ms of the steady clock, never later than the action's. */
     long deadlineMs();
 
-    /** True if its own time ends before the action's. */
+    /** Returns whether the timeout of the attempt expires before the action's deadline. */
     boolean hasOwnTimeout();
 
-    /** How it ended, null while it runs. */
+    /** Returns the outcome, null while the attempt runs. */
     AttemptOutcome outcome();
 
-    /** Notes that the request goes out to the engine, so that from here on it may run. */
+    /** Records that the request is being sent to the engine and may run from now on. */
     void markSent();
 
-    /** True once the request went out to the engine. */
+    /** Returns whether the request was sent to the engine. */
     boolean isSent();
 }
--- a/src/main/java/ringspindle/retry/AttemptOutcome.java
+++ b/src/main/java/ringspindle/retry/AttemptOutcome.java
@@ -1,22 +1,22 @@
 package ringspindle.retry;
 
-/** How an attempt ended. */
+/** Outcome of an attempt. */
 public enum AttemptOutcome {
-    /** A whole answer. */
+    /** The engine sent a complete response. */
     ANSWERED(false, false),
-    /** No connection came up: nothing was sent. */
+    /** No connection was established, so nothing was sent. */
     NOT_SENT(true, true),
-    /** The engine says that it did not run the request. */
+    /** The engine reported that it did not run the request. */
     NOT_RUN(true, false),
-    /** Another engine has the address; nothing ran. */
+    /** A different engine owns the address; the request did not run. */
     MISDIRECTED(true, true),
-    /** The connection broke, or the answer made no sense: the request may have run. */
+    /** The connection broke or the response was malformed; the request may have run. */
     BROKEN(false, true),
-    /** The attempt's own time is over: the request may have run. */
+    /** The timeout of the attempt expired; the request may have run. */
     ATTEMPT_TIMEOUT(false, true),
-    /** The engine failed by its own word, after running. */
+    /** The engine ran the request and reported a failure. */
     FAILED(false, true),
-    /** The action ended first. */
+    /** The action ended before the attempt. */
     PARENT_ENDED(false, false);
 
     private final boolean notRun;
@@ -27,12 +27,12 @@
         this.countsAsEngineFailure = countsAsEngineFailure;
     }
 
-    /** True where the engine has not run the request and never will. */
+    /** Returns whether it is certain that the engine has not run the request and never will. */
     public boolean notRun() {
         return notRun;
     }
 
-    /** True where this counts as a failure in the engine's health. */
+    /** Returns whether the outcome counts as a failure in the health of the engine. */
     public boolean countsAsEngineFailure() {
         return countsAsEngineFailure;
     }
--- a/src/main/java/ringspindle/retry/CancelCause.java
+++ b/src/main/java/ringspindle/retry/CancelCause.java
@@ -1,13 +1,13 @@
 package ringspindle.retry;
 
-/** Why an action ended other than by an engine's answer. None of these says anything of an engine. */
+/** Why an action ended without a response from an engine. No cause counts as a failure of an engine. */
 public enum CancelCause {
     /** The client closed its connection. */
     CLIENT_GONE,
-    /** The overall deadline came first. */
+    /** The overall deadline passed. */
     OVERALL_DEADLINE,
-    /** The node ends. */
+    /** The node is shutting down. */
     NODE_ENDS,
-    /** Nothing more may be tried; the client was told so. */
+    /** No further attempt is allowed, and the client was notified. */
     GIVEN_UP
 }
--- a/src/main/java/ringspindle/retry/RetryDecision.java
+++ b/src/main/java/ringspindle/retry/RetryDecision.java
@@ -1,17 +1,17 @@
 package ringspindle.retry;
 
-/** What is to be done after an attempt. */
+/** Next step after an attempt has ended. */
 public enum RetryDecision {
-    /** Another engine may be tried, if the retry budget grants it. */
+    /** Try another engine if the retry budget permits. */
     FALLBACK,
-    /** Output reached the client: go on behind it at another engine, if the retry budget grants it. */
+    /** Output reached the client; resume after it at another engine if the retry budget permits. */
     RESUME,
-    /** Output reached the client and cannot go on: break off so that it shows. */
+    /** Output reached the client and cannot be resumed; abort the response so that the client detects it. */
     BREAK_OFF,
-    /** Tell the client that the request has not run. */
+    /** Report to the client that the request has not run. */
     REFUSE,
-    /** Tell the client that the request may have run. */
+    /** Report to the client that the request may have run. */
     FAIL,
-    /** The action is over; do nothing. */
+    /** Do nothing; the action or the attempt has already ended, or the attempt was answered. */
     NOTHING
 }
--- a/src/main/java/ringspindle/retry/RetryPolicy.java
+++ b/src/main/java/ringspindle/retry/RetryPolicy.java
@@ -1,10 +1,10 @@
 package ringspindle.retry;
 
 /**
- * What may be tried again, from the route.
+ * Retry settings of a route.
  *
- * @param repeatable the request may run more than once
- * @param resumable a stream may go on at another engine behind the last event that reached the client
- * @param maxAttempts the most engines that may get the request
+ * @param repeatable whether the request may run more than once
+ * @param resumable whether another engine may resume a stream after the last event that reached the client
+ * @param maxAttempts maximum number of attempts sent to engines
  */
 public record RetryPolicy(boolean repeatable, boolean resumable, int maxAttempts) {}
--- a/src/main/java/ringspindle/retry/RetryRule.java
+++ b/src/main/java/ringspindle/retry/RetryRule.java
@@ -1,21 +1,21 @@
 package ringspindle.retry;
 
 /**
- * Decides what follows an attempt that did not answer, while its action is active. Pure.
+ * Decides the next step after an attempt without a response, while its action is active. A pure function.
  *
- * <p>Source: "Stop Canceled LLM Requests From Triggering Fallback", changed as docs/DESIGN-NOTE.md says: only what may run
- * more than once is sent again after an attempt that may have run.
+ * <p>Based on "Stop Canceled LLM Requests From Triggering Fallback" with the change described in docs/DESIGN-NOTE.md:
+ * after an attempt that may have run, only a repeatable request is sent again.
  */
 final class RetryRule {
     private RetryRule() {}
 
     /**
-     * The decision.
+     * Returns the decision.
      *
-     * @param responseCommitted output has reached the client
-     * @param mayHaveRun some attempt so far may have run the request
-     * @param sentAttempts how many attempts reached an engine
-     * @param timeLeft the action's deadline has not come
+     * @param responseCommitted whether output has reached the client
+     * @param mayHaveRun whether any attempt so far may have run the request
+     * @param sentAttempts number of attempts sent to an engine
+     * @param timeLeft whether the action's deadline is still ahead
      */
     static RetryDecision decide(
             RetryPolicy policy, boolean responseCommitted, boolean mayHaveRun, int sentAttempts, boolean timeLeft) {
--- a/src/main/java/ringspindle/retry/TerminalEvent.java
+++ b/src/main/java/ringspindle/retry/TerminalEvent.java
@@ -1,16 +1,16 @@
 package ringspindle.retry;
 
 /**
- * The one event of an action's end. It holds nothing that the client sent.
+ * Event emitted exactly once when an action ends. It contains no data sent by the client.
  *
- * @param actionId the action's own identifier
+ * @param actionId identifier of the action
  * @param state completed or canceled
- * @param cause why it was canceled, null if it completed
- * @param attemptCount how many attempts were started
+ * @param cause why the action was canceled, null if it completed
+ * @param attemptCount number of attempts started
  * @param responseCommitted whether output had reached the client
- * @param lastOutcome how the last attempt to end had ended, null if none had
- * @param elapsedMs since the action was opened
- * @param remainingMs until its deadline, below 0 past it
+ * @param lastOutcome outcome of the attempt that ended last, null if none has ended
+ * @param elapsedMs time since the action was opened
+ * @param remainingMs time until the deadline, negative after it
  */
 public record TerminalEvent(
         String actionId,
--- a/src/main/java/ringspindle/retry/package-info.java
+++ b/src/main/java/ringspindle/retry/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The design's core: a client's request as one action with attempts as its child scopes, one atomic end, and the rule that
- * decides after each attempt whether another engine may be tried. It owns the state of each action; it knows no clock,
- * socket or chance, and uses no other package.
+ * Lifecycle of client requests: an action with its attempts as child scopes, its single atomic end, and the rule that
+ * decides after each attempt whether to try another engine. The package owns the state of each action, has no access to
+ * clocks, sockets or random numbers, and depends on no other package.
  */
 package ringspindle.retry;
--- a/src/test/java/ringspindle/retry/RaceSteps.java
+++ b/src/test/java/ringspindle/retry/RaceSteps.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import ringspindle.retry.Action.State;
 
-/** Steps of the scenarios in which completion, cancellation and deadlines race. */
+/** Step definitions for races between completion, cancellation and deadlines. */
 public class RaceSteps {
     private final List<TerminalEvent> terminalEvents = new ArrayList<>();
     private final AtomicInteger cleanups = new AtomicInteger();
@@ -93,7 +93,8 @@
         Attempt attempt = attempts.get(attempts.size() - 1);
         decision = action.endAttempt(attempt, outcome, policy, nowMs);
         if (attempt.outcome() != null && attempt.outcome().countsAsEngineFailure()) {
-            assertNotEquals(State.CANCELED, action.state(), "what ended the action counts against an engine");
+            assertNotEquals(
+                    State.CANCELED, action.state(), "cancellation of the action must not count as an engine failure");
             engineFailures.add(attempt.outcome());
         }
     }
@@ -101,7 +102,7 @@
     @When("the client goes")
     public void clientDisconnects() {
         action.cancel(CancelCause.CLIENT_GONE, nowMs);
-        // the wire to the engine breaks because of that, and twice at that
+        // the cancellation breaks the connection to the engine, which may be reported twice
         if (!attempts.isEmpty() && attempts.get(attempts.size() - 1).outcome() == null) {
             endAttempt(AttemptOutcome.BROKEN);
             assertEquals(RetryDecision.NOTHING, decision);
