--- a/src/main/java/ringspindle/routing/Affinity.java
+++ b/src/main/java/ringspindle/routing/Affinity.java
@@ -1,27 +1,27 @@
 package ringspindle.routing;
 
 /**
- * What requests are kept together by, so that they meet an engine that has their prefix in its cache.
+ * How requests with a common prompt prefix are routed to the engine that has the prefix in its cache.
  *
- * <p>A prefix is a list of parts, each a hash and its tokens: {@code "5c1e07a2:800,91bd3f06:410,e4402b7d:250"}. The last
- * part is the request's own, all before it are shared with other requests.
+ * <p>A prefix is a list of parts, each a hash and its token count: {@code "5c1e07a2:800,91bd3f06:410,e4402b7d:250"}.
+ * The last part belongs to the request itself; all earlier parts are shared with other requests.
  *
- * @param maxParts most shared parts that are compared
- * @param maxTokens no part that begins behind so many tokens is compared
- * @param maxImbalance how many times the mean load the holder may have before it counts as busy
+ * @param maxParts maximum number of shared parts to compare
+ * @param maxTokens parts that start after this many tokens are not compared
+ * @param maxImbalance multiple of the mean load at which the engine that holds the prefix counts as busy
  */
 public record Affinity(Basis basis, int maxParts, int maxTokens, double maxImbalance) {
-    /** What is compared. The names are those of the rules document and of command output, in lower case. */
+    /** Part of the prefix to compare. Rules documents and command output use the names in lower case. */
     public enum Basis {
         /** The first shared parts of the prompt. */
         PROMPT,
-        /** The last part, which is the session's or the request's own. */
+        /** The last part, which identifies the session or the single request. */
         SESSION,
-        /** Nothing: any engine is as good. */
+        /** Nothing; no engine is preferred. */
         NONE
     }
 
-    /** Without rules, a shorter prefix is read again sooner than a request crosses to where it is cached. */
+    /** Without rules, a shorter prefix is recomputed sooner than the request reaches the engine that caches it. */
     private static final int DEFAULT_MIN_TOKENS = 1000;
 
     /** Odd multiplier that combines the hashes of consecutive parts. */
@@ -32,19 +32,19 @@
     private static final Key NO_KEY = new Key(0, 0);
 
     /**
-     * What a request shares.
+     * Affinity key of a request.
      *
-     * @param hash hash of what is compared, the same on every node; 0 if nothing is
-     * @param sharedTokens tokens of the whole shared prefix, whatever is compared of it
+     * @param hash hash of the compared parts, the same on every node; 0 if none are compared
+     * @param sharedTokens tokens of the whole shared prefix, including parts that are not compared
      */
     public record Key(long hash, int sharedTokens) {}
 
-    /** The key of a request to which no rule applies: by all shared parts, if they have a thousand tokens together. */
+    /** Returns the key for requests without a rule: all shared parts if they total at least 1000 tokens. */
     public static Key defaultKey(String prefix) {
         return promptKey(prefix.split(","), Integer.MAX_VALUE, Integer.MAX_VALUE, DEFAULT_MIN_TOKENS);
     }
 
-    /** The key of a request with that prefix; parts that cannot be read are left out. */
+    /** Returns the key of a request with this prefix; malformed parts are ignored. */
     public Key key(String prefix) {
         String[] prefixParts = prefix.split(",");
         return switch (basis) {
@@ -56,7 +56,7 @@
 
     private static Key sessionKey(String[] prefixParts) {
         if (prefixParts.length == 0) {
-            // nothing but commas
+            // the prefix consists of commas only
             return NO_KEY;
         }
         String last = prefixParts[prefixParts.length - 1];
@@ -73,9 +73,9 @@
     }
 
     /**
-     * Hash of the first shared parts.
+     * Returns the key of the first shared parts.
      *
-     * @param minTokens tokens that these parts must have together, else nothing is compared
+     * @param minTokens minimum total tokens of the compared parts; below it the hash is 0
      */
     private static Key promptKey(String[] prefixParts, int partLimit, int tokenLimit, int minTokens) {
         long hash = 0;
@@ -98,7 +98,7 @@
         return new Key(longEnough ? mixBits(hash) : 0, sharedTokens);
     }
 
-    /** Spreads the bits of a hash; never 0. */
+    /** Distributes the entropy of a hash over all bits; never returns 0. */
     private static long mixBits(long hash) {
         return (hash == 0 ? 1 : hash) * GOLDEN_RATIO_64;
     }
--- a/src/main/java/ringspindle/routing/CostWeights.java
+++ b/src/main/java/ringspindle/routing/CostWeights.java
@@ -1,14 +1,15 @@
 package ringspindle.routing;
 
 /**
- * Weights of the cost by which an engine is chosen where no serving rule says more. A policy may change them: they order the
- * engines that may serve a request and never add one.
+ * Weights of the cost function that selects an engine unless a serving rule is more specific. A policy may change them:
+ * they rank the eligible engines and never make another engine eligible.
  *
- * @param otherRegionMs what an engine of another region costs more than one near, in ms
- * @param runningRequestMs what one more running request costs the next one, in ms
- * @param maxImbalance how many times the mean load the holder of a prefix may have before another engine reads it anew
+ * @param otherRegionMs network cost of an engine in another region, in ms
+ * @param runningRequestMs cost of each request that already runs on the engine, in ms
+ * @param maxImbalance multiple of the mean load that the engine holding a prefix may reach before another engine
+ *     recomputes the prefix
  */
 public record CostWeights(double otherRegionMs, double runningRequestMs, double maxImbalance) {
-    /** The weights where no policy says otherwise. */
+    /** Weights used unless a policy sets others. */
     public static final CostWeights DEFAULT = new CostWeights(30, 4, 1.5);
 }
--- a/src/main/java/ringspindle/routing/JsonFields.java
+++ b/src/main/java/ringspindle/routing/JsonFields.java
@@ -10,8 +10,8 @@
 import ringspindle.config.ConfigError;
 
 /**
- * Reads one JSON object of a document strictly. What is wrong is added to the errors of the whole document, with its path,
- * and the default is returned, so that reading goes on and finds all errors.
+ * Reads the fields of one JSON object with strict validation. Each error is added, with its path, to the error list of
+ * the whole document and the default is returned, so that one pass finds all errors.
  */
 public final class JsonFields {
     private final JsonObject object;
@@ -19,10 +19,10 @@
     private final List<ConfigError> errors;
 
     /**
-     * Fields of an object.
+     * Creates a reader for an object.
      *
-     * @param path where the object is in the document, empty for the document itself
-     * @param errors where errors go
+     * @param path path of the object in the document, empty for the root
+     * @param errors list to which errors are added
      */
     public JsonFields(JsonObject object, String path, List<ConfigError> errors) {
         this.object = object;
@@ -30,7 +30,7 @@
         this.errors = errors;
     }
 
-    /** The object itself. */
+    /** Returns the underlying object. */
     public JsonObject source() {
         return object;
     }
@@ -39,17 +39,17 @@
         return path;
     }
 
-    /** True if the key is there. */
+    /** Returns whether the key is present. */
     public boolean has(String key) {
         return object.containsKey(key);
     }
 
-    /** The value as it stands; null if there is none. */
+    /** Returns the raw value, null if absent. */
     JsonValue value(String key) {
         return object.get(key);
     }
 
-    /** Every field that is not among these is an error. */
+    /** Adds an error for each field that is not a known one. */
     public void rejectUnknown(String... known) {
         List<String> knownKeys = List.of(known);
         for (String key : object.keySet()) {
@@ -63,7 +63,7 @@
         errors.add(new ConfigError.OutOfRange(path + "." + key, value, expected));
     }
 
-    /** The fields of an object; those of an empty one if there is none. */
+    /** Returns a reader for a nested object, of an empty object if absent or invalid. */
     public JsonFields object(String key) {
         String childPath = path.isEmpty() ? key : path + "." + key;
         JsonValue value = object.get(key);
@@ -76,7 +76,7 @@
         return new JsonFields(JsonValue.EMPTY_JSON_OBJECT, childPath, errors);
     }
 
-    /** The values of a list; none if there is no list. */
+    /** Returns the values of an array, empty if absent or invalid. */
     public List<JsonValue> array(String key) {
         JsonValue value = object.get(key);
         if (value instanceof JsonArray list) {
@@ -88,7 +88,7 @@
         return List.of();
     }
 
-    /** A text; empty if there is none. */
+    /** Returns a string, empty if absent or invalid. */
     public String text(String key) {
         JsonValue value = object.get(key);
         if (value instanceof JsonString text) {
@@ -100,12 +100,12 @@
         return "";
     }
 
-    /** A whole number within bounds, both included. */
+    /** Returns an integer within the inclusive bounds, the default if absent or invalid. */
     public int integer(String key, int min, int max, int defaultValue) {
         return (int) integer(key, min, max, (long) defaultValue);
     }
 
-    /** A whole number within bounds, both included. */
+    /** Returns an integer within the inclusive bounds, the default if absent or invalid. */
     public long integer(String key, long min, long max, long defaultValue) {
         JsonValue value = object.get(key);
         if (value == null) {
@@ -125,7 +125,7 @@
                 && number.longValue() <= max;
     }
 
-    /** A number within bounds, both included. */
+    /** Returns a number within the inclusive bounds, the default if absent or invalid. */
     public double decimal(String key, double min, double max, double defaultValue) {
         JsonValue value = object.get(key);
         if (value == null) {
--- a/src/main/java/ringspindle/routing/RequestAttributes.java
+++ b/src/main/java/ringspindle/routing/RequestAttributes.java
@@ -1,12 +1,12 @@
 package ringspindle.routing;
 
 /**
- * What serving rules may look at in a request; nothing of its body, nothing of who sent it.
+ * Request attributes that serving rules can match. Neither the body nor the identity of the client is included.
  *
- * @param route name of the route that it came in by
- * @param model model that it asks for, empty if none
- * @param promptTokens tokens of its prompt, 0 if it has none
- * @param homeBound whether it is bound to regions
+ * @param route name of the matched route
+ * @param model requested model, empty if none
+ * @param promptTokens prompt length in tokens, 0 without a prompt
+ * @param homeBound whether the request is restricted to its home regions
  */
 public record RequestAttributes(
         String route, String host, String path, String model, int promptTokens, boolean homeBound) {}
--- a/src/main/java/ringspindle/routing/RequestLedger.java
+++ b/src/main/java/ringspindle/routing/RequestLedger.java
@@ -13,17 +13,17 @@
 import ringspindle.retry.TerminalEvent;
 
 /**
- * A data node's own record of its actions, by revision of the rules and class: what was admitted, what is in progress, how
- * the rest ended, and what its attempts came to. It holds no prompts, bodies or names of clients. Thread safe.
+ * Counts the actions of a data node by rules revision and class: admitted, in progress, ended by cause, and the results
+ * of their attempts. It stores no prompts, bodies or client names. Thread safe.
  */
 public final class RequestLedger {
-    /** An invariant that does not hold. The names are part of status documents. */
+    /** A violated invariant. The names are part of status documents. */
     public enum Violation {
-        /** Admitted is not in progress and ended together. */
+        /** The admitted count differs from the sum of actions in progress and ended. */
         SUM,
-        /** An action that may run once had two attempts that may have run. */
+        /** A non-repeatable action had more than one attempt that may have run. */
         RUN_TWICE,
-        /** An action had two terminal events, or one without being admitted. */
+        /** An action had two terminal events, or one without admission, or was admitted again while open. */
         ENDED_TWICE
     }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Counts of one class under one revision of the rules. */
+    /** Counters of one class under one rules revision. */
     private static final class ClassCounters {
         final long revision;
         final String requestClass;
@@ -65,7 +65,7 @@
             this.requestClass = requestClass;
         }
 
-        /** Counts the end of an action; a cause of null is an answer. */
+        /** Counts the end of an action; a null cause means that it completed. */
         void countEnd(CancelCause cause) {
             inProgress--;
             if (cause == null) {
@@ -100,16 +100,16 @@
     }
 
     private final Map<String, OpenAction> openActions = new HashMap<>();
-    /** By revision and class, in the order of their text, which reports keep. */
+    /** Keyed by revision and class as text; reports list them in key order. */
     private final Map<String, ClassCounters> countersByClass = new TreeMap<>();
 
     private long endedTwice;
 
     /**
-     * An action begins.
+     * Records the admission of an action.
      *
-     * @param revision revision of the rules that it is admitted under, 0 if there are none
-     * @param idempotent whether it may run more than once
+     * @param revision rules revision that applies to the action, 0 without rules
+     * @param idempotent whether the request may run more than once
      */
     public synchronized void onAdmitted(String actionId, long revision, String requestClass, boolean idempotent) {
         ClassCounters counters = countersByClass.computeIfAbsent(
@@ -122,7 +122,7 @@
         counters.inProgress++;
     }
 
-    /** An attempt goes out to an engine; it may resume an earlier one. */
+    /** Records that an attempt is sent to an engine, possibly to resume an earlier one. */
     public synchronized void onSent(String actionId, boolean resumes) {
         OpenAction action = openActions.get(actionId);
         if (action == null) {
@@ -133,7 +133,7 @@
         action.counters.resumed += resumes ? 1 : 0;
     }
 
-    /** The engine said that an attempt which was sent has not run. */
+    /** Records that the engine reported a sent attempt as not run. */
     public synchronized void onNotRun(String actionId) {
         OpenAction action = openActions.get(actionId);
         if (action == null) {
@@ -143,7 +143,7 @@
         action.counters.notRun++;
     }
 
-    /** The action's one terminal event. */
+    /** Records the terminal event of an action. */
     public synchronized void onEnded(TerminalEvent event) {
         OpenAction action = openActions.remove(event.actionId());
         if (action == null) {
@@ -157,12 +157,12 @@
     }
 
     /**
-     * What the node reports of itself.
+     * Returns the report of this node.
      *
      * @param life the node's incarnation
-     * @param seq number of the report within it
-     * @param revision revision of the rules in force, 0 if there are none
-     * @param digest digest of the rules in force, 0 if there are none
+     * @param seq sequence number of the report within the incarnation
+     * @param revision revision of the active rules, 0 without rules
+     * @param digest digest of the active rules, 0 without rules
      */
     public synchronized LedgerReport report(long life, long seq, long revision, long digest) {
         List<LedgerRow> rows = new ArrayList<>();
@@ -170,7 +170,7 @@
         return new LedgerReport(life, seq, revision, digest, endedTwice, rows);
     }
 
-    /** The invariants that a report violates; empty for a sound one. */
+    /** Returns the invariants that a report violates, empty if it is consistent. */
     public static Set<Violation> violations(LedgerReport report) {
         Set<Violation> violations = new TreeSet<>();
         if (report.endedTwice() > 0) {
--- a/src/main/java/ringspindle/routing/RequestMatcher.java
+++ b/src/main/java/ringspindle/routing/RequestMatcher.java
@@ -1,12 +1,12 @@
 package ringspindle.routing;
 
 /**
- * Which requests a rule is for. What is empty matches all.
+ * Conditions that a request must meet for a rule to apply. An empty string matches every value.
  *
- * @param path prefix of paths, as in routes
- * @param minPromptTokens least prompt tokens, included
- * @param maxPromptTokens most prompt tokens, included
- * @param homeBound whether the request must be bound to regions; null for either
+ * @param path path prefix, as in routes
+ * @param minPromptTokens minimum prompt length in tokens, inclusive
+ * @param maxPromptTokens maximum prompt length in tokens, inclusive
+ * @param homeBound whether the request must be restricted to its home regions; null matches both
  */
 public record RequestMatcher(
         String route,
@@ -19,7 +19,7 @@
     /** Matches every request. */
     public static final RequestMatcher ALL = new RequestMatcher("", "", "", "", 0, Integer.MAX_VALUE, null);
 
-    /** Whether the request matches in all respects. */
+    /** Returns whether the request meets all conditions. */
     public boolean matches(RequestAttributes request) {
         return (route.isEmpty() || route.equals(request.route()))
                 && (host.isEmpty() || host.equalsIgnoreCase(request.host()))
@@ -30,7 +30,7 @@
                 && (homeBound == null || homeBound == request.homeBound());
     }
 
-    /** Whether each request that matches the other one matches this one as well. */
+    /** Returns whether every request that matches the other matcher also matches this one. */
     public boolean covers(RequestMatcher other) {
         return (route.isEmpty() || route.equals(other.route))
                 && (host.isEmpty() || host.equalsIgnoreCase(other.host))
--- a/src/main/java/ringspindle/routing/ServingRules.java
+++ b/src/main/java/ringspindle/routing/ServingRules.java
@@ -12,13 +12,13 @@
 import ringspindle.config.Validated;
 
 /**
- * The operators' serving rules: an ordered list of which the first that matches a request applies, closed by a default
+ * Serving rules configured by operators. The first rule in the list that matches a request applies, else the default
  * rule. Immutable.
  */
 public final class ServingRules {
-    /** Most bytes of a document. */
+    /** Maximum size of a document in bytes. */
     public static final int MAX_BYTES = 64 << 10;
-    /** Name of the default rule, and the class of the requests that no other rule matches. */
+    /** Name of the default rule and class of requests that match no other rule. */
     public static final String DEFAULT_CLASS = "plain";
 
     private final JsonObject source;
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Reads a JSON document and checks it by itself. {@link ServingRulesValidator} checks its names.
+     * Parses a JSON document without external references; {@link ServingRulesValidator} checks the names in it.
      *
      * <pre>{@code
      * Validated<ServingRules> rules = ServingRules.read(Files.readAllBytes(path));
@@ -46,7 +46,7 @@
         return ServingRulesParser.parse(body);
     }
 
-    /** The rule that applies to a request. */
+    /** Returns the rule that applies to a request. */
     public ServingRule match(RequestAttributes request) {
         for (ServingRule rule : rules) {
             if (rule.match().matches(request)) {
@@ -56,17 +56,17 @@
         return defaultRule;
     }
 
-    /** Share of an engine's capacity that requests of this rule must leave to other classes, 0 to 1. */
+    /** Returns the share of an engine's capacity, 0 to 1, reserved for classes other than this rule's. */
     public double shareReservedForOthers(ServingRule rule) {
         return Math.max(0, totalShare - rule.share());
     }
 
-    /** Share of an engine's capacity that is reserved for all classes together. */
+    /** Returns the share of an engine's capacity that is reserved for all classes together. */
     double totalShare() {
         return totalShare;
     }
 
-    /** Names of the rules whose route the configuration does not have; they stay valid and never apply. */
+    /** Returns the names of rules whose route is not configured; they stay valid but never apply. */
     public List<String> rulesWithUnknownRoute(FleetConfig configuration) {
         Set<String> routes = new HashSet<>();
         configuration.routes().forEach(route -> routes.add(route.name()));
@@ -77,29 +77,29 @@
                 .toList();
     }
 
-    /** All rules in their order, the default rule last. */
+    /** Returns all rules in order, the default rule last. */
     public List<ServingRule> all() {
         List<ServingRule> all = new ArrayList<>(rules);
         all.add(defaultRule);
         return all;
     }
 
-    /** Revision of the document, 1 or more. */
+    /** Returns the revision of the document, at least 1. */
     public long revision() {
         return revision;
     }
 
-    /** The document as it was sent. */
+    /** Returns the document as received. */
     public JsonObject source() {
         return source;
     }
 
-    /** The document's bytes as they are stored and passed on. */
+    /** Returns the serialized document as stored and replicated. */
     public byte[] bytes() {
         return source.toString().getBytes(UTF_8);
     }
 
-    /** Digest of {@link #bytes}, the same for the same document on every node. */
+    /** Returns a digest of {@link #bytes}, identical on every node for the same document. */
     public long digest() {
         return Hashing.sha256().hashBytes(bytes()).asLong();
     }
--- a/src/main/java/ringspindle/routing/ServingRulesParser.java
+++ b/src/main/java/ringspindle/routing/ServingRulesParser.java
@@ -15,8 +15,8 @@
 import ringspindle.config.Validated.Valid;
 
 /**
- * Reads a document of serving rules strictly and notes each error with its place. It looks at the document alone; names of
- * routes, models and regions are the business of {@link ServingRulesValidator}.
+ * Parses a serving rules document strictly and collects each error with its path. Names of routes, models and regions
+ * are checked by {@link ServingRulesValidator}.
  */
 final class ServingRulesParser {
     private static final int MAX_WAIT_MS = 30_000;
@@ -27,14 +27,14 @@
     private static final int MAX_AFFINITY_TOKENS = 100_000_000;
     private static final double MAX_IMBALANCE = 100;
     private static final double DEFAULT_MAX_IMBALANCE = 1.5;
-    /** Shares are sums of decimal fractions. */
+    /** Allows for rounding errors when decimal shares are summed. */
     private static final double SHARE_TOLERANCE = 1e-9;
 
     private final List<ConfigError> errors = new ArrayList<>();
 
     private ServingRulesParser() {}
 
-    /** Reads a document; its errors are in the order in which they are met. */
+    /** Parses a document; errors are listed in the order in which they are found. */
     static Validated<ServingRules> parse(byte[] body) {
         if (body.length > ServingRules.MAX_BYTES) {
             return Validated.refused(new ConfigError.TooLong(body.length, ServingRules.MAX_BYTES));
@@ -133,7 +133,7 @@
                 homeBound);
     }
 
-    /** Null if the rule is for requests that are bound to regions as well as for others. */
+    /** Returns null if the rule applies whether or not a request is restricted to home regions. */
     private static Boolean parseHomeBound(JsonFields match) {
         JsonValue value = match.value("home");
         if (value == null) {
@@ -180,7 +180,7 @@
         };
     }
 
-    /** Fallback targets, whose waits together may be no longer than the class waits. */
+    /** Parses fallback targets; the sum of their waits must not exceed the class's wait. */
     private List<FallbackTarget> parseFallbackTargets(JsonFields rule, String key, int classWaitMs) {
         List<JsonValue> list = rule.array(key);
         List<FallbackTarget> targets = new ArrayList<>();
--- a/src/main/java/ringspindle/routing/ServingRulesValidator.java
+++ b/src/main/java/ringspindle/routing/ServingRulesValidator.java
@@ -9,7 +9,7 @@
 import ringspindle.config.ConfigError;
 import ringspindle.config.FleetConfig;
 
-/** Checks the names in serving rules against the configuration and the regions of the fleet. */
+/** Validates the names in serving rules against the fleet configuration and the known regions. */
 public final class ServingRulesValidator {
     private final List<ConfigError> errors = new ArrayList<>();
     private final FleetConfig configuration;
@@ -21,10 +21,10 @@
     }
 
     /**
-     * What does not fit, in the order of the rules; empty if all fits.
+     * Returns the errors in rule order, empty if there are none.
      *
-     * @param configuration its routes and models are looked at; null if there is none yet, and then neither is checked
-     * @param regions the regions that there are; empty if they are not known, and then they are not checked
+     * @param configuration source of routes and models; if null, as before the first configuration, neither is checked
+     * @param regions existing regions; if empty, as while they are unknown, regions are not checked
      */
     public static List<ConfigError> validate(ServingRules rules, FleetConfig configuration, Set<String> regions) {
         ServingRulesValidator validator = new ServingRulesValidator(configuration, regions);
--- a/src/test/java/ringspindle/routing/RandomRulesDocument.java
+++ b/src/test/java/ringspindle/routing/RandomRulesDocument.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** Documents of serving rules as an operator may get them right or wrong, drawn from a seed. */
+/** Generates valid and invalid serving rules documents from a seed. */
 final class RandomRulesDocument {
     private final Random random;
 
@@ -12,7 +12,7 @@
         random = new Random(seed);
     }
 
-    /** The next document; about one value in sixty is wrong. */
+    /** Returns the next document; about one in sixty values is invalid. */
     String next() {
         List<String> fields = new ArrayList<>();
         addField(fields, 95, "revision", validOrInvalid("3", "\"1\"", "0", "1.5", "1e30", "null"));
--- a/src/test/java/ringspindle/routing/RequestLedgerTest.java
+++ b/src/test/java/ringspindle/routing/RequestLedgerTest.java
@@ -14,7 +14,7 @@
 import ringspindle.retry.TerminalEvent;
 import ringspindle.routing.RequestLedger.Violation;
 
-/** The laws hold on sound histories, and each broken one shows. */
+/** The ledger reports no violation for consistent histories and detects each kind of violation. */
 class RequestLedgerTest {
     private static TerminalEvent terminalEvent(String id, CancelCause cause) {
         return new TerminalEvent(
--- a/src/test/java/ringspindle/routing/RulesDocumentsTest.java
+++ b/src/test/java/ringspindle/routing/RulesDocumentsTest.java
@@ -17,8 +17,9 @@
 import ringspindle.config.Validated;
 
 /**
- * Pins what is read from seeded documents, right and wrong ones: the texts of all errors in their order, and which rule
- * applies to which request. The expected lines were recorded before the parser became a class of its own.
+ * Compares the parsing of seeded valid and invalid documents with recorded hashes: the texts of all errors in order,
+ * and the rule that applies to each request. The hashes were recorded before the parser was extracted into its own
+ * class and guard against changes in its behavior.
  */
 class RulesDocumentsTest {
     private static final String EXPECTED = "/ringspindle/routing/rules-documents.txt";
--- a/src/test/java/ringspindle/routing/ServingRulesTest.java
+++ b/src/test/java/ringspindle/routing/ServingRulesTest.java
@@ -15,7 +15,7 @@
 import ringspindle.config.FleetConfig;
 import ringspindle.config.Validated;
 
-/** Serving rules as operators write them: the first that fits wins, and what is wrong is refused with its place. */
+/** Serving rules: the first match applies, and invalid documents are rejected with the path of each error. */
 class ServingRulesTest {
     static final String VALID_DOCUMENT = """
             {"revision": 3,
@@ -68,14 +68,17 @@
                 0.5,
                 rules.shareReservedForOthers(rules.match(request("", 17_000, true))),
                 1e-9,
-                "what digests leave to questions");
+                "share that digests must leave to questions");
         assertEquals(0.75, rules.shareReservedForOthers(rules.match(request("other", 3, false))), 1e-9);
         assertEquals(
                 List.of(
                         new FallbackTarget(FallbackTarget.Scope.REGION, List.of(), 0),
                         new FallbackTarget(FallbackTarget.Scope.REGIONS, List.of("srt"), 0)),
                 rules.all().get(0).whenUnavailable());
-        assertEquals(rules.digest(), read(new String(rules.bytes(), UTF_8)).digest(), "the same after a round trip");
+        assertEquals(
+                rules.digest(),
+                read(new String(rules.bytes(), UTF_8)).digest(),
+                "digest must be unchanged after a round trip");
     }
 
     @Test
@@ -90,13 +93,15 @@
                 Affinity.defaultKey(prefix).hash(),
                 Affinity.defaultKey(otherPrefix).hash());
         assertEquals(
-                1210, firstPartAffinity.key(prefix).sharedTokens(), "all that is shared is still read again elsewhere");
-        assertEquals(0, Affinity.defaultKey("a:999,b:5").hash(), "short heads are held by nobody");
+                1210,
+                firstPartAffinity.key(prefix).sharedTokens(),
+                "another engine recomputes all shared tokens, compared or not");
+        assertEquals(0, Affinity.defaultKey("a:999,b:5").hash(), "a prefix below the minimum length has no affinity");
         assertNotEquals(0, Affinity.defaultKey("a:1000,b:5").hash());
         assertEquals(
                 new Affinity(Affinity.Basis.PROMPT, 64, 800, 1.5).key(prefix).hash(),
                 firstPartAffinity.key(prefix).hash(),
-                "no part that begins behind 800");
+                "parts that start after 800 tokens are not compared");
         Affinity sessionAffinity = new Affinity(Affinity.Basis.SESSION, 64, Integer.MAX_VALUE, 1.5);
         assertEquals(
                 sessionAffinity.key("x:1,s:9").hash(),
@@ -188,7 +193,7 @@
         assertEquals(List.of("a"), read(unknownNames).rulesWithUnknownRoute(config()));
     }
 
-    /** A client may send any prefix; one without parts belongs to no session and shares nothing. */
+    /** A client may send any prefix; one without parts has no session and shares nothing. */
     @Test
     void prefixWithoutPartsHasNoKeyOnAnyBasis() {
         for (Affinity.Basis basis : Affinity.Basis.values()) {
