--- a/src/main/java/ringspindle/dataplane/JobCaller.java
+++ b/src/main/java/ringspindle/dataplane/JobCaller.java
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public boolean isOpen() {
+    public boolean isAvailable() {
         synchronized (lock) {
             return !leaders.isEmpty();
         }
--- a/src/main/java/ringspindle/dataplane/QuotaCaller.java
+++ b/src/main/java/ringspindle/dataplane/QuotaCaller.java
@@ -24,7 +24,7 @@
     private final Mesh mesh;
     private final Executor pool;
     private final MonotonicClock clock;
-    private final TenantTokens<Answer> tokens = new TenantTokens<>();
+    private final TenantTokens<AdmissionListener> tokens = new TenantTokens<>();
     private final ControlPeers controlNodes = new ControlPeers();
 
     QuotaCaller(NodeId me, Mesh mesh, Executor pool, MonotonicClock clock) {
@@ -35,9 +35,9 @@
     }
 
     @Override
-    public void admit(Tenant tenant, Answer answer) {
+    public void admit(Tenant tenant, AdmissionListener answer) {
         if (!tenant.isLimited()) {
-            answer.granted();
+            answer.onAdmitted();
             return;
         }
         boolean atHand;
@@ -47,7 +47,7 @@
             askIfDue(nowMs);
         }
         if (atHand) {
-            answer.granted();
+            answer.onAdmitted();
         }
     }
 
@@ -60,17 +60,17 @@
                 .ifPresent(node -> mesh.send(node, new QuotaAsk(me, tokens.seq() + 1, tokens.ask(nowMs))));
     }
 
-    private void tell(List<TenantTokens.Told<Answer>> told) {
-        for (TenantTokens.Told<Answer> each : told) {
+    private void tell(List<TenantTokens.Told<AdmissionListener>> told) {
+        for (TenantTokens.Told<AdmissionListener> each : told) {
             pool.execute(() -> tell(each));
         }
     }
 
-    private static void tell(TenantTokens.Told<Answer> told) {
+    private static void tell(TenantTokens.Told<AdmissionListener> told) {
         switch (told.verdict()) {
-            case GRANTED -> told.waiter().granted();
-            case OVER_QUOTA -> told.waiter().overQuota(told.retryAfterMs());
-            case UNKNOWN -> told.waiter().unknown();
+            case GRANTED -> told.waiter().onAdmitted();
+            case OVER_QUOTA -> told.waiter().onOverQuota(told.retryAfterMs());
+            case UNKNOWN -> told.waiter().onUnavailable();
         }
     }
 
--- a/src/main/java/ringspindle/proxy/JobAdmission.java
+++ b/src/main/java/ringspindle/proxy/JobAdmission.java
@@ -87,7 +87,7 @@
     /** Passes a job on that came whole on a batch route. */
     void submit(Arrival arrival, byte[] body) {
         Exchange exchange = new Exchange(arrival.client(), Outcome.UNCONFIRMED);
-        if (!proxy.services().jobs().isOpen()) {
+        if (!proxy.services().jobs().isAvailable()) {
             arrival.client().respond(Outcome.NO_BATCHES, RETRY_AFTER_MS, proxy.isLeaving());
             return;
         }
@@ -133,7 +133,7 @@
         if (path.isEmpty()) {
             return false;
         }
-        if (!proxy.services().jobs().isOpen()) {
+        if (!proxy.services().jobs().isAvailable()) {
             boolean mayBeThere = !configuration.batchRoutes(host(request)).isEmpty();
             if (mayBeThere) {
                 client.respond(Outcome.UNCLEAR, RETRY_AFTER_MS, proxy.isLeaving());
--- a/src/main/java/ringspindle/proxy/JobGateway.java
+++ b/src/main/java/ringspindle/proxy/JobGateway.java
@@ -9,7 +9,7 @@
     /** Nobody keeps batch jobs. */
     JobGateway NONE = new JobGateway() {
         @Override
-        public boolean isOpen() {
+        public boolean isAvailable() {
             return false;
         }
 
@@ -20,7 +20,7 @@
     };
 
     /** True once it is known who keeps batch jobs. */
-    boolean isOpen();
+    boolean isAvailable();
 
     /**
      * Passes a call to whoever leads its shard, again to the next one if that changes. The reply comes once, on a thread of the
--- a/src/main/java/ringspindle/proxy/QuotaWait.java
+++ b/src/main/java/ringspindle/proxy/QuotaCheck.java
@@ -8,7 +8,7 @@
  * A request that counts as active and waits for leave of its tenant's quota. It goes on, or is refused, once: whichever of the
  * answer and the node's end comes first.
  */
-final class QuotaWait implements QuotaGateway.Answer, ActiveRequests.Cancellable {
+final class QuotaCheck implements QuotaGateway.AdmissionListener, ActiveRequests.Cancellable {
     /** Default: when a client may come back whose request could not be counted. */
     private static final int UNKNOWN_RETRY_MS = 300;
 
@@ -19,7 +19,7 @@
     private final String id;
     private final AtomicBoolean over = new AtomicBoolean();
 
-    QuotaWait(ProxyHandler proxy, ActiveRequests active, Arrival arrival, Runnable granted) {
+    QuotaCheck(ProxyHandler proxy, ActiveRequests active, Arrival arrival, Runnable granted) {
         this.proxy = proxy;
         this.active = active;
         this.arrival = arrival;
@@ -27,13 +27,13 @@
         id = "quota-" + proxy.nextActionId();
     }
 
-    void ask(Tenant tenant) {
+    void start(Tenant tenant) {
         active.track(id, this);
         proxy.services().quotas().admit(tenant, this);
     }
 
     @Override
-    public void granted() {
+    public void onAdmitted() {
         if (over.compareAndSet(false, true)) {
             active.untrack(id);
             granted.run();
@@ -41,12 +41,12 @@
     }
 
     @Override
-    public void overQuota(int retryAfterMs) {
+    public void onOverQuota(int retryAfterMs) {
         refuse(Outcome.OVER_QUOTA, retryAfterMs);
     }
 
     @Override
-    public void unknown() {
+    public void onUnavailable() {
         refuse(Outcome.UNCLEAR, UNKNOWN_RETRY_MS);
     }
 
--- a/src/main/java/ringspindle/proxy/RequestAdmission.java
+++ b/src/main/java/ringspindle/proxy/RequestAdmission.java
@@ -154,7 +154,7 @@
             return;
         }
         if (arrival.identity() instanceof Identity.Known known && known.tenant().isLimited()) {
-            new QuotaWait(proxy, active, arrival, () -> begin(arrival, body)).ask(known.tenant());
+            new QuotaCheck(proxy, active, arrival, () -> begin(arrival, body)).start(known.tenant());
         } else {
             begin(arrival, body);
         }
