--- a/src/main/java/ringspindle/proxy/ItemAttempt.java
+++ b/src/main/java/ringspindle/proxy/ItemAttempt.java
@@ -20,8 +20,8 @@
     private final EventSplitter events = new EventSplitter();
     private final boolean resumes;
     private Request engineRequest;
-    private Response head;
-    private ResponseKind kind;
+    private Response responseHead;
+    private ResponseKind responseKind;
 
     ItemAttempt(
             ItemClient client,
@@ -34,7 +34,7 @@
         this.engine = engine;
         connection = new AttemptConnection(client.connections());
         timing = new AttemptTiming(client.nowMs());
-        resumes = call.text().hasEvents();
+        resumes = call.output().hasEvents();
     }
 
     void start() {
@@ -45,8 +45,8 @@
     public void onAcquireFailed(EngineConnectionPool.Failure failure) {
         synchronized (call) {
             if (call.isCurrent(this)) {
-                boolean full = failure == EngineConnectionPool.Failure.LIMIT_REACHED;
-                fail(full ? AttemptOutcome.NOT_RUN : AttemptOutcome.NOT_SENT);
+                boolean limitReached = failure == EngineConnectionPool.Failure.LIMIT_REACHED;
+                fail(limitReached ? AttemptOutcome.NOT_RUN : AttemptOutcome.NOT_SENT);
             }
         }
     }
@@ -64,7 +64,7 @@
                     call.item(),
                     engine.address(),
                     engine.id(),
-                    resumes ? call.text().position() : null);
+                    resumes ? call.output().position() : null);
             connection.attach(acquired, engineRequest);
             timing.onSent(nowMs);
             client.loadBalancer().onRequestSent(engine.id(), nowMs);
@@ -79,23 +79,23 @@
                 return;
             }
             long nowMs = client.nowMs();
-            head = response;
+            responseHead = response;
             timing.onActivity(nowMs);
             if (ResponseKind.isUnattributable(response, call.item().attemptId())) {
                 fail(AttemptOutcome.BROKEN);
                 return;
             }
             client.loadBalancer().onResponseBytes(engine.id(), nowMs);
-            kind = ResponseKind.of(response, engine.id());
-            if (kind == ResponseKind.SUCCESS) {
-                begin(response.getHeaders());
+            responseKind = ResponseKind.of(response, engine.id());
+            if (responseKind == ResponseKind.SUCCESS) {
+                startStream(response.getHeaders());
             }
         }
     }
 
-    private void begin(HttpFields fields) {
-        String weights = fields.get(Headers.WEIGHT_VERSIONS);
-        StreamPosition position = call.text().position();
+    private void startStream(HttpFields headers) {
+        String weights = headers.get(Headers.WEIGHT_VERSIONS);
+        StreamPosition position = call.output().position();
         if (!resumes) {
             position.recordWeightVersion(weights);
         } else if (!position.isCompatibleWith(weights)) {
@@ -112,16 +112,16 @@
             long nowMs = client.nowMs();
             timing.onBodyBytes(nowMs);
             client.loadBalancer().onResponseBytes(engine.id(), nowMs);
-            if (kind == ResponseKind.SUCCESS && !takeEvents(content)) {
+            if (responseKind == ResponseKind.SUCCESS && !appendEvents(content)) {
                 fail(AttemptOutcome.BROKEN);
             }
         }
     }
 
-    private boolean takeEvents(ByteBuffer content) {
+    private boolean appendEvents(ByteBuffer content) {
         try {
             for (StreamEvent event : events.feed(content)) {
-                if (!call.text().add(event)) {
+                if (!call.output().append(event)) {
                     return false;
                 }
             }
@@ -137,8 +137,8 @@
             if (!call.isCurrent(this)) {
                 return;
             }
-            if (result.isFailed() || kind == null) {
-                if (head == null) {
+            if (result.isFailed() || responseKind == null) {
+                if (responseHead == null) {
                     connection.recordIfStale(timing, client.nowMs());
                 }
                 fail(AttemptOutcome.BROKEN);
@@ -149,31 +149,31 @@
     }
 
     private void complete() {
-        switch (kind) {
+        switch (responseKind) {
             case SUCCESS -> {
-                if (events.hasPartialEvent() || !call.text().hasEvents()) {
+                if (events.hasPartialEvent() || !call.output().hasEvents()) {
                     fail(AttemptOutcome.BROKEN);
                     return;
                 }
-                connection.release(head.getHeaders());
+                connection.release(responseHead.getHeaders());
                 end(AttemptOutcome.ANSWERED);
                 call.onCompleted();
             }
             case FAILURE -> {
-                connection.release(head.getHeaders());
+                connection.release(responseHead.getHeaders());
                 end(AttemptOutcome.FAILED);
-                call.onEngineFailure(engine.id(), head.getStatus());
+                call.onEngineFailure(engine.id(), responseHead.getStatus());
             }
             case NOT_RUN, MISDIRECTED -> {
-                connection.release(head.getHeaders());
-                fail(kind.attemptOutcome().orElseThrow());
+                connection.release(responseHead.getHeaders());
+                fail(responseKind.attemptOutcome().orElseThrow());
             }
             case BROKEN -> fail(AttemptOutcome.BROKEN);
         }
     }
 
     void checkSilence(long nowMs) {
-        if (nowMs - timing.lastActivityMs() > ItemClient.SILENCE_MS) {
+        if (nowMs - timing.lastActivityMs() > ItemClient.SILENCE_TIMEOUT_MS) {
             fail(AttemptOutcome.ATTEMPT_TIMEOUT);
         }
     }
--- a/src/main/java/ringspindle/proxy/ItemCall.java
+++ b/src/main/java/ringspindle/proxy/ItemCall.java
@@ -19,23 +19,23 @@
     /** An item goes to so many engines at most before it is given back. */
     private static final int ATTEMPTS_MAX = 4;
     /** While a stream waits for an engine that goes on with it, so often is one looked for, and with this pause. */
-    private static final int CAPACITY_WAITS_MAX = 20;
+    private static final int CAPACITY_RETRIES_MAX = 20;
 
-    private static final int CAPACITY_WAIT_MS = 100;
+    private static final int CAPACITY_RETRY_DELAY_MS = 100;
 
-    private static final byte[] NO_TEXT = {};
+    private static final byte[] NO_OUTPUT = {};
 
     private final ItemClient client;
     private final ItemClient.Item item;
     private final ItemClient.Listener listener;
     private final Affinity.Key affinity;
-    private final int ownTokens;
+    private final int uncachedTokens;
     private final int outputTokens;
     private final Set<String> attemptedEngines = new HashSet<>();
-    private ItemText text = new ItemText();
+    private ItemOutput output = new ItemOutput();
     private ItemAttempt attempt;
-    private int attempts;
-    private int capacityWaits;
+    private int attemptCount;
+    private int capacityRetries;
     private boolean ended;
 
     ItemCall(ItemClient client, ItemClient.Item item, ItemClient.Listener listener) {
@@ -46,21 +46,21 @@
         String prefix = headers.get(Headers.PROMPT_PREFIX);
         affinity = Affinity.defaultKey(prefix == null ? "" : prefix);
         TokenCounts tokens = TokenCounts.of(headers);
-        ownTokens = Math.max(0, tokens.prompt() - affinity.sharedTokens());
+        uncachedTokens = Math.max(0, tokens.prompt() - affinity.sharedTokens());
         outputTokens = tokens.output();
     }
 
     /** Begins to run the item. */
     public synchronized void begin() {
-        next();
+        startNextAttempt();
     }
 
     /** Selects an engine and sends; the monitor is held. */
-    private void next() {
+    private void startNextAttempt() {
         if (ended) {
             return;
         }
-        if (attempts >= ATTEMPTS_MAX) {
+        if (attemptCount >= ATTEMPTS_MAX) {
             end(ItemOutcome.BROKEN);
             return;
         }
@@ -68,14 +68,14 @@
         LoadBalancer.SelectionRequest request = selectionRequest();
         LoadBalancer.Selection selection = client.loadBalancer().select(request, nowMs);
         if (selection instanceof LoadBalancer.SelectedEngine engine) {
-            attempts++;
+            attemptCount++;
             attempt = new ItemAttempt(client, this, request, engine);
             attempt.start();
-        } else if (text.hasEvents() && capacityWaits < CAPACITY_WAITS_MAX) {
-            capacityWaits++;
-            client.schedule(this::begin, CAPACITY_WAIT_MS);
+        } else if (output.hasEvents() && capacityRetries < CAPACITY_RETRIES_MAX) {
+            capacityRetries++;
+            client.schedule(this::begin, CAPACITY_RETRY_DELAY_MS);
         } else {
-            end(text.hasEvents() ? ItemOutcome.BROKEN : ItemOutcome.NO_CAPACITY);
+            end(output.hasEvents() ? ItemOutcome.BROKEN : ItemOutcome.NO_CAPACITY);
         }
     }
 
@@ -88,10 +88,10 @@
                 item.route().allowedRegions(),
                 affinity.hash(),
                 affinity.sharedTokens(),
-                ownTokens,
+                uncachedTokens,
                 outputTokens,
                 Set.copyOf(attemptedEngines),
-                text.position().weightVersion(),
+                output.position().weightVersion(),
                 client.nextRandom(),
                 preference,
                 CostWeights.DEFAULT);
@@ -103,8 +103,8 @@
         return item;
     }
 
-    ItemText text() {
-        return text;
+    ItemOutput output() {
+        return output;
     }
 
     boolean isCurrent(ItemAttempt other) {
@@ -131,17 +131,17 @@
     void onAttemptFailed(String engineId, AttemptOutcome outcome) {
         attemptedEngines.add(engineId);
         attempt = null;
-        if (!outcome.notRun() && !text.position().isResumable()) {
-            text = new ItemText();
+        if (!outcome.notRun() && !output.position().isResumable()) {
+            output = new ItemOutput();
         }
-        next();
+        startNextAttempt();
     }
 
     private void end(ItemOutcome outcome) {
         ended = true;
         attempt = null;
-        byte[] output = outcome == ItemOutcome.COMPLETED ? text.toByteArray() : NO_TEXT;
-        client.onEnded(this, () -> listener.ended(outcome, output));
+        byte[] outputBytes = outcome == ItemOutcome.COMPLETED ? output.toByteArray() : NO_OUTPUT;
+        client.onEnded(this, () -> listener.onEnded(outcome, outputBytes));
     }
 
     // ---- from outside
--- a/src/main/java/ringspindle/proxy/ItemClient.java
+++ b/src/main/java/ringspindle/proxy/ItemClient.java
@@ -21,13 +21,13 @@
  *
  * <pre>{@code
  * ItemClient client = ItemClient.start(loadBalancer, pool, scheduler, clock);
- * ItemCall call = client.create(item, (outcome, text) -> ...);
+ * ItemCall call = client.create(item, (outcome, output) -> ...);
  * call.begin();
  * }</pre>
  */
 public final class ItemClient implements EngineMaintenance {
     /** An engine that says nothing for so long is given up. */
-    static final int SILENCE_MS = 3000;
+    static final int SILENCE_TIMEOUT_MS = 3000;
 
     /**
      * An item that is to run.
@@ -52,9 +52,9 @@
         /**
          * The item has ended.
          *
-         * @param text the data of all events, joined by line feeds, if it was completed; else empty
+         * @param output the data of all events, joined by line feeds, if it was completed; else empty
          */
-        void ended(ItemOutcome outcome, byte[] text);
+        void onEnded(ItemOutcome outcome, byte[] output);
     }
 
     private final HttpClient engineClient;
@@ -65,7 +65,7 @@
     private final Scheduler scheduler;
     private final MonotonicClock clock;
     private volatile double reservedShare = BatchSettings.DEFAULT.reservedShare();
-    private final Set<ItemCall> active = ConcurrentHashMap.newKeySet();
+    private final Set<ItemCall> activeCalls = ConcurrentHashMap.newKeySet();
 
     private ItemClient(
             HttpClient engineClient,
@@ -105,14 +105,14 @@
     /** A call that runs an item once it is told to begin. */
     public ItemCall create(Item item, Listener listener) {
         ItemCall call = new ItemCall(this, item, listener);
-        active.add(call);
+        activeCalls.add(call);
         return call;
     }
 
     @Override
     public void tick() {
         long nowMs = clock.nowMs();
-        active.forEach(call -> call.checkSilence(nowMs));
+        activeCalls.forEach(call -> call.checkSilence(nowMs));
     }
 
     @Override
@@ -132,7 +132,7 @@
 
     @Override
     public int active() {
-        return active.size();
+        return activeCalls.size();
     }
 
     // ---- for calls
@@ -157,17 +157,17 @@
         return ThreadLocalRandom.current().nextLong();
     }
 
-    void schedule(Runnable task, long inMs) {
-        scheduler.schedule(() -> pool.execute(task), inMs, TimeUnit.MILLISECONDS);
+    void schedule(Runnable task, long delayMs) {
+        scheduler.schedule(() -> pool.execute(task), delayMs, TimeUnit.MILLISECONDS);
     }
 
     /** A call is over; its listener is told with no lock held. */
     void onEnded(ItemCall call, Runnable notification) {
-        active.remove(call);
+        activeCalls.remove(call);
         pool.execute(notification);
     }
 
     void onCancelled(ItemCall call) {
-        active.remove(call);
+        activeCalls.remove(call);
     }
 }
--- a/src/main/java/ringspindle/proxy/ItemText.java
+++ b/src/main/java/ringspindle/proxy/ItemOutput.java
@@ -4,11 +4,11 @@
 import java.nio.charset.StandardCharsets;
 
 /** The output of an item as far as it has come, over all engines that went on with it. Not thread safe. */
-final class ItemText {
+final class ItemOutput {
     private static final String DATA_FIELD = "data:";
 
     private final StreamPosition position = StreamPosition.after(null);
-    private final ByteArrayOutputStream text = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private boolean hasEvents;
 
     /** How far it has come. */
@@ -21,30 +21,30 @@
     }
 
     /** Adds an event's data behind a line feed; false if the event does not follow. */
-    boolean add(StreamEvent event) {
+    boolean append(StreamEvent event) {
         if (!position.advance(event)) {
             return false;
         }
-        String lines = new String(event.bytes(), StandardCharsets.ISO_8859_1);
-        for (String line : lines.split("\r?\n")) {
+        String eventText = new String(event.bytes(), StandardCharsets.ISO_8859_1);
+        for (String line : eventText.split("\r?\n")) {
             if (line.startsWith(DATA_FIELD)) {
-                append(line.substring(DATA_FIELD.length()));
+                appendLine(line.substring(DATA_FIELD.length()));
             }
         }
         return true;
     }
 
     /** One space behind the colon belongs to the form of events. */
-    private void append(String data) {
+    private void appendLine(String data) {
         if (hasEvents) {
-            text.write('\n');
+            bytes.write('\n');
         }
         hasEvents = true;
-        String plain = data.startsWith(" ") ? data.substring(1) : data;
-        text.writeBytes(plain.getBytes(StandardCharsets.ISO_8859_1));
+        String value = data.startsWith(" ") ? data.substring(1) : data;
+        bytes.writeBytes(value.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     byte[] toByteArray() {
-        return text.toByteArray();
+        return bytes.toByteArray();
     }
 }
--- a/src/main/java/ringspindle/proxy/JobAdmission.java
+++ b/src/main/java/ringspindle/proxy/JobAdmission.java
@@ -22,11 +22,11 @@
  */
 final class JobAdmission {
     /** Default: for how long a submission or an end waits for its leader. */
-    private static final int CHANGE_MS = 4000;
+    private static final int WRITE_TIMEOUT_MS = 4000;
     /** Default: for how long a reading does, beside what the client allows it to be held. */
-    private static final int READ_MS = 1200;
+    private static final int READ_TIMEOUT_MS = 1200;
     /** The longest that a reading is held for a result. */
-    private static final int HELD_MAX_MS = 2000;
+    private static final int POLL_WAIT_MAX_MS = 2000;
     /** Default: when a client that was refused may come back. */
     private static final int RETRY_AFTER_MS = 400;
 
@@ -47,11 +47,11 @@
         private final String actionId = proxy.nextActionId();
         private final ClientResponse client;
         private final AtomicBoolean ended = new AtomicBoolean();
-        private final Outcome ifCut;
+        private final Outcome indeterminateOutcome;
 
-        Exchange(ClientResponse client, Outcome ifCut) {
+        Exchange(ClientResponse client, Outcome indeterminateOutcome) {
             this.client = client;
-            this.ifCut = ifCut;
+            this.indeterminateOutcome = indeterminateOutcome;
         }
 
         /** False if the node ends. */
@@ -71,16 +71,16 @@
             }
         }
 
-        void respond(String type, byte[] body) {
+        void respond(String contentType, byte[] body) {
             if (ended.compareAndSet(false, true)) {
                 active.end(actionId);
-                client.respond(type, body, proxy.isLeaving());
+                client.respond(contentType, body, proxy.isLeaving());
             }
         }
 
         @Override
         public void onNodeEnds() {
-            respond(ifCut);
+            respond(indeterminateOutcome);
         }
     }
 
@@ -108,10 +108,12 @@
                 host(arrival.request()),
                 tenant,
                 body);
-        proxy.services().jobs().call(call, CHANGE_MS, (status, reply) -> exchange.respond(submitted(status)));
+        proxy.services()
+                .jobs()
+                .call(call, WRITE_TIMEOUT_MS, (status, reply) -> exchange.respond(submissionOutcome(status)));
     }
 
-    private static Outcome submitted(JobStatus status) {
+    private static Outcome submissionOutcome(JobStatus status) {
         return switch (status) {
             case DONE -> Outcome.ACCEPTED;
             case INVALID -> Outcome.INVALID;
@@ -134,25 +136,25 @@
             return false;
         }
         if (!proxy.services().jobs().isAvailable()) {
-            boolean mayBeThere = !configuration.batchRoutes(host(request)).isEmpty();
-            if (mayBeThere) {
+            boolean hasBatchRoutes = !configuration.batchRoutes(host(request)).isEmpty();
+            if (hasBatchRoutes) {
                 client.respond(Outcome.UNCLEAR, RETRY_AFTER_MS, proxy.isLeaving());
             }
-            return mayBeThere;
+            return hasBatchRoutes;
         }
-        Optional<JobCallKind> kind = kind(request.getMethod(), path.get());
+        Optional<JobCallKind> kind = callKind(request.getMethod(), path.get());
         if (kind.isEmpty()) {
             client.respond(Outcome.NO_SUCH, 0, proxy.isLeaving());
             return true;
         }
         Exchange exchange = new Exchange(client, kind.get() == JobCallKind.END ? Outcome.UNCONFIRMED : Outcome.UNCLEAR);
         if (exchange.begin()) {
-            new Search(exchange, kind.get(), path.get(), request, configuration).next();
+            new ShardSearch(exchange, kind.get(), path.get(), request, configuration).queryNextShard();
         }
         return true;
     }
 
-    private static Optional<JobCallKind> kind(String method, JobPath path) {
+    private static Optional<JobCallKind> callKind(String method, JobPath path) {
         if (HttpMethod.GET.is(method)) {
             return Optional.of(path.isItem() ? JobCallKind.ITEM : JobCallKind.RESULTS);
         }
@@ -160,56 +162,57 @@
     }
 
     /** Asks the shards that may keep a job, the likely ones first, until one knows it. */
-    private final class Search {
+    private final class ShardSearch {
         private final Exchange exchange;
         private final JobCallKind kind;
         private final JobPath path;
         private final long position;
-        private final String item;
-        private final int waitMs;
+        private final String itemId;
+        private final int pollWaitMs;
         private final Iterator<Integer> shards;
 
-        Search(Exchange exchange, JobCallKind kind, JobPath path, Request request, FleetConfig configuration) {
+        ShardSearch(Exchange exchange, JobCallKind kind, JobPath path, Request request, FleetConfig configuration) {
             this.exchange = exchange;
             this.kind = kind;
             this.path = path;
             Fields query = Request.extractQueryParameters(request);
-            position = number(query.getValue("afterRevision"));
-            String named = query.getValue("instanceId");
-            item = named == null ? "" : named;
-            waitMs = (int) Math.min(HELD_MAX_MS, number(request.getHeaders().get(Headers.POLL_WAIT_MS)));
-            Set<Integer> order = new LinkedHashSet<>();
+            position = parseNonNegative(query.getValue("afterRevision"));
+            String instanceId = query.getValue("instanceId");
+            itemId = instanceId == null ? "" : instanceId;
+            pollWaitMs = (int) Math.min(
+                    POLL_WAIT_MAX_MS, parseNonNegative(request.getHeaders().get(Headers.POLL_WAIT_MS)));
+            Set<Integer> searchOrder = new LinkedHashSet<>();
             configuration
                     .batchRoutes(host(request))
-                    .forEach(route -> order.add(ShardAssignment.shardOf("", route.name())));
+                    .forEach(route -> searchOrder.add(ShardAssignment.shardOf("", route.name())));
             for (int shard = 0; shard < ShardAssignment.SHARDS; shard++) {
-                order.add(shard);
+                searchOrder.add(shard);
             }
-            shards = order.iterator();
+            shards = searchOrder.iterator();
         }
 
-        void next() {
+        void queryNextShard() {
             if (!shards.hasNext()) {
                 exchange.respond(Outcome.NO_SUCH);
                 return;
             }
-            JobCall call =
-                    new JobCall(0, kind.code(), shards.next(), position, waitMs, path.id(), item, "", "", "", NO_BODY);
-            int timeLimitMs = kind == JobCallKind.END ? CHANGE_MS : READ_MS + waitMs;
-            proxy.services().jobs().call(call, timeLimitMs, this::replied);
+            JobCall call = new JobCall(
+                    0, kind.code(), shards.next(), position, pollWaitMs, path.id(), itemId, "", "", "", NO_BODY);
+            int timeoutMs = kind == JobCallKind.END ? WRITE_TIMEOUT_MS : READ_TIMEOUT_MS + pollWaitMs;
+            proxy.services().jobs().call(call, timeoutMs, this::onReply);
         }
 
-        private void replied(JobStatus status, byte[] body) {
+        private void onReply(JobStatus status, byte[] body) {
             switch (status) {
                 case DONE -> exchange.respond(kind == JobCallKind.ITEM ? BYTES_TYPE : JSON_TYPE, body);
-                case NO_SUCH -> next();
-                default -> exchange.respond(exchange.ifCut);
+                case NO_SUCH -> queryNextShard();
+                default -> exchange.respond(exchange.indeterminateOutcome);
             }
         }
     }
 
     /** A number of 0 or more; 0 if there is none. */
-    private static long number(String text) {
+    private static long parseNonNegative(String text) {
         try {
             return text == null ? 0 : Math.max(0, Long.parseLong(text.trim()));
         } catch (NumberFormatException notANumber) {
--- a/src/main/java/ringspindle/proxy/JobGateway.java
+++ b/src/main/java/ringspindle/proxy/JobGateway.java
@@ -14,7 +14,7 @@
         }
 
         @Override
-        public void call(JobCall call, long timeLimitMs, BiConsumer<JobStatus, byte[]> reply) {
+        public void call(JobCall call, long timeoutMs, BiConsumer<JobStatus, byte[]> reply) {
             reply.accept(JobStatus.NOT_LEADER, new byte[0]);
         }
     };
@@ -27,7 +27,7 @@
      * pool: {@link JobStatus#NOT_LEADER} if nothing can have been done, {@link JobStatus#UNCLEAR} if nobody can tell.
      *
      * @param call with any id
-     * @param timeLimitMs for how long an answer is waited for
+     * @param timeoutMs for how long an answer is waited for
      */
-    void call(JobCall call, long timeLimitMs, BiConsumer<JobStatus, byte[]> reply);
+    void call(JobCall call, long timeoutMs, BiConsumer<JobStatus, byte[]> reply);
 }
--- a/src/main/java/ringspindle/proxy/JobPath.java
+++ b/src/main/java/ringspindle/proxy/JobPath.java
@@ -8,15 +8,15 @@
  * @param isItem the call is about an item
  */
 record JobPath(String id, boolean isItem) {
-    private static final String JOBS = "/ringspindle/lots/";
-    private static final String ITEMS = "/ringspindle/items/";
+    private static final String JOBS_PREFIX = "/ringspindle/lots/";
+    private static final String ITEMS_PREFIX = "/ringspindle/items/";
 
     /** Reads a path; empty for any other one. */
     static Optional<JobPath> of(String path) {
-        if (path.startsWith(JOBS)) {
-            return of(path.substring(JOBS.length()), false);
+        if (path.startsWith(JOBS_PREFIX)) {
+            return of(path.substring(JOBS_PREFIX.length()), false);
         }
-        return path.startsWith(ITEMS) ? of(path.substring(ITEMS.length()), true) : Optional.empty();
+        return path.startsWith(ITEMS_PREFIX) ? of(path.substring(ITEMS_PREFIX.length()), true) : Optional.empty();
     }
 
     private static Optional<JobPath> of(String id, boolean isItem) {
--- a/src/main/java/ringspindle/proxy/QuotaCheck.java
+++ b/src/main/java/ringspindle/proxy/QuotaCheck.java
@@ -10,20 +10,20 @@
  */
 final class QuotaCheck implements QuotaGateway.AdmissionListener, ActiveRequests.Cancellable {
     /** Default: when a client may come back whose request could not be counted. */
-    private static final int UNKNOWN_RETRY_MS = 300;
+    private static final int UNAVAILABLE_RETRY_AFTER_MS = 300;
 
     private final ProxyHandler proxy;
     private final ActiveRequests active;
     private final Arrival arrival;
-    private final Runnable granted;
+    private final Runnable continuation;
     private final String id;
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final AtomicBoolean ended = new AtomicBoolean();
 
-    QuotaCheck(ProxyHandler proxy, ActiveRequests active, Arrival arrival, Runnable granted) {
+    QuotaCheck(ProxyHandler proxy, ActiveRequests active, Arrival arrival, Runnable continuation) {
         this.proxy = proxy;
         this.active = active;
         this.arrival = arrival;
-        this.granted = granted;
+        this.continuation = continuation;
         id = "quota-" + proxy.nextActionId();
     }
 
@@ -34,9 +34,9 @@
 
     @Override
     public void onAdmitted() {
-        if (over.compareAndSet(false, true)) {
+        if (ended.compareAndSet(false, true)) {
             active.untrack(id);
-            granted.run();
+            continuation.run();
         }
     }
 
@@ -47,7 +47,7 @@
 
     @Override
     public void onUnavailable() {
-        refuse(Outcome.UNCLEAR, UNKNOWN_RETRY_MS);
+        refuse(Outcome.UNCLEAR, UNAVAILABLE_RETRY_AFTER_MS);
     }
 
     @Override
@@ -56,7 +56,7 @@
     }
 
     private void refuse(Outcome outcome, int retryAfterMs) {
-        if (over.compareAndSet(false, true)) {
+        if (ended.compareAndSet(false, true)) {
             active.end(id);
             arrival.client().respond(outcome, retryAfterMs, proxy.isLeaving());
         }
