--- a/src/main/java/ringspindle/proxy/ItemAttempt.java
+++ b/src/main/java/ringspindle/proxy/ItemAttempt.java
@@ -9,7 +9,10 @@
 import ringspindle.loadbalancing.LoadBalancer;
 import ringspindle.retry.AttemptOutcome;
 
-/** One attempt of an item at one engine. All fields are guarded by the monitor of its {@link ItemCall}. */
+/**
+ * One attempt of a batch item at one engine: connects, sends and appends the events of the response to the output of
+ * the item. {@link ItemCall} decides about further attempts; its monitor guards all fields.
+ */
 final class ItemAttempt implements EngineConnectionPool.AcquireListener, Response.Listener {
     private final ItemClient client;
     private final ItemCall call;
@@ -37,6 +40,7 @@
         resumes = call.output().hasEvents();
     }
 
+    /** Acquires a connection to the engine, over which the item is then sent. */
     void start() {
         client.connections().acquire(engine.id(), engine.address(), engine.connectionLimit(), true, this);
     }
@@ -93,6 +97,7 @@
         }
     }
 
+    /** Records the weight version of a new output, or fails an attempt to resume one with other weights. */
     private void startStream(HttpFields headers) {
         String weights = headers.get(Headers.WEIGHT_VERSIONS);
         StreamPosition position = call.output().position();
@@ -118,6 +123,7 @@
         }
     }
 
+    /** Appends the complete events of {@code content} to the output; returns false if the stream is broken. */
     private boolean appendEvents(ByteBuffer content) {
         try {
             for (StreamEvent event : events.feed(content)) {
@@ -172,6 +178,7 @@
         }
     }
 
+    /** Fails the attempt if the engine has sent nothing for {@link ItemClient#SILENCE_TIMEOUT_MS}. */
     void checkSilence(long nowMs) {
         if (nowMs - timing.lastActivityMs() > ItemClient.SILENCE_TIMEOUT_MS) {
             fail(AttemptOutcome.ATTEMPT_TIMEOUT);
@@ -183,12 +190,12 @@
         call.onAttemptFailed(engine.id(), outcome);
     }
 
-    /** Frees what the attempt holds; the connection is closed first, so that nothing of the request can be sent any more. */
+    /** Releases all resources; the connection is closed first, so that no more of the request can be sent. */
     void end(AttemptOutcome outcome) {
         client.loadBalancer().onAttemptEnded(engine.id(), selection, outcome, timing.firstByteMs(), client.nowMs());
         connection.discard();
         if (engineRequest != null && outcome != AttemptOutcome.ANSWERED) {
-            engineRequest.abort(new IOException("attempt over: " + outcome));
+            engineRequest.abort(new IOException("attempt ended: " + outcome));
         }
     }
 }
--- a/src/main/java/ringspindle/proxy/ItemCall.java
+++ b/src/main/java/ringspindle/proxy/ItemCall.java
@@ -12,13 +12,14 @@
 import ringspindle.routing.CostWeights;
 
 /**
- * One item of a batch job on its way through engines. What an engine did not run goes to another one; behind a stream that broke
- * off the next engine goes on where it stood. Guarded by its own monitor; the listener is told without it.
+ * Execution of one item of a batch job, over all attempts at engines. An item that an engine did not run is sent to
+ * another one; if a stream breaks off, the next engine resumes it where it ended. Guarded by its own monitor, which is
+ * not held while the listener is notified.
  */
 public final class ItemCall {
-    /** An item goes to so many engines at most before it is given back. */
+    /** Maximum number of attempts, after which the item ends as broken. */
     private static final int ATTEMPTS_MAX = 4;
-    /** While a stream waits for an engine that goes on with it, so often is one looked for, and with this pause. */
+    /** Number of retries while no engine has capacity to resume a stream that broke off. */
     private static final int CAPACITY_RETRIES_MAX = 20;
 
     private static final int CAPACITY_RETRY_DELAY_MS = 100;
@@ -50,12 +51,12 @@
         outputTokens = tokens.output();
     }
 
-    /** Begins to run the item. */
+    /** Starts to run the item. */
     public synchronized void begin() {
         startNextAttempt();
     }
 
-    /** Selects an engine and sends; the monitor is held. */
+    /** Selects an engine and starts an attempt there. The caller holds the monitor. */
     private void startNextAttempt() {
         if (ended) {
             return;
@@ -97,7 +98,7 @@
                 CostWeights.DEFAULT);
     }
 
-    // ---- what an attempt tells, with the monitor held
+    // ---- called by attempts, which hold the monitor
 
     ItemClient.Item item() {
         return item;
@@ -107,16 +108,17 @@
         return output;
     }
 
+    /** Returns true if the call has not ended and {@code other} is its attempt in progress. */
     boolean isCurrent(ItemAttempt other) {
         return !ended && attempt == other;
     }
 
-    /** The engine has given its whole output. */
+    /** Called when an engine has sent the complete output. */
     void onCompleted() {
         end(ItemOutcome.COMPLETED);
     }
 
-    /** The engine has answered with a failure of its own, after running. */
+    /** Called when an engine ran the item and responded with an error: only 422 and 500 end the call. */
     void onEngineFailure(String engineId, int status) {
         if (status == HttpStatus.UNPROCESSABLE_ENTITY_422) {
             end(ItemOutcome.IMPOSSIBLE);
@@ -127,11 +129,12 @@
         }
     }
 
-    /** The attempt is over without a whole answer: another engine is next. */
+    /** Called when an attempt ended without a complete response; another engine is tried. */
     void onAttemptFailed(String engineId, AttemptOutcome outcome) {
         attemptedEngines.add(engineId);
         attempt = null;
         if (!outcome.notRun() && !output.position().isResumable()) {
+            // The next engine cannot be told where to resume, so it starts over.
             output = new ItemOutput();
         }
         startNextAttempt();
@@ -144,7 +147,7 @@
         client.onEnded(this, () -> listener.onEnded(outcome, outputBytes));
     }
 
-    // ---- from outside
+    // ---- called without the monitor
 
     synchronized void checkSilence(long nowMs) {
         if (attempt != null) {
@@ -152,7 +155,7 @@
         }
     }
 
-    /** Nobody wants the item any more: its engine is told by the close of the connection. */
+    /** Cancels an item whose result is no longer needed; closing the connection cancels it at the engine. */
     public synchronized void cancel() {
         if (!ended) {
             ended = true;
--- a/src/main/java/ringspindle/proxy/ItemClient.java
+++ b/src/main/java/ringspindle/proxy/ItemClient.java
@@ -16,8 +16,9 @@
 import ringspindle.time.MonotonicClock;
 
 /**
- * Runs items of batch jobs at engines: selects an engine as for a live request, but only among those that live requests leave
- * room at, reads the whole stream, and goes on at another engine where one breaks off. Thread safe.
+ * Runs items of batch jobs at engines. An engine is selected as for a live request, but only among those with free
+ * capacity beyond the share that is reserved for live requests. The whole stream is read; if it breaks off, it is
+ * resumed at another engine. Thread safe.
  *
  * <pre>{@code
  * ItemClient client = ItemClient.start(loadBalancer, pool, scheduler, clock);
@@ -26,16 +27,16 @@
  * }</pre>
  */
 public final class ItemClient implements EngineMaintenance {
-    /** An engine that says nothing for so long is given up. */
+    /** Period without data from the engine after which an attempt times out. */
     static final int SILENCE_TIMEOUT_MS = 3000;
 
     /**
-     * An item that is to run.
+     * An item to run.
      *
-     * @param attemptId its id
-     * @param tenant on whose behalf it runs, empty for none
-     * @param headers as the client sent them
-     * @param route the batch route that it falls under now
+     * @param attemptId id of the item, sent to engines as the attempt id
+     * @param tenant tenant that the item runs for, empty for none
+     * @param headers request headers as the client sent them
+     * @param route batch route that matches the item now
      */
     public record Item(
             String attemptId,
@@ -46,13 +47,13 @@
             byte[] body,
             FleetConfig.Route route) {}
 
-    /** Told how an item ended, once, on a thread of the pool. */
+    /** Notified once, on a thread of the pool, when an item has ended. */
     @FunctionalInterface
     public interface Listener {
         /**
-         * The item has ended.
+         * Called when the item has ended.
          *
-         * @param output the data of all events, joined by line feeds, if it was completed; else empty
+         * @param output data of all events, joined by line feeds, if the item was completed; otherwise empty
          */
         void onEnded(ItemOutcome outcome, byte[] output);
     }
@@ -83,9 +84,9 @@
     }
 
     /**
-     * A client on those threads.
+     * Starts a client that uses the given thread pool and scheduler.
      *
-     * @throws Exception if it cannot start
+     * @throws Exception if its HTTP client cannot be started
      */
     public static ItemClient start(
             LoadBalancer loadBalancer, QueuedThreadPool pool, Scheduler scheduler, MonotonicClock clock)
@@ -93,7 +94,7 @@
         return new ItemClient(EngineHttpClient.start(pool, scheduler), loadBalancer, pool, scheduler, clock);
     }
 
-    /** From now on that part of an engine's places stays free for live requests. */
+    /** Sets the share of each engine's capacity that is reserved for live requests. */
     public void setReservedShare(double share) {
         reservedShare = share;
     }
@@ -102,7 +103,7 @@
         return reservedShare;
     }
 
-    /** A call that runs an item once it is told to begin. */
+    /** Creates a call that runs the item once {@link ItemCall#begin} is called. */
     public ItemCall create(Item item, Listener listener) {
         ItemCall call = new ItemCall(this, item, listener);
         activeCalls.add(call);
@@ -125,7 +126,7 @@
         connections.closeIdle(loadBalancer.knownEngineIds());
     }
 
-    /** How many requests the engines of a service run at a time. */
+    /** Returns how many requests the engines of a service that are in service now can run concurrently. */
     public int capacityInService(String service) {
         return loadBalancer.capacityInService(service);
     }
@@ -135,7 +136,7 @@
         return activeCalls.size();
     }
 
-    // ---- for calls
+    // ---- called by item calls and their attempts
 
     HttpClient engineClient() {
         return engineClient;
@@ -161,7 +162,7 @@
         scheduler.schedule(() -> pool.execute(task), delayMs, TimeUnit.MILLISECONDS);
     }
 
-    /** A call is over; its listener is told with no lock held. */
+    /** Removes a call that has ended and notifies its listener on the pool, where no lock is held. */
     void onEnded(ItemCall call, Runnable notification) {
         activeCalls.remove(call);
         pool.execute(notification);
--- a/src/main/java/ringspindle/proxy/ItemOutput.java
+++ b/src/main/java/ringspindle/proxy/ItemOutput.java
@@ -3,7 +3,7 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** The output of an item as far as it has come, over all engines that went on with it. Not thread safe. */
+/** Output of an item received so far, from all engines that produced or resumed it. Not thread safe. */
 final class ItemOutput {
     private static final String DATA_FIELD = "data:";
 
@@ -11,7 +11,7 @@
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private boolean hasEvents;
 
-    /** How far it has come. */
+    /** Returns the position in the event stream up to which output was received. */
     StreamPosition position() {
         return position;
     }
@@ -20,7 +20,7 @@
         return hasEvents;
     }
 
-    /** Adds an event's data behind a line feed; false if the event does not follow. */
+    /** Appends the data of an event on a new line; returns false if the event does not follow the previous one. */
     boolean append(StreamEvent event) {
         if (!position.advance(event)) {
             return false;
@@ -34,7 +34,7 @@
         return true;
     }
 
-    /** One space behind the colon belongs to the form of events. */
+    /** Appends the value of a data field, without the one space after the colon that belongs to the event format. */
     private void appendLine(String data) {
         if (hasEvents) {
             bytes.write('\n');
--- a/src/main/java/ringspindle/proxy/JobAdmission.java
+++ b/src/main/java/ringspindle/proxy/JobAdmission.java
@@ -17,17 +17,17 @@
 import ringspindle.shard.ShardAssignment;
 
 /**
- * Takes clients' calls about batch jobs: submissions on batch routes, and readings and ends by a job's id. Each goes to the leader
- * of the job's shard; this node keeps nothing of it. Thread safe.
+ * Handles client requests about batch jobs: submissions on batch routes, and reads and terminations by job id. Each is
+ * forwarded to the leader of the job's shard; this node stores no state of the job. Thread safe.
  */
 final class JobAdmission {
-    /** Default: for how long a submission or an end waits for its leader. */
+    /** Timeout for the shard leader's reply to a submission or a termination. */
     private static final int WRITE_TIMEOUT_MS = 4000;
-    /** Default: for how long a reading does, beside what the client allows it to be held. */
+    /** Timeout for the shard leader's reply to a read, in addition to the client's poll wait. */
     private static final int READ_TIMEOUT_MS = 1200;
-    /** The longest that a reading is held for a result. */
+    /** Upper bound of the time for which a read waits for a result. */
     private static final int POLL_WAIT_MAX_MS = 2000;
-    /** Default: when a client that was refused may come back. */
+    /** Retry delay that a rejected client is told. */
     private static final int RETRY_AFTER_MS = 400;
 
     private static final byte[] NO_BODY = {};
@@ -42,11 +42,12 @@
         this.active = active;
     }
 
-    /** One call on its way; whoever answers first ends it. */
+    /** A client request in progress; only the first response to it is sent. */
     private final class Exchange implements ActiveRequests.Cancellable {
         private final String actionId = proxy.nextActionId();
         private final ClientResponse client;
         private final AtomicBoolean ended = new AtomicBoolean();
+        /** The response if it is unknown whether the call was or will be carried out. */
         private final Outcome indeterminateOutcome;
 
         Exchange(ClientResponse client, Outcome indeterminateOutcome) {
@@ -54,7 +55,7 @@
             this.indeterminateOutcome = indeterminateOutcome;
         }
 
-        /** False if the node ends. */
+        /** Starts to track the request; returns false, after rejecting it, if the node is shutting down. */
         boolean begin() {
             if (!active.begin()) {
                 client.respond(Outcome.LEAVING, proxy.retryAfterLeavingMs(), true);
@@ -84,7 +85,7 @@
         }
     }
 
-    /** Passes a job on that came whole on a batch route. */
+    /** Forwards a job that was completely received on a batch route. */
     void submit(Arrival arrival, byte[] body) {
         Exchange exchange = new Exchange(arrival.client(), Outcome.UNCONFIRMED);
         if (!proxy.services().jobs().isAvailable()) {
@@ -129,7 +130,7 @@
         return host == null ? "" : host;
     }
 
-    /** Answers a call by a job's id; false if the request is none. */
+    /** Handles a request about a job by its id; returns false, without a response, for any other request. */
     boolean handle(Request request, ClientResponse client, FleetConfig configuration) {
         Optional<JobPath> path = JobPath.of(request.getHttpURI().getPath());
         if (path.isEmpty()) {
@@ -161,7 +162,10 @@
         return HttpMethod.DELETE.is(method) && !path.isItem() ? Optional.of(JobCallKind.END) : Optional.empty();
     }
 
-    /** Asks the shards that may keep a job, the likely ones first, until one knows it. */
+    /**
+     * Looks a job up by its id, shard by shard until one knows it. The shards of the host's batch routes are asked
+     * first, because they are the most likely to have it.
+     */
     private final class ShardSearch {
         private final Exchange exchange;
         private final JobCallKind kind;
@@ -211,7 +215,7 @@
         }
     }
 
-    /** A number of 0 or more; 0 if there is none. */
+    /** Parses a non-negative number; returns 0 for null, a negative number or any other text. */
     private static long parseNonNegative(String text) {
         try {
             return text == null ? 0 : Math.max(0, Long.parseLong(text.trim()));
--- a/src/main/java/ringspindle/proxy/JobGateway.java
+++ b/src/main/java/ringspindle/proxy/JobGateway.java
@@ -4,9 +4,9 @@
 import ringspindle.protocol.BatchMessage.JobCall;
 import ringspindle.protocol.JobStatus;
 
-/** The way to the storage nodes that keep batch jobs. Thread safe. */
+/** Forwards calls about batch jobs to the storage nodes that store them. Thread safe. */
 public interface JobGateway {
-    /** Nobody keeps batch jobs. */
+    /** Gateway of a node without storage nodes: rejects every call. */
     JobGateway NONE = new JobGateway() {
         @Override
         public boolean isAvailable() {
@@ -19,15 +19,16 @@
         }
     };
 
-    /** True once it is known who keeps batch jobs. */
+    /** Returns true once the leader of any shard is known. */
     boolean isAvailable();
 
     /**
-     * Passes a call to whoever leads its shard, again to the next one if that changes. The reply comes once, on a thread of the
-     * pool: {@link JobStatus#NOT_LEADER} if nothing can have been done, {@link JobStatus#UNCLEAR} if nobody can tell.
+     * Forwards a call to the leader of its shard, and again to the next leader if the leader changes. The reply is
+     * passed on once, on a thread of the pool: {@link JobStatus#NOT_LEADER} if the call cannot have been carried out,
+     * {@link JobStatus#UNCLEAR} if that is unknown.
      *
-     * @param call with any id
-     * @param timeoutMs for how long an answer is waited for
+     * @param call the call; its id is ignored
+     * @param timeoutMs how long to wait for the reply
      */
     void call(JobCall call, long timeoutMs, BiConsumer<JobStatus, byte[]> reply);
 }
--- a/src/main/java/ringspindle/proxy/JobPath.java
+++ b/src/main/java/ringspindle/proxy/JobPath.java
@@ -3,15 +3,16 @@
 import java.util.Optional;
 
 /**
- * The path of a call by a job's id: {@code /ringspindle/lots/ID}, or {@code /ringspindle/items/ID} for one of its items.
+ * Path of a request about a job by its id: {@code /ringspindle/lots/ID} for the job, {@code /ringspindle/items/ID} for
+ * one of its items.
  *
- * @param isItem the call is about an item
+ * @param isItem whether the request is about an item
  */
 record JobPath(String id, boolean isItem) {
     private static final String JOBS_PREFIX = "/ringspindle/lots/";
     private static final String ITEMS_PREFIX = "/ringspindle/items/";
 
-    /** Reads a path; empty for any other one. */
+    /** Parses a path; returns empty if it is neither of a job nor of an item. */
     static Optional<JobPath> of(String path) {
         if (path.startsWith(JOBS_PREFIX)) {
             return of(path.substring(JOBS_PREFIX.length()), false);
--- a/src/main/java/ringspindle/proxy/QuotaCheck.java
+++ b/src/main/java/ringspindle/proxy/QuotaCheck.java
@@ -5,11 +5,11 @@
 import ringspindle.config.Tenant;
 
 /**
- * A request that counts as active and waits for leave of its tenant's quota. It goes on, or is refused, once: whichever of the
- * answer and the node's end comes first.
+ * Quota check of a request that already counts as active. The request continues or is rejected once, by the decision
+ * about the quota or the shutdown of the node, whichever comes first.
  */
 final class QuotaCheck implements QuotaGateway.AdmissionListener, ActiveRequests.Cancellable {
-    /** Default: when a client may come back whose request could not be counted. */
+    /** Retry delay that a client is told whose quota could not be checked. */
     private static final int UNAVAILABLE_RETRY_AFTER_MS = 300;
 
     private final ProxyHandler proxy;
--- a/src/main/java/ringspindle/proxy/QuotaGateway.java
+++ b/src/main/java/ringspindle/proxy/QuotaGateway.java
@@ -2,23 +2,23 @@
 
 import ringspindle.config.Tenant;
 
-/** Leave to admit requests of tenants, counted over all nodes. Thread safe. */
+/** Enforces the request quotas of tenants, which apply across all nodes. Thread safe. */
 public interface QuotaGateway {
-    /** Nobody counts. */
+    /** Admits every request. */
     QuotaGateway NONE = (tenant, listener) -> listener.onAdmitted();
 
-    /** Told what becomes of a request, once. */
+    /** Notified of the decision about a request; exactly one method is called, once. */
     interface AdmissionListener {
-        /** It may be admitted. */
+        /** The request is admitted. */
         void onAdmitted();
 
-        /** Its tenant has had what it may have for now. */
+        /** The tenant's quota is used up for now. */
         void onOverQuota(int retryAfterMs);
 
-        /** Nobody could say in time. */
+        /** The quota could not be checked in time. */
         void onUnavailable();
     }
 
-    /** Asks for leave to admit one request; the answer may come at once on this thread, or later on one of the pool. */
+    /** Counts one request against the quota; calls the listener at once on this thread, or later on one of the pool. */
     void admit(Tenant tenant, AdmissionListener listener);
 }
