--- a/src/main/java/ringspindle/proxy/ItemCall.java
+++ b/src/main/java/ringspindle/proxy/ItemCall.java
@@ -12,30 +12,31 @@
 import ringspindle.routing.CostWeights;
 
 /**
- * One item of a batch job on its way through engines. What an engine did not run goes to another one; behind a stream that broke
- * off the next engine goes on where it stood. Guarded by its own monitor; the listener is told without it.
+ * Execution of one item of a batch job, over all attempts at engines. An item that an engine did not run is sent to
+ * another one; if a stream breaks off, the next engine resumes it where it ended. Guarded by its own monitor, which is
+ * not held while the listener is notified.
  */
 public final class ItemCall {
-    /** An item goes to so many engines at most before it is given back. */
+    /** Maximum number of attempts, after which the item ends as broken. */
     private static final int ATTEMPTS_MAX = 4;
-    /** While a stream waits for an engine that goes on with it, so often is one looked for, and with this pause. */
-    private static final int CAPACITY_WAITS_MAX = 20;
+    /** Number of retries while no engine has capacity to resume a stream that broke off. */
+    private static final int CAPACITY_RETRIES_MAX = 20;
 
-    private static final int CAPACITY_WAIT_MS = 100;
+    private static final int CAPACITY_RETRY_DELAY_MS = 100;
 
-    private static final byte[] NO_TEXT = {};
+    private static final byte[] NO_OUTPUT = {};
 
     private final ItemClient client;
     private final ItemClient.Item item;
     private final ItemClient.Listener listener;
     private final Affinity.Key affinity;
-    private final int ownTokens;
+    private final int uncachedTokens;
     private final int outputTokens;
     private final Set<String> attemptedEngines = new HashSet<>();
-    private ItemText text = new ItemText();
+    private ItemOutput output = new ItemOutput();
     private ItemAttempt attempt;
-    private int attempts;
-    private int capacityWaits;
+    private int attemptCount;
+    private int capacityRetries;
     private boolean ended;
 
     ItemCall(ItemClient client, ItemClient.Item item, ItemClient.Listener listener) {
@@ -46,21 +47,21 @@
         String prefix = headers.get(Headers.PROMPT_PREFIX);
         affinity = Affinity.defaultKey(prefix == null ? "" : prefix);
         TokenCounts tokens = TokenCounts.of(headers);
-        ownTokens = Math.max(0, tokens.prompt() - affinity.sharedTokens());
+        uncachedTokens = Math.max(0, tokens.prompt() - affinity.sharedTokens());
         outputTokens = tokens.output();
     }
 
-    /** Begins to run the item. */
+    /** Starts to run the item. */
     public synchronized void begin() {
-        next();
+        startNextAttempt();
     }
 
-    /** Selects an engine and sends; the monitor is held. */
-    private void next() {
+    /** Selects an engine and starts an attempt there. The caller holds the monitor. */
+    private void startNextAttempt() {
         if (ended) {
             return;
         }
-        if (attempts >= ATTEMPTS_MAX) {
+        if (attemptCount >= ATTEMPTS_MAX) {
             end(ItemOutcome.BROKEN);
             return;
         }
@@ -68,14 +69,14 @@
         LoadBalancer.SelectionRequest request = selectionRequest();
         LoadBalancer.Selection selection = client.loadBalancer().select(request, nowMs);
         if (selection instanceof LoadBalancer.SelectedEngine engine) {
-            attempts++;
+            attemptCount++;
             attempt = new ItemAttempt(client, this, request, engine);
             attempt.start();
-        } else if (text.hasEvents() && capacityWaits < CAPACITY_WAITS_MAX) {
-            capacityWaits++;
-            client.schedule(this::begin, CAPACITY_WAIT_MS);
+        } else if (output.hasEvents() && capacityRetries < CAPACITY_RETRIES_MAX) {
+            capacityRetries++;
+            client.schedule(this::begin, CAPACITY_RETRY_DELAY_MS);
         } else {
-            end(text.hasEvents() ? ItemOutcome.BROKEN : ItemOutcome.NO_CAPACITY);
+            end(output.hasEvents() ? ItemOutcome.BROKEN : ItemOutcome.NO_CAPACITY);
         }
     }
 
@@ -88,35 +89,36 @@
                 item.route().allowedRegions(),
                 affinity.hash(),
                 affinity.sharedTokens(),
-                ownTokens,
+                uncachedTokens,
                 outputTokens,
                 Set.copyOf(attemptedEngines),
-                text.position().weightVersion(),
+                output.position().weightVersion(),
                 client.nextRandom(),
                 preference,
                 CostWeights.DEFAULT);
     }
 
-    // ---- what an attempt tells, with the monitor held
+    // ---- called by attempts, which hold the monitor
 
     ItemClient.Item item() {
         return item;
     }
 
-    ItemText text() {
-        return text;
+    ItemOutput output() {
+        return output;
     }
 
+    /** Returns true if the call has not ended and {@code other} is its attempt in progress. */
     boolean isCurrent(ItemAttempt other) {
         return !ended && attempt == other;
     }
 
-    /** The engine has given its whole output. */
+    /** Called when an engine has sent the complete output. */
     void onCompleted() {
         end(ItemOutcome.COMPLETED);
     }
 
-    /** The engine has answered with a failure of its own, after running. */
+    /** Called when an engine ran the item and responded with an error: only 422 and 500 end the call. */
     void onEngineFailure(String engineId, int status) {
         if (status == HttpStatus.UNPROCESSABLE_ENTITY_422) {
             end(ItemOutcome.IMPOSSIBLE);
@@ -127,24 +129,25 @@
         }
     }
 
-    /** The attempt is over without a whole answer: another engine is next. */
+    /** Called when an attempt ended without a complete response; another engine is tried. */
     void onAttemptFailed(String engineId, AttemptOutcome outcome) {
         attemptedEngines.add(engineId);
         attempt = null;
-        if (!outcome.notRun() && !text.position().isResumable()) {
-            text = new ItemText();
+        if (!outcome.notRun() && !output.position().isResumable()) {
+            // The next engine cannot be told where to resume, so it starts over.
+            output = new ItemOutput();
         }
-        next();
+        startNextAttempt();
     }
 
     private void end(ItemOutcome outcome) {
         ended = true;
         attempt = null;
-        byte[] output = outcome == ItemOutcome.COMPLETED ? text.toByteArray() : NO_TEXT;
-        client.onEnded(this, () -> listener.ended(outcome, output));
+        byte[] outputBytes = outcome == ItemOutcome.COMPLETED ? output.toByteArray() : NO_OUTPUT;
+        client.onEnded(this, () -> listener.onEnded(outcome, outputBytes));
     }
 
-    // ---- from outside
+    // ---- called without the monitor
 
     synchronized void checkSilence(long nowMs) {
         if (attempt != null) {
@@ -152,7 +155,7 @@
         }
     }
 
-    /** Nobody wants the item any more: its engine is told by the close of the connection. */
+    /** Cancels an item whose result is no longer needed; closing the connection cancels it at the engine. */
     public synchronized void cancel() {
         if (!ended) {
             ended = true;
--- a/src/main/java/ringspindle/proxy/QuotaGateway.java
+++ b/src/main/java/ringspindle/proxy/QuotaGateway.java
@@ -2,23 +2,23 @@
 
 import ringspindle.config.Tenant;
 
-/** Leave to admit requests of tenants, counted over all nodes. Thread safe. */
+/** Enforces the request quotas of tenants, which apply across all nodes. Thread safe. */
 public interface QuotaGateway {
-    /** Nobody counts. */
-    QuotaGateway NONE = (tenant, answer) -> answer.granted();
+    /** Admits every request. */
+    QuotaGateway NONE = (tenant, listener) -> listener.onAdmitted();
 
-    /** Told what becomes of a request, once. */
-    interface Answer {
-        /** It may be admitted. */
-        void granted();
+    /** Notified of the decision about a request; exactly one method is called, once. */
+    interface AdmissionListener {
+        /** The request is admitted. */
+        void onAdmitted();
 
-        /** Its tenant has had what it may have for now. */
-        void overQuota(int retryAfterMs);
+        /** The tenant's quota is used up for now. */
+        void onOverQuota(int retryAfterMs);
 
-        /** Nobody could say in time. */
-        void unknown();
+        /** The quota could not be checked in time. */
+        void onUnavailable();
     }
 
-    /** Asks for leave to admit one request; the answer may come at once on this thread, or later on one of the pool. */
-    void admit(Tenant tenant, Answer answer);
+    /** Counts one request against the quota; calls the listener at once on this thread, or later on one of the pool. */
+    void admit(Tenant tenant, AdmissionListener listener);
 }
