--- a/src/main/java/ringspindle/proxy/ItemAttempt.java
+++ b/src/main/java/ringspindle/proxy/ItemAttempt.java
@@ -9,7 +9,10 @@
 import ringspindle.loadbalancing.LoadBalancer;
 import ringspindle.retry.AttemptOutcome;
 
-/** One attempt of an item at one engine. All fields are guarded by the monitor of its {@link ItemCall}. */
+/**
+ * One attempt of a batch item at one engine: connects, sends and appends the events of the response to the output of
+ * the item. {@link ItemCall} decides about further attempts; its monitor guards all fields.
+ */
 final class ItemAttempt implements EngineConnectionPool.AcquireListener, Response.Listener {
     private final ItemClient client;
     private final ItemCall call;
@@ -20,8 +23,8 @@
     private final EventSplitter events = new EventSplitter();
     private final boolean resumes;
     private Request engineRequest;
-    private Response head;
-    private ResponseKind kind;
+    private Response responseHead;
+    private ResponseKind responseKind;
 
     ItemAttempt(
             ItemClient client,
@@ -34,9 +37,10 @@
         this.engine = engine;
         connection = new AttemptConnection(client.connections());
         timing = new AttemptTiming(client.nowMs());
-        resumes = call.text().hasEvents();
+        resumes = call.output().hasEvents();
     }
 
+    /** Acquires a connection to the engine, over which the item is then sent. */
     void start() {
         client.connections().acquire(engine.id(), engine.address(), engine.connectionLimit(), true, this);
     }
@@ -45,8 +49,8 @@
     public void onAcquireFailed(EngineConnectionPool.Failure failure) {
         synchronized (call) {
             if (call.isCurrent(this)) {
-                boolean full = failure == EngineConnectionPool.Failure.LIMIT_REACHED;
-                fail(full ? AttemptOutcome.NOT_RUN : AttemptOutcome.NOT_SENT);
+                boolean limitReached = failure == EngineConnectionPool.Failure.LIMIT_REACHED;
+                fail(limitReached ? AttemptOutcome.NOT_RUN : AttemptOutcome.NOT_SENT);
             }
         }
     }
@@ -64,7 +68,7 @@
                     call.item(),
                     engine.address(),
                     engine.id(),
-                    resumes ? call.text().position() : null);
+                    resumes ? call.output().position() : null);
             connection.attach(acquired, engineRequest);
             timing.onSent(nowMs);
             client.loadBalancer().onRequestSent(engine.id(), nowMs);
@@ -79,23 +83,24 @@
                 return;
             }
             long nowMs = client.nowMs();
-            head = response;
+            responseHead = response;
             timing.onActivity(nowMs);
             if (ResponseKind.isUnattributable(response, call.item().attemptId())) {
                 fail(AttemptOutcome.BROKEN);
                 return;
             }
             client.loadBalancer().onResponseBytes(engine.id(), nowMs);
-            kind = ResponseKind.of(response, engine.id());
-            if (kind == ResponseKind.SUCCESS) {
-                begin(response.getHeaders());
+            responseKind = ResponseKind.of(response, engine.id());
+            if (responseKind == ResponseKind.SUCCESS) {
+                startStream(response.getHeaders());
             }
         }
     }
 
-    private void begin(HttpFields fields) {
-        String weights = fields.get(Headers.WEIGHT_VERSIONS);
-        StreamPosition position = call.text().position();
+    /** Records the weight version of a new output, or fails an attempt to resume one with other weights. */
+    private void startStream(HttpFields headers) {
+        String weights = headers.get(Headers.WEIGHT_VERSIONS);
+        StreamPosition position = call.output().position();
         if (!resumes) {
             position.recordWeightVersion(weights);
         } else if (!position.isCompatibleWith(weights)) {
@@ -112,16 +117,17 @@
             long nowMs = client.nowMs();
             timing.onBodyBytes(nowMs);
             client.loadBalancer().onResponseBytes(engine.id(), nowMs);
-            if (kind == ResponseKind.SUCCESS && !takeEvents(content)) {
+            if (responseKind == ResponseKind.SUCCESS && !appendEvents(content)) {
                 fail(AttemptOutcome.BROKEN);
             }
         }
     }
 
-    private boolean takeEvents(ByteBuffer content) {
+    /** Appends the complete events of {@code content} to the output; returns false if the stream is broken. */
+    private boolean appendEvents(ByteBuffer content) {
         try {
             for (StreamEvent event : events.feed(content)) {
-                if (!call.text().add(event)) {
+                if (!call.output().append(event)) {
                     return false;
                 }
             }
@@ -137,8 +143,8 @@
             if (!call.isCurrent(this)) {
                 return;
             }
-            if (result.isFailed() || kind == null) {
-                if (head == null) {
+            if (result.isFailed() || responseKind == null) {
+                if (responseHead == null) {
                     connection.recordIfStale(timing, client.nowMs());
                 }
                 fail(AttemptOutcome.BROKEN);
@@ -149,31 +155,32 @@
     }
 
     private void complete() {
-        switch (kind) {
+        switch (responseKind) {
             case SUCCESS -> {
-                if (events.hasPartialEvent() || !call.text().hasEvents()) {
+                if (events.hasPartialEvent() || !call.output().hasEvents()) {
                     fail(AttemptOutcome.BROKEN);
                     return;
                 }
-                connection.release(head.getHeaders());
+                connection.release(responseHead.getHeaders());
                 end(AttemptOutcome.ANSWERED);
                 call.onCompleted();
             }
             case FAILURE -> {
-                connection.release(head.getHeaders());
+                connection.release(responseHead.getHeaders());
                 end(AttemptOutcome.FAILED);
-                call.onEngineFailure(engine.id(), head.getStatus());
+                call.onEngineFailure(engine.id(), responseHead.getStatus());
             }
             case NOT_RUN, MISDIRECTED -> {
-                connection.release(head.getHeaders());
-                fail(kind.attemptOutcome().orElseThrow());
+                connection.release(responseHead.getHeaders());
+                fail(responseKind.attemptOutcome().orElseThrow());
             }
             case BROKEN -> fail(AttemptOutcome.BROKEN);
         }
     }
 
+    /** Fails the attempt if the engine has sent nothing for {@link ItemClient#SILENCE_TIMEOUT_MS}. */
     void checkSilence(long nowMs) {
-        if (nowMs - timing.lastActivityMs() > ItemClient.SILENCE_MS) {
+        if (nowMs - timing.lastActivityMs() > ItemClient.SILENCE_TIMEOUT_MS) {
             fail(AttemptOutcome.ATTEMPT_TIMEOUT);
         }
     }
@@ -183,12 +190,12 @@
         call.onAttemptFailed(engine.id(), outcome);
     }
 
-    /** Frees what the attempt holds; the connection is closed first, so that nothing of the request can be sent any more. */
+    /** Releases all resources; the connection is closed first, so that no more of the request can be sent. */
     void end(AttemptOutcome outcome) {
         client.loadBalancer().onAttemptEnded(engine.id(), selection, outcome, timing.firstByteMs(), client.nowMs());
         connection.discard();
         if (engineRequest != null && outcome != AttemptOutcome.ANSWERED) {
-            engineRequest.abort(new IOException("attempt over: " + outcome));
+            engineRequest.abort(new IOException("attempt ended: " + outcome));
         }
     }
 }
--- a/src/main/java/ringspindle/proxy/ItemClient.java
+++ b/src/main/java/ringspindle/proxy/ItemClient.java
@@ -16,26 +16,27 @@
 import ringspindle.time.MonotonicClock;
 
 /**
- * Runs items of batch jobs at engines: selects an engine as for a live request, but only among those that live requests leave
- * room at, reads the whole stream, and goes on at another engine where one breaks off. Thread safe.
+ * Runs items of batch jobs at engines. An engine is selected as for a live request, but only among those with free
+ * capacity beyond the share that is reserved for live requests. The whole stream is read; if it breaks off, it is
+ * resumed at another engine. Thread safe.
  *
  * <pre>{@code
  * ItemClient client = ItemClient.start(loadBalancer, pool, scheduler, clock);
- * ItemCall call = client.create(item, (outcome, text) -> ...);
+ * ItemCall call = client.create(item, (outcome, output) -> ...);
  * call.begin();
  * }</pre>
  */
 public final class ItemClient implements EngineMaintenance {
-    /** An engine that says nothing for so long is given up. */
-    static final int SILENCE_MS = 3000;
+    /** Period without data from the engine after which an attempt times out. */
+    static final int SILENCE_TIMEOUT_MS = 3000;
 
     /**
-     * An item that is to run.
+     * An item to run.
      *
-     * @param attemptId its id
-     * @param tenant on whose behalf it runs, empty for none
-     * @param headers as the client sent them
-     * @param route the batch route that it falls under now
+     * @param attemptId id of the item, sent to engines as the attempt id
+     * @param tenant tenant that the item runs for, empty for none
+     * @param headers request headers as the client sent them
+     * @param route batch route that matches the item now
      */
     public record Item(
             String attemptId,
@@ -46,15 +47,15 @@
             byte[] body,
             FleetConfig.Route route) {}
 
-    /** Told how an item ended, once, on a thread of the pool. */
+    /** Notified once, on a thread of the pool, when an item has ended. */
     @FunctionalInterface
     public interface Listener {
         /**
-         * The item has ended.
+         * Called when the item has ended.
          *
-         * @param text the data of all events, joined by line feeds, if it was completed; else empty
+         * @param output data of all events, joined by line feeds, if the item was completed; otherwise empty
          */
-        void ended(ItemOutcome outcome, byte[] text);
+        void onEnded(ItemOutcome outcome, byte[] output);
     }
 
     private final HttpClient engineClient;
@@ -65,7 +66,7 @@
     private final Scheduler scheduler;
     private final MonotonicClock clock;
     private volatile double reservedShare = BatchSettings.DEFAULT.reservedShare();
-    private final Set<ItemCall> active = ConcurrentHashMap.newKeySet();
+    private final Set<ItemCall> activeCalls = ConcurrentHashMap.newKeySet();
 
     private ItemClient(
             HttpClient engineClient,
@@ -83,9 +84,9 @@
     }
 
     /**
-     * A client on those threads.
+     * Starts a client that uses the given thread pool and scheduler.
      *
-     * @throws Exception if it cannot start
+     * @throws Exception if its HTTP client cannot be started
      */
     public static ItemClient start(
             LoadBalancer loadBalancer, QueuedThreadPool pool, Scheduler scheduler, MonotonicClock clock)
@@ -93,7 +94,7 @@
         return new ItemClient(EngineHttpClient.start(pool, scheduler), loadBalancer, pool, scheduler, clock);
     }
 
-    /** From now on that part of an engine's places stays free for live requests. */
+    /** Sets the share of each engine's capacity that is reserved for live requests. */
     public void setReservedShare(double share) {
         reservedShare = share;
     }
@@ -102,17 +103,17 @@
         return reservedShare;
     }
 
-    /** A call that runs an item once it is told to begin. */
+    /** Creates a call that runs the item once {@link ItemCall#begin} is called. */
     public ItemCall create(Item item, Listener listener) {
         ItemCall call = new ItemCall(this, item, listener);
-        active.add(call);
+        activeCalls.add(call);
         return call;
     }
 
     @Override
     public void tick() {
         long nowMs = clock.nowMs();
-        active.forEach(call -> call.checkSilence(nowMs));
+        activeCalls.forEach(call -> call.checkSilence(nowMs));
     }
 
     @Override
@@ -125,17 +126,17 @@
         connections.closeIdle(loadBalancer.knownEngineIds());
     }
 
-    /** How many requests the engines of a service run at a time. */
+    /** Returns how many requests the engines of a service that are in service now can run concurrently. */
     public int capacityInService(String service) {
         return loadBalancer.capacityInService(service);
     }
 
     @Override
     public int active() {
-        return active.size();
+        return activeCalls.size();
     }
 
-    // ---- for calls
+    // ---- called by item calls and their attempts
 
     HttpClient engineClient() {
         return engineClient;
@@ -157,17 +158,17 @@
         return ThreadLocalRandom.current().nextLong();
     }
 
-    void schedule(Runnable task, long inMs) {
-        scheduler.schedule(() -> pool.execute(task), inMs, TimeUnit.MILLISECONDS);
+    void schedule(Runnable task, long delayMs) {
+        scheduler.schedule(() -> pool.execute(task), delayMs, TimeUnit.MILLISECONDS);
     }
 
-    /** A call is over; its listener is told with no lock held. */
+    /** Removes a call that has ended and notifies its listener on the pool, where no lock is held. */
     void onEnded(ItemCall call, Runnable notification) {
-        active.remove(call);
+        activeCalls.remove(call);
         pool.execute(notification);
     }
 
     void onCancelled(ItemCall call) {
-        active.remove(call);
+        activeCalls.remove(call);
     }
 }
--- a/src/main/java/ringspindle/proxy/JobAdmission.java
+++ b/src/main/java/ringspindle/proxy/JobAdmission.java
@@ -17,17 +17,17 @@
 import ringspindle.shard.ShardAssignment;
 
 /**
- * Takes clients' calls about batch jobs: submissions on batch routes, and readings and ends by a job's id. Each goes to the leader
- * of the job's shard; this node keeps nothing of it. Thread safe.
+ * Handles client requests about batch jobs: submissions on batch routes, and reads and terminations by job id. Each is
+ * forwarded to the leader of the job's shard; this node stores no state of the job. Thread safe.
  */
 final class JobAdmission {
-    /** Default: for how long a submission or an end waits for its leader. */
-    private static final int CHANGE_MS = 4000;
-    /** Default: for how long a reading does, beside what the client allows it to be held. */
-    private static final int READ_MS = 1200;
-    /** The longest that a reading is held for a result. */
-    private static final int HELD_MAX_MS = 2000;
-    /** Default: when a client that was refused may come back. */
+    /** Timeout for the shard leader's reply to a submission or a termination. */
+    private static final int WRITE_TIMEOUT_MS = 4000;
+    /** Timeout for the shard leader's reply to a read, in addition to the client's poll wait. */
+    private static final int READ_TIMEOUT_MS = 1200;
+    /** Upper bound of the time for which a read waits for a result. */
+    private static final int POLL_WAIT_MAX_MS = 2000;
+    /** Retry delay that a rejected client is told. */
     private static final int RETRY_AFTER_MS = 400;
 
     private static final byte[] NO_BODY = {};
@@ -42,19 +42,20 @@
         this.active = active;
     }
 
-    /** One call on its way; whoever answers first ends it. */
+    /** A client request in progress; only the first response to it is sent. */
     private final class Exchange implements ActiveRequests.Cancellable {
         private final String actionId = proxy.nextActionId();
         private final ClientResponse client;
         private final AtomicBoolean ended = new AtomicBoolean();
-        private final Outcome ifCut;
+        /** The response if it is unknown whether the call was or will be carried out. */
+        private final Outcome indeterminateOutcome;
 
-        Exchange(ClientResponse client, Outcome ifCut) {
+        Exchange(ClientResponse client, Outcome indeterminateOutcome) {
             this.client = client;
-            this.ifCut = ifCut;
+            this.indeterminateOutcome = indeterminateOutcome;
         }
 
-        /** False if the node ends. */
+        /** Starts to track the request; returns false, after rejecting it, if the node is shutting down. */
         boolean begin() {
             if (!active.begin()) {
                 client.respond(Outcome.LEAVING, proxy.retryAfterLeavingMs(), true);
@@ -71,23 +72,23 @@
             }
         }
 
-        void respond(String type, byte[] body) {
+        void respond(String contentType, byte[] body) {
             if (ended.compareAndSet(false, true)) {
                 active.end(actionId);
-                client.respond(type, body, proxy.isLeaving());
+                client.respond(contentType, body, proxy.isLeaving());
             }
         }
 
         @Override
         public void onNodeEnds() {
-            respond(ifCut);
+            respond(indeterminateOutcome);
         }
     }
 
-    /** Passes a job on that came whole on a batch route. */
+    /** Forwards a job that was completely received on a batch route. */
     void submit(Arrival arrival, byte[] body) {
         Exchange exchange = new Exchange(arrival.client(), Outcome.UNCONFIRMED);
-        if (!proxy.services().jobs().isOpen()) {
+        if (!proxy.services().jobs().isAvailable()) {
             arrival.client().respond(Outcome.NO_BATCHES, RETRY_AFTER_MS, proxy.isLeaving());
             return;
         }
@@ -108,10 +109,12 @@
                 host(arrival.request()),
                 tenant,
                 body);
-        proxy.services().jobs().call(call, CHANGE_MS, (status, reply) -> exchange.respond(submitted(status)));
+        proxy.services()
+                .jobs()
+                .call(call, WRITE_TIMEOUT_MS, (status, reply) -> exchange.respond(submissionOutcome(status)));
     }
 
-    private static Outcome submitted(JobStatus status) {
+    private static Outcome submissionOutcome(JobStatus status) {
         return switch (status) {
             case DONE -> Outcome.ACCEPTED;
             case INVALID -> Outcome.INVALID;
@@ -127,89 +130,93 @@
         return host == null ? "" : host;
     }
 
-    /** Answers a call by a job's id; false if the request is none. */
+    /** Handles a request about a job by its id; returns false, without a response, for any other request. */
     boolean handle(Request request, ClientResponse client, FleetConfig configuration) {
         Optional<JobPath> path = JobPath.of(request.getHttpURI().getPath());
         if (path.isEmpty()) {
             return false;
         }
-        if (!proxy.services().jobs().isOpen()) {
-            boolean mayBeThere = !configuration.batchRoutes(host(request)).isEmpty();
-            if (mayBeThere) {
+        if (!proxy.services().jobs().isAvailable()) {
+            boolean hasBatchRoutes = !configuration.batchRoutes(host(request)).isEmpty();
+            if (hasBatchRoutes) {
                 client.respond(Outcome.UNCLEAR, RETRY_AFTER_MS, proxy.isLeaving());
             }
-            return mayBeThere;
+            return hasBatchRoutes;
         }
-        Optional<JobCallKind> kind = kind(request.getMethod(), path.get());
+        Optional<JobCallKind> kind = callKind(request.getMethod(), path.get());
         if (kind.isEmpty()) {
             client.respond(Outcome.NO_SUCH, 0, proxy.isLeaving());
             return true;
         }
         Exchange exchange = new Exchange(client, kind.get() == JobCallKind.END ? Outcome.UNCONFIRMED : Outcome.UNCLEAR);
         if (exchange.begin()) {
-            new Search(exchange, kind.get(), path.get(), request, configuration).next();
+            new ShardSearch(exchange, kind.get(), path.get(), request, configuration).queryNextShard();
         }
         return true;
     }
 
-    private static Optional<JobCallKind> kind(String method, JobPath path) {
+    private static Optional<JobCallKind> callKind(String method, JobPath path) {
         if (HttpMethod.GET.is(method)) {
             return Optional.of(path.isItem() ? JobCallKind.ITEM : JobCallKind.RESULTS);
         }
         return HttpMethod.DELETE.is(method) && !path.isItem() ? Optional.of(JobCallKind.END) : Optional.empty();
     }
 
-    /** Asks the shards that may keep a job, the likely ones first, until one knows it. */
-    private final class Search {
+    /**
+     * Looks a job up by its id, shard by shard until one knows it. The shards of the host's batch routes are asked
+     * first, because they are the most likely to have it.
+     */
+    private final class ShardSearch {
         private final Exchange exchange;
         private final JobCallKind kind;
         private final JobPath path;
         private final long position;
-        private final String item;
-        private final int waitMs;
+        private final String itemId;
+        private final int pollWaitMs;
         private final Iterator<Integer> shards;
 
-        Search(Exchange exchange, JobCallKind kind, JobPath path, Request request, FleetConfig configuration) {
+        ShardSearch(Exchange exchange, JobCallKind kind, JobPath path, Request request, FleetConfig configuration) {
             this.exchange = exchange;
             this.kind = kind;
             this.path = path;
             Fields query = Request.extractQueryParameters(request);
-            position = number(query.getValue("afterRevision"));
-            String named = query.getValue("instanceId");
-            item = named == null ? "" : named;
-            waitMs = (int) Math.min(HELD_MAX_MS, number(request.getHeaders().get(Headers.POLL_WAIT_MS)));
-            Set<Integer> order = new LinkedHashSet<>();
+            position = parseNonNegative(query.getValue("afterRevision"));
+            String instanceId = query.getValue("instanceId");
+            itemId = instanceId == null ? "" : instanceId;
+            pollWaitMs = (int) Math.min(
+                    POLL_WAIT_MAX_MS, parseNonNegative(request.getHeaders().get(Headers.POLL_WAIT_MS)));
+            Set<Integer> searchOrder = new LinkedHashSet<>();
             configuration
                     .batchRoutes(host(request))
-                    .forEach(route -> order.add(ShardAssignment.shardOf("", route.name())));
+                    .forEach(route -> searchOrder.add(ShardAssignment.shardOf("", route.name())));
             for (int shard = 0; shard < ShardAssignment.SHARDS; shard++) {
-                order.add(shard);
+                searchOrder.add(shard);
             }
-            shards = order.iterator();
+            shards = searchOrder.iterator();
         }
 
-        void next() {
+        void queryNextShard() {
             if (!shards.hasNext()) {
                 exchange.respond(Outcome.NO_SUCH);
                 return;
             }
-            JobCall call =
-                    new JobCall(0, kind.code(), shards.next(), position, waitMs, path.id(), item, "", "", "", NO_BODY);
-            int timeLimitMs = kind == JobCallKind.END ? CHANGE_MS : READ_MS + waitMs;
-            proxy.services().jobs().call(call, timeLimitMs, this::replied);
+            JobCall call = new JobCall(
+                    0, kind.code(), shards.next(), position, pollWaitMs, path.id(), itemId, "", "", "", NO_BODY);
+            int timeoutMs = kind == JobCallKind.END ? WRITE_TIMEOUT_MS : READ_TIMEOUT_MS + pollWaitMs;
+            proxy.services().jobs().call(call, timeoutMs, this::onReply);
         }
 
-        private void replied(JobStatus status, byte[] body) {
+        private void onReply(JobStatus status, byte[] body) {
             switch (status) {
                 case DONE -> exchange.respond(kind == JobCallKind.ITEM ? BYTES_TYPE : JSON_TYPE, body);
-                case NO_SUCH -> next();
-                default -> exchange.respond(exchange.ifCut);
+                case NO_SUCH -> queryNextShard();
+                default -> exchange.respond(exchange.indeterminateOutcome);
             }
         }
     }
 
-    /** A number of 0 or more; 0 if there is none. */
-    private static long number(String text) {
+    /** Parses a non-negative number; returns 0 for null, a negative number or any other text. */
+    private static long parseNonNegative(String text) {
         try {
             return text == null ? 0 : Math.max(0, Long.parseLong(text.trim()));
         } catch (NumberFormatException notANumber) {
--- a/src/main/java/ringspindle/proxy/JobPath.java
+++ b/src/main/java/ringspindle/proxy/JobPath.java
@@ -3,20 +3,21 @@
 import java.util.Optional;
 
 /**
- * The path of a call by a job's id: {@code /ringspindle/lots/ID}, or {@code /ringspindle/items/ID} for one of its items.
+ * Path of a request about a job by its id: {@code /ringspindle/lots/ID} for the job, {@code /ringspindle/items/ID} for
+ * one of its items.
  *
- * @param isItem the call is about an item
+ * @param isItem whether the request is about an item
  */
 record JobPath(String id, boolean isItem) {
-    private static final String JOBS = "/ringspindle/lots/";
-    private static final String ITEMS = "/ringspindle/items/";
+    private static final String JOBS_PREFIX = "/ringspindle/lots/";
+    private static final String ITEMS_PREFIX = "/ringspindle/items/";
 
-    /** Reads a path; empty for any other one. */
+    /** Parses a path; returns empty if it is neither of a job nor of an item. */
     static Optional<JobPath> of(String path) {
-        if (path.startsWith(JOBS)) {
-            return of(path.substring(JOBS.length()), false);
+        if (path.startsWith(JOBS_PREFIX)) {
+            return of(path.substring(JOBS_PREFIX.length()), false);
         }
-        return path.startsWith(ITEMS) ? of(path.substring(ITEMS.length()), true) : Optional.empty();
+        return path.startsWith(ITEMS_PREFIX) ? of(path.substring(ITEMS_PREFIX.length()), true) : Optional.empty();
     }
 
     private static Optional<JobPath> of(String id, boolean isItem) {
