--- a/src/main/java/ringspindle/dataplane/DataPlane.java
+++ b/src/main/java/ringspindle/dataplane/DataPlane.java
@@ -54,7 +54,7 @@
             proxy.services().setUsage(usage);
             return new NodeComponents(List.of(jobs, quotas, usage));
         });
-        proxy.explainBy(node::describeKnowledge);
+        proxy.setStateFreshness(node::describeKnowledge);
         settings.listen(loadBalancer::updateSettings);
         settings.listen(node::settings);
         node.start();
--- a/src/main/java/ringspindle/dataplane/DataPlaneMetrics.java
+++ b/src/main/java/ringspindle/dataplane/DataPlaneMetrics.java
@@ -20,8 +20,8 @@
                         "ringspindle_facts_overdue",
                         "Facts known here for over a second and not in force.",
                         node::overdueFacts)
-                .gauge("ringspindle_requests_active", "Requests under way.", proxy::active)
-                .gauge("ringspindle_requests_waiting", "Requests that wait for capacity.", proxy::waiting)
+                .gauge("ringspindle_requests_active", "Requests under way.", proxy::activeRequests)
+                .gauge("ringspindle_requests_waiting", "Requests that wait for capacity.", proxy::queuedRequests)
                 .counters("ringspindle_requests", "Requests that ended, by how.", "end", proxy::endCounts)
                 .gauges(
                         "ringspindle_engines",
--- a/src/main/java/ringspindle/dataplane/GracefulShutdown.java
+++ b/src/main/java/ringspindle/dataplane/GracefulShutdown.java
@@ -42,18 +42,18 @@
     void run(long graceMs) throws InterruptedException {
         long sinceMs = clock.nowMs();
         long endMs = sinceMs + graceMs - Math.min(RESERVED_MS, graceMs / RESERVED_PART);
-        proxy.leave(endMs);
+        proxy.beginShutdown(endMs);
         node.leave();
-        LOG.atInfo().with(LogField.COUNT, proxy.active()).log("data plane shuts down with requests in flight");
+        LOG.atInfo().with(LogField.COUNT, proxy.activeRequests()).log("data plane shuts down with requests in flight");
         awaitDeparture(new DeparturePlan(sinceMs, endMs));
         proxy.stopAccepting();
         node.announce();
         LOG.atInfo()
                 .with(LogField.ELAPSED_MS, clock.nowMs() - sinceMs)
-                .with(LogField.COUNT, proxy.active())
+                .with(LogField.COUNT, proxy.activeRequests())
                 .log("data plane takes no more connections");
         awaitIdle(endMs);
-        long cut = proxy.endAll();
+        long cut = proxy.cancelActiveRequests();
         Thread.sleep(FLUSH_MS);
         LOG.atInfo()
                 .with(LogField.ELAPSED_MS, clock.nowMs() - sinceMs)
@@ -64,7 +64,7 @@
     private void awaitDeparture(DeparturePlan plan) throws InterruptedException {
         RegionCoverage coverage = node.coverage();
         while (!plan.isOver(clock.nowMs(), coverage)) {
-            proxy.serveAsLast(plan.hasStayed());
+            proxy.setLastInRegion(plan.hasStayed());
             Thread.sleep(STEP_MS);
             coverage = node.coverage();
         }
@@ -75,9 +75,9 @@
         long busyMs = clock.nowMs();
         while (clock.nowMs() < endMs) {
             Thread.sleep(STEP_MS);
-            if (proxy.active() > 0) {
+            if (proxy.activeRequests() > 0) {
                 busyMs = clock.nowMs();
-            } else if (clock.nowMs() - busyMs >= IDLE_MS && proxy.refuseIfIdle()) {
+            } else if (clock.nowMs() - busyMs >= IDLE_MS && proxy.closeIfIdle()) {
                 return;
             }
         }
--- a/src/main/java/ringspindle/dataplane/HeartbeatSender.java
+++ b/src/main/java/ringspindle/dataplane/HeartbeatSender.java
@@ -42,7 +42,7 @@
     /** Sends a heartbeat to a peer. */
     void send(NodeId to) {
         NodeFlags flags = lifecycle == Lifecycle.LEAVING
-                ? NodeFlags.LEAVING.and(NodeFlags.STILL_SERVING.when(proxy.takesRequests()))
+                ? NodeFlags.LEAVING.and(NodeFlags.STILL_SERVING.when(proxy.acceptsRequests()))
                 : NodeFlags.READY.when(proxy.isReady());
         long digest = gossip.facts().digest();
         mesh.send(to, gossip.sessions().nextHeartbeat(to, flags.and(NodeFlags.FRAGMENTS), 0, 0, digest, clock.nowMs()));
--- a/src/main/java/ringspindle/dataplane/MessageDispatcher.java
+++ b/src/main/java/ringspindle/dataplane/MessageDispatcher.java
@@ -139,7 +139,7 @@
         boolean holdsAll = committed != null
                 && committed.version() >= controlNode.heartbeat().seq();
         if (filled && holdsAll && unapplied.isEmpty()) {
-            proxy.proveKnowledge(controlNode.contactMs());
+            proxy.confirmUpToDate(controlNode.contactMs());
         }
     }
 
--- a/src/main/java/ringspindle/dataplane/UsageReporter.java
+++ b/src/main/java/ringspindle/dataplane/UsageReporter.java
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public void began(String tenant) {
+    public void onRequestStarted(String tenant) {
         counter.began(tenant, wallClock.wallMs(clock.nowMs()));
     }
 
--- a/src/main/java/ringspindle/proxy/AdmittedRequest.java
+++ b/src/main/java/ringspindle/proxy/AdmittedRequest.java
@@ -23,7 +23,7 @@
  */
 final class AdmittedRequest {
     /** Ranks of routes and rules within one rank of tenants. */
-    private static final int RANKS_OF_A_TENANT = 4;
+    private static final int RANKS_PER_TENANT_PRIORITY = 4;
 
     private final Request request;
     private final byte[] body;
@@ -49,14 +49,18 @@
      * @param assignment what an experiment says of it
      */
     AdmittedRequest(
-            Arrival arrival, byte[] body, String service, ServingRules rulesInForce, Optional<Assignment> assignment) {
-        request = arrival.request();
-        route = arrival.route();
-        attemptId = arrival.attemptId();
-        receivedMs = arrival.receivedMs();
-        timeLimitMs = arrival.timeLimitMs();
-        identity = arrival.identity();
-        mayOutliveNode = arrival.mayOutliveNode();
+            IncomingRequest incoming,
+            byte[] body,
+            String service,
+            ServingRules rulesInForce,
+            Optional<Assignment> assignment) {
+        request = incoming.request();
+        route = incoming.route();
+        attemptId = incoming.attemptId();
+        receivedMs = incoming.receivedMs();
+        timeLimitMs = incoming.timeLimitMs();
+        identity = incoming.identity();
+        mayOutliveNode = incoming.mayOutliveNode();
         this.body = body;
         this.service = service;
         this.assignment = assignment;
@@ -135,7 +139,7 @@
     }
 
     /** The name that it is counted under. */
-    String className() {
+    String servingClass() {
         return rule == null ? ServingRules.DEFAULT_CLASS : rule.name();
     }
 
@@ -146,12 +150,12 @@
 
     /** Its rank among requests that wait, 0 being served first: the tenant's before the rule's, or else the route's. */
     int priority() {
-        int own = rule == null || rule.rank() < 0 ? route.priority() : rule.rank();
-        return tenant().map(Tenant::priority).orElse(0) * RANKS_OF_A_TENANT + own;
+        int baseRank = rule == null || rule.rank() < 0 ? route.priority() : rule.rank();
+        return tenant().map(Tenant::priority).orElse(0) * RANKS_PER_TENANT_PRIORITY + baseRank;
     }
 
     /** True where there are tenants, though this may be anyone's request. */
-    boolean isOfTenants() {
+    boolean areTenantsConfigured() {
         return !(identity instanceof Identity.Anyone anyone) || anyone.amongTenants();
     }
 
@@ -162,8 +166,8 @@
 
     /** The regions that may serve it: homes of the route and of the tenant. */
     private AllowedRegions allowedRegions() {
-        AllowedRegions ofRoute = route.allowedRegions();
-        return tenant().map(tenant -> ofRoute.and(tenant.homes())).orElse(ofRoute);
+        AllowedRegions routeRegions = route.allowedRegions();
+        return tenant().map(tenant -> routeRegions.and(tenant.homes())).orElse(routeRegions);
     }
 
     /**
@@ -195,11 +199,11 @@
             return null;
         }
         double reservedForOthers = rules.shareReservedForOthers(rule);
-        boolean saysNothing = reservedForOthers <= 0
+        boolean hasNoPreference = reservedForOthers <= 0
                 && rule.affinity() == null
                 && rule.whenBusy().isEmpty()
                 && rule.whenUnavailable().isEmpty();
-        if (saysNothing) {
+        if (hasNoPreference) {
             return null;
         }
         double maxImbalance = rule.affinity() == null
@@ -214,7 +218,7 @@
     }
 
     /** True for a stream that is passed on only when it is whole, as the node may end before: it must not be cut then. */
-    boolean isHeldWhole() {
+    boolean isBufferedUntilComplete() {
         return mayOutliveNode && isStreaming();
     }
 
@@ -237,8 +241,8 @@
         return Math.max(0, promptTokens - affinity.sharedTokens());
     }
 
-    private String header(String name, String otherwise) {
+    private String header(String name, String defaultValue) {
         String value = request.getHeaders().get(name);
-        return value == null ? otherwise : value;
+        return value == null ? defaultValue : value;
     }
 }
--- a/src/main/java/ringspindle/proxy/BoundedBody.java
+++ b/src/main/java/ringspindle/proxy/BoundedBody.java
@@ -9,27 +9,27 @@
 /** Reads a request's body, and no more of it than its bound. Whoever takes the body must not block. */
 public final class BoundedBody implements NonBlockingTask {
     private final Request request;
-    private final int most;
-    private final Consumer<byte[]> then;
-    private final Consumer<Throwable> failed;
-    private final ByteArrayOutputStream out;
+    private final int maxBytes;
+    private final Consumer<byte[]> onBody;
+    private final Consumer<Throwable> onFailure;
+    private final ByteArrayOutputStream collected;
 
     /**
      * {@code new BoundedBody(request, 65536, body -> ..., x -> ...).run()} gives the body once it is whole, null as soon as
      * it is known to pass its bound.
      */
-    public BoundedBody(Request request, int most, Consumer<byte[]> then, Consumer<Throwable> failed) {
+    public BoundedBody(Request request, int maxBytes, Consumer<byte[]> onBody, Consumer<Throwable> onFailure) {
         this.request = request;
-        this.most = most;
-        this.then = then;
-        this.failed = failed;
-        out = new ByteArrayOutputStream(Math.max(32, (int) Math.min(1 << 16, request.getLength())));
+        this.maxBytes = maxBytes;
+        this.onBody = onBody;
+        this.onFailure = onFailure;
+        collected = new ByteArrayOutputStream(Math.max(32, (int) Math.min(1 << 16, request.getLength())));
     }
 
     @Override
     public void run() {
-        if (request.getLength() > most) {
-            then.accept(null);
+        if (request.getLength() > maxBytes) {
+            onBody.accept(null);
             return;
         }
         while (true) {
@@ -39,21 +39,21 @@
                 return;
             }
             if (Content.Chunk.isFailure(chunk)) {
-                failed.accept(chunk.getFailure());
+                onFailure.accept(chunk.getFailure());
                 return;
             }
-            ByteBuffer b = chunk.getByteBuffer();
-            byte[] bytes = new byte[b.remaining()];
-            b.get(bytes);
-            out.writeBytes(bytes);
+            ByteBuffer buffer = chunk.getByteBuffer();
+            byte[] bytes = new byte[buffer.remaining()];
+            buffer.get(bytes);
+            collected.writeBytes(bytes);
             boolean last = chunk.isLast();
             chunk.release();
-            if (out.size() > most) {
-                then.accept(null);
+            if (collected.size() > maxBytes) {
+                onBody.accept(null);
                 return;
             }
             if (last) {
-                then.accept(out.toByteArray());
+                onBody.accept(collected.toByteArray());
                 return;
             }
         }
--- a/src/main/java/ringspindle/proxy/CallerIdentification.java
+++ b/src/main/java/ringspindle/proxy/CallerIdentification.java
@@ -22,20 +22,20 @@
 
     /** Who sends the request under that configuration. */
     Identity identify(Request request, FleetConfig configuration, FleetConfig.Route route, long nowMs) {
-        Tenants known = tenants;
-        if (known == null || known.configuration() != configuration) {
-            known = new Tenants(configuration, TenantTable.of(configuration));
-            tenants = known;
+        Tenants current = tenants;
+        if (current == null || current.configuration() != configuration) {
+            current = new Tenants(configuration, TenantTable.of(configuration));
+            tenants = current;
         }
-        if (known.table().isEmpty()) {
+        if (current.table().isEmpty()) {
             return new Identity.Anyone(false);
         }
         List<String> authorization = request.getHeaders().getValuesList(HttpHeader.AUTHORIZATION);
-        return known.table().identify(route, authorization, lease.isValid(nowMs));
+        return current.table().identify(route, authorization, lease.isValid(nowMs));
     }
 
-    /** See {@link Proxy#proveKnowledge}. */
-    void prove(long heartbeatSentMs) {
+    /** See {@link Proxy#confirmUpToDate}. */
+    void confirmUpToDate(long heartbeatSentMs) {
         lease.prove(heartbeatSentMs);
     }
 }
--- a/src/main/java/ringspindle/proxy/CapacityWait.java
+++ b/src/main/java/ringspindle/proxy/CapacityWait.java
@@ -2,33 +2,33 @@
 
 /** How long a request has waited for capacity, and until when it may; all in ms of the steady clock. Not thread safe. */
 final class CapacityWait {
-    private boolean underWay;
-    private long sinceMs;
-    private long untilMs;
+    private boolean active;
+    private long startMs;
+    private long deadlineMs;
 
     /** Starts to wait until that time at most. */
-    void begin(long nowMs, long untilMs) {
-        underWay = true;
-        this.sinceMs = nowMs;
-        this.untilMs = untilMs;
+    void begin(long nowMs, long deadlineMs) {
+        active = true;
+        this.startMs = nowMs;
+        this.deadlineMs = deadlineMs;
     }
 
     /** An engine was found. */
     void end() {
-        underWay = false;
+        active = false;
     }
 
-    boolean isUnderWay() {
-        return underWay;
+    boolean isActive() {
+        return active;
     }
 
     /** True once the request is to be given up. */
-    boolean isOver(long nowMs) {
-        return underWay && nowMs >= untilMs;
+    boolean isExpired(long nowMs) {
+        return active && nowMs >= deadlineMs;
     }
 
     /** For how long it has waited so far, 0 if it does not wait. */
     long elapsedMs(long nowMs) {
-        return underWay ? nowMs - sinceMs : 0;
+        return active ? nowMs - startMs : 0;
     }
 }
--- a/src/main/java/ringspindle/proxy/EngineHttpClient.java
+++ b/src/main/java/ringspindle/proxy/EngineHttpClient.java
@@ -12,7 +12,7 @@
 /** Creates the HTTP client for engines, without redirects, cookies, decoding or any other change to messages. */
 final class EngineHttpClient {
     /** In bytes; larger than the limit for clients because the proxy adds a few headers. */
-    private static final int REQUEST_HEADERS_MAX = ProxyHandler.REQUEST_HEADERS_MAX + 4096;
+    private static final int MAX_REQUEST_HEADER_BYTES = ProxyHandler.MAX_REQUEST_HEADER_BYTES + 4096;
 
     private static final int RESPONSE_HEADERS_MAX = 16384;
     /** Small because a buffer is allocated for each read; events are much smaller. */
@@ -41,7 +41,7 @@
         client.setFollowRedirects(false);
         client.setDefaultRequestContentType(null);
         client.setMaxResponseHeadersSize(RESPONSE_HEADERS_MAX);
-        client.setMaxRequestHeadersSize(REQUEST_HEADERS_MAX);
+        client.setMaxRequestHeadersSize(MAX_REQUEST_HEADER_BYTES);
         // A cookie that an engine sets for one client must never be sent with the request of another.
         client.setHttpCookieStore(new HttpCookieStore.Empty());
         client.setUseInputDirectByteBuffers(false);
--- a/src/main/java/ringspindle/proxy/EngineRequestFactory.java
+++ b/src/main/java/ringspindle/proxy/EngineRequestFactory.java
@@ -106,7 +106,7 @@
 
     /** Replaces the client's credentials by the tenant's name: an engine never sees an API key. */
     private static void putTenant(AdmittedRequest admitted, HttpFields.Mutable fields) {
-        if (!admitted.isOfTenants()) {
+        if (!admitted.areTenantsConfigured()) {
             return;
         }
         fields.remove(HttpHeader.AUTHORIZATION);
--- a/src/main/java/ringspindle/proxy/ExperimentOutcomes.java
+++ b/src/main/java/ringspindle/proxy/ExperimentOutcomes.java
@@ -18,11 +18,11 @@
  * holds nothing. Thread safe.
  */
 final class ExperimentOutcomes {
-    private record Open(Assignment assignment, AdmittedRequest admitted, ResponseTiming timing) {}
+    private record PendingOutcome(Assignment assignment, AdmittedRequest admitted, ResponseTiming timing) {}
 
     private final ExperimentTable experiments = new ExperimentTable();
     private final OutcomeTable outcomes = new OutcomeTable();
-    private final Map<String, Open> open = new ConcurrentHashMap<>();
+    private final Map<String, PendingOutcome> pending = new ConcurrentHashMap<>();
 
     ExperimentTable experiments() {
         return experiments;
@@ -42,27 +42,27 @@
         admitted.assignment().filter(Assignment::isCounted).ifPresent(assignment -> {
             ResponseTiming timing = new ResponseTiming(clock);
             client.setTiming(timing);
-            open.put(actionId, new Open(assignment, admitted, timing));
+            pending.put(actionId, new PendingOutcome(assignment, admitted, timing));
         });
     }
 
     /** An action ended; one that the client gave up says nothing of a policy. */
     void onEnded(TerminalEvent event, long nowMs) {
-        Open ended = open.remove(event.actionId());
-        if (ended == null || event.cause() == CancelCause.CLIENT_GONE) {
+        PendingOutcome pendingOutcome = pending.remove(event.actionId());
+        if (pendingOutcome == null || event.cause() == CancelCause.CLIENT_GONE) {
             return;
         }
-        FleetConfig.Route route = ended.admitted().route();
+        FleetConfig.Route route = pendingOutcome.admitted().route();
         boolean answered = event.state() == Action.State.COMPLETED && event.lastOutcome() == AttemptOutcome.ANSWERED;
         // an answer that is held until it is whole is written right after the end
-        long firstMs = ended.timing().firstWriteMs() == ResponseTiming.NOT_WRITTEN && answered
+        long firstWriteMs = pendingOutcome.timing().firstWriteMs() == ResponseTiming.NOT_WRITTEN && answered
                 ? nowMs
-                : ended.timing().firstWriteMs();
-        long takenMs = firstMs == ResponseTiming.NOT_WRITTEN
-                ? firstMs
-                : firstMs - ended.admitted().receivedMs();
-        boolean paused = route.tokenGapMs() > 0 && ended.timing().longestGapMs() > route.tokenGapMs();
-        boolean inTarget = answered && takenMs <= route.aimMs() && !paused;
-        outcomes.add(ended.assignment(), inTarget, takenMs, route.aimMs());
+                : pendingOutcome.timing().firstWriteMs();
+        long firstResponseMs = firstWriteMs == ResponseTiming.NOT_WRITTEN
+                ? firstWriteMs
+                : firstWriteMs - pendingOutcome.admitted().receivedMs();
+        boolean gapExceeded = route.tokenGapMs() > 0 && pendingOutcome.timing().longestGapMs() > route.tokenGapMs();
+        boolean withinTarget = answered && firstResponseMs <= route.aimMs() && !gapExceeded;
+        outcomes.add(pendingOutcome.assignment(), withinTarget, firstResponseMs, route.aimMs());
     }
 }
--- a/src/main/java/ringspindle/proxy/Arrival.java
+++ b/src/main/java/ringspindle/proxy/IncomingRequest.java
@@ -14,7 +14,7 @@
  * @param identity who sends it: a tenant, or anyone
  * @param mayOutliveNode the node may end before that time is over
  */
-record Arrival(
+record IncomingRequest(
         Request request,
         ClientResponse client,
         FleetConfig.Route route,
--- a/src/main/java/ringspindle/proxy/ItemCall.java
+++ b/src/main/java/ringspindle/proxy/ItemCall.java
@@ -82,7 +82,7 @@
     private LoadBalancer.SelectionRequest selectionRequest() {
         LoadBalancer.RoutingPreference preference = new LoadBalancer.RoutingPreference(
                 client.reservedShare(), CostWeights.DEFAULT.maxImbalance(), List.of(), List.of(), 0);
-        String service = RouteSplit.service(item.route(), item.attemptId());
+        String service = RouteSplit.selectService(item.route(), item.attemptId());
         return new LoadBalancer.SelectionRequest(
                 service,
                 item.route().allowedRegions(),
--- a/src/main/java/ringspindle/proxy/JobAdmission.java
+++ b/src/main/java/ringspindle/proxy/JobAdmission.java
@@ -57,7 +57,7 @@
         /** False if the node ends. */
         boolean begin() {
             if (!active.begin()) {
-                client.respond(Outcome.LEAVING, proxy.retryAfterLeavingMs(), true);
+                client.respond(Outcome.LEAVING, proxy.shutdownRetryAfterMs(), true);
                 return false;
             }
             active.track(actionId, this);
@@ -67,34 +67,34 @@
         void respond(Outcome outcome) {
             if (ended.compareAndSet(false, true)) {
                 active.end(actionId);
-                client.respond(outcome, RETRY_AFTER_MS, proxy.isLeaving());
+                client.respond(outcome, RETRY_AFTER_MS, proxy.isShuttingDown());
             }
         }
 
         void respond(String type, byte[] body) {
             if (ended.compareAndSet(false, true)) {
                 active.end(actionId);
-                client.respond(type, body, proxy.isLeaving());
+                client.respond(type, body, proxy.isShuttingDown());
             }
         }
 
         @Override
-        public void onNodeEnds() {
+        public void onNodeTermination() {
             respond(ifCut);
         }
     }
 
     /** Passes a job on that came whole on a batch route. */
-    void submit(Arrival arrival, byte[] body) {
-        Exchange exchange = new Exchange(arrival.client(), Outcome.UNCONFIRMED);
+    void submit(IncomingRequest incoming, byte[] body) {
+        Exchange exchange = new Exchange(incoming.client(), Outcome.UNCONFIRMED);
         if (!proxy.services().jobs().isOpen()) {
-            arrival.client().respond(Outcome.NO_BATCHES, RETRY_AFTER_MS, proxy.isLeaving());
+            incoming.client().respond(Outcome.NO_BATCHES, RETRY_AFTER_MS, proxy.isShuttingDown());
             return;
         }
         if (!exchange.begin()) {
             return;
         }
-        FleetConfig.Route route = arrival.route();
+        FleetConfig.Route route = incoming.route();
         String tenant = "";
         JobCall call = new JobCall(
                 0,
@@ -102,10 +102,10 @@
                 ShardAssignment.shardOf(tenant, route.name()),
                 0,
                 0,
-                arrival.attemptId(),
+                incoming.attemptId(),
                 "",
                 route.name(),
-                host(arrival.request()),
+                host(incoming.request()),
                 tenant,
                 body);
         proxy.services().jobs().call(call, CHANGE_MS, (status, reply) -> exchange.respond(submitted(status)));
@@ -136,13 +136,13 @@
         if (!proxy.services().jobs().isOpen()) {
             boolean mayBeThere = !configuration.batchRoutes(host(request)).isEmpty();
             if (mayBeThere) {
-                client.respond(Outcome.UNCLEAR, RETRY_AFTER_MS, proxy.isLeaving());
+                client.respond(Outcome.UNCLEAR, RETRY_AFTER_MS, proxy.isShuttingDown());
             }
             return mayBeThere;
         }
         Optional<JobCallKind> kind = kind(request.getMethod(), path.get());
         if (kind.isEmpty()) {
-            client.respond(Outcome.NO_SUCH, 0, proxy.isLeaving());
+            client.respond(Outcome.NO_SUCH, 0, proxy.isShuttingDown());
             return true;
         }
         Exchange exchange = new Exchange(client, kind.get() == JobCallKind.END ? Outcome.UNCONFIRMED : Outcome.UNCLEAR);
--- a/src/main/java/ringspindle/proxy/NodeServices.java
+++ b/src/main/java/ringspindle/proxy/NodeServices.java
@@ -10,7 +10,7 @@
     @FunctionalInterface
     public interface UsageListener {
         /** An engine has begun a request of that tenant: its first output is there. */
-        void began(String tenant);
+        void onRequestStarted(String tenant);
     }
 
     /** Passes calls about batch jobs to that gateway. */
--- a/src/main/java/ringspindle/proxy/ProxiedAttempt.java
+++ b/src/main/java/ringspindle/proxy/ProxiedAttempt.java
@@ -136,7 +136,7 @@
     }
 
     private void startStream(Response response) {
-        stream = new EngineStream(request.position(), request.admitted().isHeldWhole());
+        stream = new EngineStream(request.position(), request.admitted().isBufferedUntilComplete());
         if (!stream.onHeaders(response.getHeaders().get(Headers.WEIGHT_VERSIONS), resumes)) {
             request.onAttemptFailed(this, AttemptOutcome.BROKEN);
         }
@@ -351,7 +351,7 @@
     /** Returns when it times out: a stream after a period without data, any other response after its total time. */
     long timeoutAtMs() {
         return responseKind != null && isStream()
-                ? timing.lastActivityMs() + request.limits().silenceMs()
+                ? timing.lastActivityMs() + request.limits().silenceTimeoutMs()
                 : scope.deadlineMs();
     }
 
@@ -388,13 +388,13 @@
     /** Sets the headers of a buffered response; returns the task that writes its body. */
     Runnable bufferedResponse() {
         byte[] body = buffered.toByteArray();
-        request.client().setHeaders(responseHead, body.length, proxy.isLeaving());
+        request.client().setHeaders(responseHead, body.length, proxy.isShuttingDown());
         return () -> request.client().writeBody(body);
     }
 
     /** Sets the headers of a buffered stream; returns the task that writes its events. */
     private Runnable bufferedStream(byte[] events) {
-        request.client().setStreamHeaders(responseHead, proxy.isLeaving());
+        request.client().setStreamHeaders(responseHead, proxy.isShuttingDown());
         return () -> request.client().writeBody(events);
     }
 }
--- a/src/main/java/ringspindle/proxy/ProxiedRequest.java
+++ b/src/main/java/ringspindle/proxy/ProxiedRequest.java
@@ -76,7 +76,7 @@
         limits = new RequestTimeLimits(admitted);
         timer = new RequestTimer(proxy, this::onTimer);
         position = StreamPosition.after(admitted.headers().get(Headers.LAST_EVENT_ID));
-        proxy.ledger().onAdmitted(action.id(), admitted.rulesRevision(), admitted.className(), policy.repeatable());
+        proxy.ledger().onAdmitted(action.id(), admitted.rulesRevision(), admitted.servingClass(), policy.repeatable());
     }
 
     /** Starts to watch the client's connection and selects the first engine. */
@@ -136,18 +136,19 @@
     /** Returns the timeout of an attempt; 0 if no other attempt could follow it. */
     private long attemptTimeoutMs() {
         boolean anotherMayFollow = policy.repeatable() && action.attemptCount() + 1 < policy.maxAttempts();
-        return anotherMayFollow ? limits.attemptMs() : 0;
+        return anotherMayFollow ? limits.attemptTimeoutMs() : 0;
     }
 
     /** Queues the request until capacity is available or its waiting time is over. */
     private void waitForCapacity(long nowMs) {
         phase = Phase.WAITING;
-        if (!capacityWait.isUnderWay()) {
+        if (!capacityWait.isActive()) {
             boolean started = action.mayHaveRun() || action.isResponseCommitted();
             capacityWait.begin(
-                    nowMs, Math.min(nowMs + limits.waitMs(started, nowMs), action.deadlineMs() - WAIT_MARGIN_MS));
+                    nowMs,
+                    Math.min(nowMs + limits.capacityWaitMs(started, nowMs), action.deadlineMs() - WAIT_MARGIN_MS));
         }
-        if (capacityWait.isOver(nowMs)) {
+        if (capacityWait.isExpired(nowMs)) {
             giveUp(nowMs);
             return;
         }
@@ -182,7 +183,7 @@
         if (!action.isLive(nowMs)) {
             return false;
         }
-        client.setStreamHeaders(head, proxy.isLeaving());
+        client.setStreamHeaders(head, proxy.isShuttingDown());
         action.commitResponse();
         return true;
     }
@@ -296,7 +297,7 @@
         } else if (action.cancel(cause, nowMs)) {
             cancelAttempt(nowMs);
             end();
-            client.respond(outcome, retryAfterMs, proxy.isLeaving());
+            client.respond(outcome, retryAfterMs, proxy.isShuttingDown());
         }
     }
 
@@ -314,7 +315,7 @@
     }
 
     @Override
-    public synchronized void onNodeEnds() {
+    public synchronized void onNodeTermination() {
         Outcome outcome = action.mayHaveRun() ? Outcome.BROKEN : Outcome.LEAVING;
         fail(CancelCause.NODE_ENDS, outcome, proxy.nowMs());
     }
--- a/src/main/java/ringspindle/proxy/Proxy.java
+++ b/src/main/java/ringspindle/proxy/Proxy.java
@@ -18,10 +18,10 @@
     /**
      * What became of this node's actions, and the rules in force here.
      *
-     * @param life the incarnation of this node
-     * @param seq the number of the report, which rises
+     * @param incarnation the incarnation of this node
+     * @param sequence the number of the report, which rises
      */
-    LedgerReport ledgerReport(long life, long seq);
+    LedgerReport ledgerReport(long incarnation, long sequence);
 
     /** Experiments in force here; whoever hears a control node that is in touch with a majority renews its lease. */
     ExperimentTable experiments();
@@ -37,13 +37,13 @@
      *
      * @param heartbeatSentMs when the heartbeat was sent by whose answer that is known, on the steady clock
      */
-    void proveKnowledge(long heartbeatSentMs);
+    void confirmUpToDate(long heartbeatSentMs);
 
     /** True while new clients are welcome. */
     boolean isReady();
 
     /** True while requests are taken, also by a node that is shutting down. */
-    boolean takesRequests();
+    boolean acceptsRequests();
 
     /** Asks ejected engines for their health, as far as that is due. */
     void probeEngines();
--- a/src/main/java/ringspindle/proxy/ProxyHandler.java
+++ b/src/main/java/ringspindle/proxy/ProxyHandler.java
@@ -40,12 +40,12 @@
 public final class ProxyHandler extends Handler.Abstract implements Action.Listener, Proxy {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     /** The longest request line with header fields that a client may send, in bytes. */
-    static final int REQUEST_HEADERS_MAX = 32768;
+    static final int MAX_REQUEST_HEADER_BYTES = 32768;
 
     private static final String READINESS_PATH = "/ringspindle/readiness";
 
     /** Default: about how long a data node takes to come back; what clients that only the last one could serve are told. */
-    private static final int RESTART_MS = 800;
+    private static final int RESTART_ESTIMATE_MS = 800;
 
     private final NodeConfig node;
     private final LoadBalancer loadBalancer;
@@ -56,8 +56,8 @@
     private final ProxyServer server;
     private final MonotonicClock clock;
     private final Scheduler scheduler;
-    private final QueuedThreadPool pool;
-    private final WaitQueueTimer queue = new WaitQueueTimer(this::schedule);
+    private final QueuedThreadPool threadPool;
+    private final WaitQueueTimer waitQueue = new WaitQueueTimer(this::schedule);
     private final AtomicLong actionIds = new AtomicLong();
     private final ActiveRequests active = new ActiveRequests();
     private final Map<String, LongAdder> endCounts = new ConcurrentHashMap<>();
@@ -68,11 +68,11 @@
     private volatile boolean confirmed;
     private final CallerIdentification callers;
     private final RequestAdmission admission;
-    private volatile Knowledge knowledge = () -> "";
+    private volatile StateFreshness stateFreshness = () -> "";
     private final NodeServices services = new NodeServices();
-    private volatile GracefulShutdown departure;
+    private volatile ShutdownWindow shutdown;
     private volatile boolean accepting = true;
-    private volatile boolean lastServing;
+    private volatile boolean lastInRegion;
 
     /**
      * A proxy that does not listen yet.
@@ -82,7 +82,7 @@
     public ProxyHandler(
             NodeConfig node,
             LoadBalancer loadBalancer,
-            QueuedThreadPool pool,
+            QueuedThreadPool threadPool,
             Scheduler scheduler,
             MonotonicClock clock)
             throws Exception {
@@ -90,18 +90,18 @@
         super(InvocationType.NON_BLOCKING);
         this.node = node;
         this.loadBalancer = loadBalancer;
-        this.pool = pool;
+        this.threadPool = threadPool;
         this.scheduler = scheduler;
         this.clock = clock;
-        engineClient = EngineHttpClient.start(pool, scheduler);
+        engineClient = EngineHttpClient.start(threadPool, scheduler);
         connections = new EngineConnectionPool(engineClient, clock);
         engineRequests = new EngineRequestFactory(engineClient);
         callers = new CallerIdentification(new KeyLease(node.revokeMs()));
         admission = new RequestAdmission(
-                this, active, experiments, () -> knowledge.describe(), new JobAdmission(this, active), callers);
+                this, active, experiments, () -> stateFreshness.describe(), new JobAdmission(this, active), callers);
         prober = new EngineHealthProber(engineClient, loadBalancer, clock);
         server = ProxyServer.create(
-                node.frontend().orElseThrow(), node.readiness().orElse(null), this, pool, scheduler);
+                node.frontend().orElseThrow(), node.readiness().orElse(null), this, threadPool, scheduler);
     }
 
     /**
@@ -114,8 +114,8 @@
     }
 
     /** Says what answers rest on, for log lines; before {@link #open}. */
-    public void explainBy(Knowledge nodeKnowledge) {
-        knowledge = nodeKnowledge;
+    public void setStateFreshness(StateFreshness freshness) {
+        stateFreshness = freshness;
     }
 
     /** What requests need of the rest of the fleet; to be connected before {@link #open}. */
@@ -148,10 +148,13 @@
     }
 
     @Override
-    public LedgerReport ledgerReport(long life, long seq) {
+    public LedgerReport ledgerReport(long incarnation, long sequence) {
         ServingRules current = rules;
         return ledger.report(
-                life, seq, current == null ? 0 : current.revision(), current == null ? 0 : current.digest());
+                incarnation,
+                sequence,
+                current == null ? 0 : current.revision(),
+                current == null ? 0 : current.digest());
     }
 
     @Override
@@ -170,17 +173,17 @@
     }
 
     @Override
-    public void proveKnowledge(long heartbeatSentMs) {
-        callers.prove(heartbeatSentMs);
+    public void confirmUpToDate(long heartbeatSentMs) {
+        callers.confirmUpToDate(heartbeatSentMs);
     }
 
     @Override
     public boolean isReady() {
-        return configurationInForce() != null && !isLeaving();
+        return configurationInForce() != null && !isShuttingDown();
     }
 
     @Override
-    public boolean takesRequests() {
+    public boolean acceptsRequests() {
         return accepting && configurationInForce() != null;
     }
 
@@ -208,16 +211,16 @@
      *
      * @param endMs when {@link #close} will come, on the steady clock; what could last longer is soon refused
      */
-    public void leave(long endMs) {
-        departure = new GracefulShutdown(clock.nowMs(), endMs);
+    public void beginShutdown(long endMs) {
+        shutdown = new ShutdownWindow(clock.nowMs(), endMs);
     }
 
     /**
      * Whether this node, which leaves, is the last of its region to take requests. The last one also takes what may last longer
      * than itself, and passes a stream of that kind on only when it is whole: an answer that has begun must not be cut.
      */
-    public void serveAsLast(boolean last) {
-        lastServing = last;
+    public void setLastInRegion(boolean last) {
+        lastInRegion = last;
     }
 
     /** Stops accepting connections, once clients had time to hear of it. */
@@ -227,7 +230,7 @@
     }
 
     /** Requests under way. */
-    public long active() {
+    public long activeRequests() {
         return active.count();
     }
 
@@ -235,8 +238,8 @@
      * Takes no request any more if none is under way; true if so. A request that comes on an open connection from then on is
      * refused as not run.
      */
-    public boolean refuseIfIdle() {
-        return active.closeIfNone();
+    public boolean closeIfIdle() {
+        return active.closeIfIdle();
     }
 
     /** Revision of the configuration in force, 0 while there is none. */
@@ -246,16 +249,16 @@
     }
 
     /** Requests that wait for capacity. */
-    public int waiting() {
-        return queue.size();
+    public int queuedRequests() {
+        return waitQueue.size();
     }
 
     /**
      * Takes no request any more and gives those under way their final answer: a refusal where nothing has run, else a
      * failure; a stream that has begun is broken off. Returns how many there were.
      */
-    public long endAll() {
-        return active.closeAndEndAll();
+    public long cancelActiveRequests() {
+        return active.closeAndCancelAll();
     }
 
     /** Closes connections and listeners; the end of a process does so by itself. */
@@ -300,24 +303,24 @@
         return rules;
     }
 
-    boolean isLeaving() {
-        return departure != null;
+    boolean isShuttingDown() {
+        return shutdown != null;
     }
 
     /** True if this node leaves and may have ended before a request that comes now has. */
     boolean mayBeOutlivedBy(long receivedMs, long timeLimitMs) {
-        GracefulShutdown leaving = departure;
-        return leaving != null && leaving.mayBeOutlivedBy(receivedMs, timeLimitMs);
+        ShutdownWindow window = shutdown;
+        return window != null && window.mayBeOutlivedBy(receivedMs, timeLimitMs);
     }
 
     /** True if this node leaves and is the last of its region to take requests. */
-    boolean servesAsLast() {
-        return lastServing;
+    boolean isLastInRegion() {
+        return lastInRegion;
     }
 
     /** What a client is told that is refused as this node leaves. */
-    int retryAfterLeavingMs() {
-        return lastServing ? RESTART_MS : 0;
+    int shutdownRetryAfterMs() {
+        return lastInRegion ? RESTART_ESTIMATE_MS : 0;
     }
 
     long nextRandom() {
@@ -328,19 +331,19 @@
         return node.name() + "-" + Long.toString(actionIds.incrementAndGet(), 36);
     }
 
-    Scheduler.Task schedule(Runnable task, long inMs) {
-        return scheduler.schedule(() -> pool.execute(task), inMs, TimeUnit.MILLISECONDS);
+    Scheduler.Task schedule(Runnable task, long delayMs) {
+        return scheduler.schedule(() -> threadPool.execute(task), delayMs, TimeUnit.MILLISECONDS);
     }
 
     /** Lets a request try again soon, in the order of priority. */
     void enqueue(ProxiedRequest request) {
-        queue.add(request);
+        waitQueue.add(request);
     }
 
     /** Output of an engine came; the first of a success shows that it has begun to run the request. */
     void onOutput(boolean first, ResponseKind kind, AdmittedRequest admitted) {
         if (first && kind == ResponseKind.SUCCESS) {
-            admitted.tenant().ifPresent(tenant -> services.usage().began(tenant.name()));
+            admitted.tenant().ifPresent(tenant -> services.usage().onRequestStarted(tenant.name()));
         }
     }
 
@@ -359,12 +362,12 @@
         active.end(event.actionId());
         ledger.onEnded(event);
         experiments.onEnded(event, clock.nowMs());
-        String end = event.state() + (event.cause() == null ? "" : " " + event.cause());
-        endCounts.computeIfAbsent(end, key -> new LongAdder()).increment();
+        String terminal = event.state() + (event.cause() == null ? "" : " " + event.cause());
+        endCounts.computeIfAbsent(terminal, key -> new LongAdder()).increment();
         if (event.state() != Action.State.COMPLETED && event.cause() != CancelCause.CLIENT_GONE) {
             LOG.atFine()
                     .with(LogField.REQUEST, event.actionId())
-                    .with(LogField.OUTCOME, end)
+                    .with(LogField.OUTCOME, terminal)
                     .with(LogField.ATTEMPTS, event.attempts())
                     .with(LogField.LAST_ATTEMPT, event.lastOutcome())
                     .with(LogField.COMMITTED, event.responseCommitted())
@@ -383,13 +386,13 @@
             Request.addCompletionListener(request, failure -> endPoint.onRequestEnded());
         }
         ClientResponse client = new ClientResponse(request, response, callback);
-        if (server.isFromClient(request)) {
+        if (server.isClientRequest(request)) {
             admission.handle(request, client);
         } else if (request.getHttpURI().getPath().equals(READINESS_PATH)) {
             response.setStatus(isReady() ? HttpStatus.OK_200 : HttpStatus.SERVICE_UNAVAILABLE_503);
             response.write(true, BufferUtil.EMPTY_BUFFER, callback);
         } else {
-            client.respond(Outcome.NO_SUCH, 0, isLeaving());
+            client.respond(Outcome.NO_SUCH, 0, isShuttingDown());
         }
         return true;
     }
--- a/src/main/java/ringspindle/proxy/ProxyServer.java
+++ b/src/main/java/ringspindle/proxy/ProxyServer.java
@@ -19,16 +19,16 @@
 
 /** The listening side of a data node: one port for clients, one where the platform asks for readiness. */
 final class ProxyServer {
-    private static final int IDLE_MS = 15_000;
-    private static final int ACCEPT_QUEUE = 512;
+    private static final int DEFAULT_IDLE_TIMEOUT_MS = 15_000;
+    private static final int ACCEPT_QUEUE_LENGTH = 512;
     private static final int OUTPUT_BUFFER_BYTES = 16_384;
 
     private final Server server;
-    private final ClientEndPoint.Connector clients;
+    private final ClientEndPoint.Connector clientConnector;
 
-    private ProxyServer(Server server, ClientEndPoint.Connector clients) {
+    private ProxyServer(Server server, ClientEndPoint.Connector clientConnector) {
         this.server = server;
-        this.clients = clients;
+        this.clientConnector = clientConnector;
     }
 
     /**
@@ -41,22 +41,22 @@
         // buffers are bounded for a small machine
         Server server = new Server(pool, scheduler, new ArrayByteBufferPool(0, 4096, 65536, 256, 2 << 20, 4 << 20));
         HttpConnectionFactory http = new HttpConnectionFactory(httpConfiguration());
-        ClientEndPoint.Connector clients = new ClientEndPoint.Connector(server, pool, scheduler, http);
-        clients.setHost(address.ip());
-        clients.setPort(address.port());
-        clients.setIdleTimeout(IDLE_MS);
-        clients.setAcceptQueueSize(ACCEPT_QUEUE);
-        server.addConnector(clients);
+        ClientEndPoint.Connector clientConnector = new ClientEndPoint.Connector(server, pool, scheduler, http);
+        clientConnector.setHost(address.ip());
+        clientConnector.setPort(address.port());
+        clientConnector.setIdleTimeout(DEFAULT_IDLE_TIMEOUT_MS);
+        clientConnector.setAcceptQueueSize(ACCEPT_QUEUE_LENGTH);
+        server.addConnector(clientConnector);
         if (readiness != null) {
-            ServerConnector platform = new ServerConnector(
+            ServerConnector readinessConnector = new ServerConnector(
                     server, pool, scheduler, null, 0, 1, new HttpConnectionFactory(httpConfiguration()));
-            platform.setHost(readiness.ip());
-            platform.setPort(readiness.port());
-            server.addConnector(platform);
+            readinessConnector.setHost(readiness.ip());
+            readinessConnector.setPort(readiness.port());
+            server.addConnector(readinessConnector);
         }
         server.setStopTimeout(0);
         server.setHandler(handler);
-        return new ProxyServer(server, clients);
+        return new ProxyServer(server, clientConnector);
     }
 
     /**
@@ -72,7 +72,7 @@
         HttpConfiguration http = new HttpConfiguration();
         http.setSendServerVersion(false);
         http.setSendDateHeader(false);
-        http.setRequestHeaderSize(ProxyHandler.REQUEST_HEADERS_MAX);
+        http.setRequestHeaderSize(ProxyHandler.MAX_REQUEST_HEADER_BYTES);
         http.setUriCompliance(UriCompliance.UNSAFE);
         http.setUseInputDirectByteBuffers(false);
         http.setUseOutputDirectByteBuffers(false);
@@ -86,27 +86,27 @@
     }
 
     /** True if the request came to the clients' port. */
-    boolean isFromClient(Request request) {
-        return request.getConnectionMetaData().getConnector() == clients;
+    boolean isClientRequest(Request request) {
+        return request.getConnectionMetaData().getConnector() == clientConnector;
     }
 
     /** Takes over what a configuration allows clients. */
     void setLimits(FleetConfig.Limits limits) {
-        clients.setHeadTimeout(limits.headerMs());
+        clientConnector.setHeadTimeout(limits.headerMs());
         setIdleTimeout(limits.idleMs());
     }
 
     /** For how long clients may rest between requests, from now on; what open connections were promised is not cut short. */
     private void setIdleTimeout(int idleMs) {
-        clients.setIdleTimeout(idleMs);
-        for (EndPoint open : clients.getConnectedEndPoints()) {
-            open.setIdleTimeout(Math.max(open.getIdleTimeout(), idleMs));
+        clientConnector.setIdleTimeout(idleMs);
+        for (EndPoint endPoint : clientConnector.getConnectedEndPoints()) {
+            endPoint.setIdleTimeout(Math.max(endPoint.getIdleTimeout(), idleMs));
         }
     }
 
     /** Accepts no further connections; those that stand go on. */
     void stopAccepting() {
-        clients.shutdown();
+        clientConnector.shutdown();
     }
 
     /** Closes everything. */
--- a/src/main/java/ringspindle/proxy/QuotaWait.java
+++ b/src/main/java/ringspindle/proxy/QuotaWait.java
@@ -14,15 +14,15 @@
 
     private final ProxyHandler proxy;
     private final ActiveRequests active;
-    private final Arrival arrival;
+    private final IncomingRequest incoming;
     private final Runnable granted;
     private final String id;
     private final AtomicBoolean over = new AtomicBoolean();
 
-    QuotaWait(ProxyHandler proxy, ActiveRequests active, Arrival arrival, Runnable granted) {
+    QuotaWait(ProxyHandler proxy, ActiveRequests active, IncomingRequest incoming, Runnable granted) {
         this.proxy = proxy;
         this.active = active;
-        this.arrival = arrival;
+        this.incoming = incoming;
         this.granted = granted;
         id = "quota-" + proxy.nextActionId();
     }
@@ -51,14 +51,14 @@
     }
 
     @Override
-    public void onNodeEnds() {
-        refuse(Outcome.LEAVING, proxy.retryAfterLeavingMs());
+    public void onNodeTermination() {
+        refuse(Outcome.LEAVING, proxy.shutdownRetryAfterMs());
     }
 
     private void refuse(Outcome outcome, int retryAfterMs) {
         if (over.compareAndSet(false, true)) {
             active.end(id);
-            arrival.client().respond(outcome, retryAfterMs, proxy.isLeaving());
+            incoming.client().respond(outcome, retryAfterMs, proxy.isShuttingDown());
         }
     }
 }
--- a/src/main/java/ringspindle/proxy/RequestAdmission.java
+++ b/src/main/java/ringspindle/proxy/RequestAdmission.java
@@ -20,35 +20,35 @@
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
 
     /** Default: about how long a node that has just started takes until it holds what is in force. */
-    private static final int NOT_READY_MS = 1000;
+    private static final int NOT_READY_RETRY_MS = 1000;
 
     private final ProxyHandler proxy;
-    private final ActiveRequests active;
+    private final ActiveRequests activeRequests;
     private final ExperimentOutcomes experiments;
-    private final Knowledge knowledge;
-    private final JobAdmission jobs;
-    private final CallerIdentification callers;
+    private final StateFreshness stateFreshness;
+    private final JobAdmission jobAdmission;
+    private final CallerIdentification callerIdentification;
 
     /**
      * Admission to that proxy.
      *
-     * @param knowledge what a refusal for want of a route rests on
-     * @param jobs where batch jobs go
-     * @param callers tells who sends a request
+     * @param stateFreshness what a refusal for want of a route rests on
+     * @param jobAdmission where batch jobs go
+     * @param callerIdentification tells who sends a request
      */
     RequestAdmission(
             ProxyHandler proxy,
-            ActiveRequests active,
+            ActiveRequests activeRequests,
             ExperimentOutcomes experiments,
-            Knowledge knowledge,
-            JobAdmission jobs,
-            CallerIdentification callers) {
-        this.jobs = jobs;
-        this.callers = callers;
+            StateFreshness stateFreshness,
+            JobAdmission jobAdmission,
+            CallerIdentification callerIdentification) {
+        this.jobAdmission = jobAdmission;
+        this.callerIdentification = callerIdentification;
         this.proxy = proxy;
-        this.active = active;
+        this.activeRequests = activeRequests;
         this.experiments = experiments;
-        this.knowledge = knowledge;
+        this.stateFreshness = stateFreshness;
     }
 
     /** A request's head has come. */
@@ -56,34 +56,34 @@
         long receivedMs = proxy.nowMs();
         FleetConfig current = proxy.configurationInForce();
         if (current == null) {
-            client.respond(Outcome.NOT_READY, NOT_READY_MS, proxy.isLeaving());
+            client.respond(Outcome.NOT_READY, NOT_READY_RETRY_MS, proxy.isShuttingDown());
             return;
         }
-        if (jobs.handle(request, client, current)) {
+        if (jobAdmission.handle(request, client, current)) {
             return;
         }
         String host = request.getHeaders().get(HttpHeader.HOST);
         FleetConfig.Route route = current.find(host, request.getHttpURI().getPath());
         if (route == null) {
-            logNoMapping(request, current);
-            client.respond(Outcome.NO_MAPPING, 0, proxy.isLeaving());
+            logUnmappedRequest(request, current);
+            client.respond(Outcome.NO_MAPPING, 0, proxy.isShuttingDown());
             return;
         }
-        Identity identity = callers.identify(request, current, route, receivedMs);
+        Identity identity = callerIdentification.identify(request, current, route, receivedMs);
         if (identity instanceof Identity.Unknown) {
-            client.respond(Outcome.UNAUTHORIZED, 0, proxy.isLeaving());
+            client.respond(Outcome.UNAUTHORIZED, 0, proxy.isShuttingDown());
         } else if (identity instanceof Identity.Uncertain) {
-            client.respond(Outcome.UNCLEAR, NOT_READY_MS, proxy.isLeaving());
+            client.respond(Outcome.UNCLEAR, NOT_READY_RETRY_MS, proxy.isShuttingDown());
         } else {
-            readHead(request, client, route, identity, receivedMs);
+            validateHeaders(request, client, route, identity, receivedMs);
         }
     }
 
-    private void readHead(
+    private void validateHeaders(
             Request request, ClientResponse client, FleetConfig.Route route, Identity identity, long receivedMs) {
         String attemptId = request.getHeaders().get(Headers.ATTEMPT_ID);
         if (attemptId == null || attemptId.isEmpty()) {
-            client.respond(Outcome.MALFORMED, 0, proxy.isLeaving());
+            client.respond(Outcome.MALFORMED, 0, proxy.isShuttingDown());
             return;
         }
         long timeLimitMs;
@@ -91,41 +91,41 @@
             timeLimitMs =
                     RequestTimeLimits.timeLimitMs(route, request.getHeaders().get(Headers.DEADLINE_MS));
         } catch (NumberFormatException notANumber) {
-            client.respond(Outcome.MALFORMED, 0, proxy.isLeaving());
+            client.respond(Outcome.MALFORMED, 0, proxy.isShuttingDown());
             return;
         }
         boolean mayOutliveNode = proxy.mayBeOutlivedBy(receivedMs, timeLimitMs);
-        if (mayOutliveNode && !proxy.servesAsLast()) {
-            refuseAsLeaving(client);
+        if (mayOutliveNode && !proxy.isLastInRegion()) {
+            refuseDuringShutdown(client);
             return;
         }
-        Arrival arrival =
-                new Arrival(request, client, route, attemptId, receivedMs, timeLimitMs, identity, mayOutliveNode);
-        readBody(arrival, proxy.configurationInForce().limits().bodyBytes());
+        IncomingRequest incoming = new IncomingRequest(
+                request, client, route, attemptId, receivedMs, timeLimitMs, identity, mayOutliveNode);
+        readBody(incoming, proxy.configurationInForce().limits().bodyBytes());
     }
 
-    private void refuseAsLeaving(ClientResponse client) {
-        client.respond(Outcome.LEAVING, proxy.retryAfterLeavingMs(), true);
+    private void refuseDuringShutdown(ClientResponse client) {
+        client.respond(Outcome.LEAVING, proxy.shutdownRetryAfterMs(), true);
     }
 
     /** A proper request may be refused so only as long as no newer configuration allows it: says what the answer rests on. */
-    private void logNoMapping(Request request, FleetConfig current) {
+    private void logUnmappedRequest(Request request, FleetConfig current) {
         LOG.atInfo()
                 .atMostEvery(1, TimeUnit.SECONDS)
                 .with(LogField.REQUEST, request.getHeaders().get(Headers.ATTEMPT_ID))
                 .with(LogField.REVISION, current.revision())
-                .log("no mapping for a request: %s", LazyArgs.lazy(knowledge::describe));
+                .log("no mapping for a request: %s", LazyArgs.lazy(stateFreshness::describe));
     }
 
-    private void readBody(Arrival arrival, int bytesMax) {
-        ClientResponse client = arrival.client();
+    private void readBody(IncomingRequest incoming, int maxBytes) {
+        ClientResponse client = incoming.client();
         BodyDeadline deadline = new BodyDeadline(() -> client.respond(Outcome.NO_TIME, 0, true));
         new BoundedBody(
-                        arrival.request(),
-                        bytesMax,
+                        incoming.request(),
+                        maxBytes,
                         body -> {
                             if (deadline.markMet()) {
-                                admit(arrival, body);
+                                admit(incoming, body);
                             }
                         },
                         failure -> {
@@ -135,42 +135,43 @@
                         })
                 .run();
         if (!deadline.isMet()) {
-            deadline.setTimer(proxy.schedule(deadline::expire, Math.max(1, arrival.timeLimitMs())));
+            deadline.setTimer(proxy.schedule(deadline::expire, Math.max(1, incoming.timeLimitMs())));
         }
     }
 
     /** The body has come in time; null if it is too large. */
-    private void admit(Arrival arrival, byte[] body) {
+    private void admit(IncomingRequest incoming, byte[] body) {
         if (body == null) {
-            arrival.client().respond(Outcome.TOO_LARGE, 0, proxy.isLeaving());
+            incoming.client().respond(Outcome.TOO_LARGE, 0, proxy.isShuttingDown());
             return;
         }
-        if (arrival.route().kind() == FleetConfig.Kind.BATCH) {
-            jobs.submit(arrival, body);
+        if (incoming.route().kind() == FleetConfig.Kind.BATCH) {
+            jobAdmission.submit(incoming, body);
             return;
         }
-        if (!active.begin()) {
-            refuseAsLeaving(arrival.client());
+        if (!activeRequests.begin()) {
+            refuseDuringShutdown(incoming.client());
             return;
         }
-        if (arrival.identity() instanceof Identity.Known known && known.tenant().isLimited()) {
-            new QuotaWait(proxy, active, arrival, () -> begin(arrival, body)).ask(known.tenant());
+        if (incoming.identity() instanceof Identity.Known known
+                && known.tenant().isLimited()) {
+            new QuotaWait(proxy, activeRequests, incoming, () -> begin(incoming, body)).ask(known.tenant());
         } else {
-            begin(arrival, body);
+            begin(incoming, body);
         }
     }
 
     /** The request counts as active. */
-    private void begin(Arrival arrival, byte[] body) {
+    private void begin(IncomingRequest incoming, byte[] body) {
         long nowMs = proxy.nowMs();
-        String service = RouteSplit.service(arrival.route(), arrival.attemptId());
-        String promptPrefix = arrival.request().getHeaders().get(Headers.PROMPT_PREFIX);
-        Optional<Assignment> assignment = experiments.assign(arrival.route(), promptPrefix, nowMs);
+        String service = RouteSplit.selectService(incoming.route(), incoming.attemptId());
+        String promptPrefix = incoming.request().getHeaders().get(Headers.PROMPT_PREFIX);
+        Optional<Assignment> assignment = experiments.assign(incoming.route(), promptPrefix, nowMs);
         proxy.loadBalancer().onRequestReceived(service, nowMs);
-        AdmittedRequest admitted = new AdmittedRequest(arrival, body, service, proxy.rules(), assignment);
-        ProxiedRequest proxied = new ProxiedRequest(proxy, admitted, arrival.client());
-        experiments.begin(proxied.actionId(), admitted, arrival.client(), proxy.clock());
-        active.track(proxied.actionId(), proxied);
+        AdmittedRequest admitted = new AdmittedRequest(incoming, body, service, proxy.rules(), assignment);
+        ProxiedRequest proxied = new ProxiedRequest(proxy, admitted, incoming.client());
+        experiments.begin(proxied.actionId(), admitted, incoming.client(), proxy.clock());
+        activeRequests.track(proxied.actionId(), proxied);
         proxied.start();
     }
 }
--- a/src/main/java/ringspindle/proxy/RouteSplit.java
+++ b/src/main/java/ringspindle/proxy/RouteSplit.java
@@ -11,7 +11,7 @@
     private RouteSplit() {}
 
     /** The service for a request; one attempt id always goes the same way. */
-    static String service(FleetConfig.Route route, String attemptId) {
+    static String selectService(FleetConfig.Route route, String attemptId) {
         List<FleetConfig.Target> targets = route.targets();
         if (targets.size() == 1) {
             return targets.get(0).service();
@@ -20,10 +20,10 @@
         for (FleetConfig.Target target : targets) {
             totalWeight += target.weight();
         }
-        double remaining = fraction(attemptId) * totalWeight;
+        double remainingWeight = fraction(attemptId) * totalWeight;
         for (FleetConfig.Target target : targets) {
-            remaining -= target.weight();
-            if (remaining < 0) {
+            remainingWeight -= target.weight();
+            if (remainingWeight < 0) {
                 return target.service();
             }
         }
--- a/src/main/java/ringspindle/proxy/GracefulShutdown.java
+++ b/src/main/java/ringspindle/proxy/ShutdownWindow.java
@@ -6,7 +6,7 @@
  * @param startMs when the node was told to shut down
  * @param endMs when it closes whatever is still open
  */
-record GracefulShutdown(long startMs, long endMs) {
+record ShutdownWindow(long startMs, long endMs) {
     /** Requests received within this time of the start may be cut off at the end of the window; later ones may not. */
     private static final int GRACE_MS = 2700;
 
--- a/src/main/java/ringspindle/proxy/TokenCounts.java
+++ b/src/main/java/ringspindle/proxy/TokenCounts.java
@@ -10,13 +10,13 @@
  */
 record TokenCounts(int prompt, int output) {
     /** Reads a head; {@code Token-Count: 1460,80} has 1460 and 80. */
-    static TokenCounts of(HttpFields head) {
-        String stated = head.get(Headers.TOKEN_COUNT);
-        String[] counts = (stated == null ? "" : stated).split(",", -1);
-        return new TokenCounts(count(counts[0]), counts.length > 1 ? count(counts[1]) : 0);
+    static TokenCounts of(HttpFields headers) {
+        String header = headers.get(Headers.TOKEN_COUNT);
+        String[] counts = (header == null ? "" : header).split(",", -1);
+        return new TokenCounts(parseCount(counts[0]), counts.length > 1 ? parseCount(counts[1]) : 0);
     }
 
-    private static int count(String text) {
+    private static int parseCount(String text) {
         try {
             return Integer.parseInt(text.trim());
         } catch (NumberFormatException notANumber) {
--- a/src/main/java/ringspindle/proxy/WaitQueue.java
+++ b/src/main/java/ringspindle/proxy/WaitQueue.java
@@ -13,16 +13,16 @@
     /** Default: one step of priority is worth so much waiting. */
     private static final int PRIORITY_STEP_MS = 250;
 
-    private record Entry(ProxiedRequest request, long rankMs, long arrival) {}
+    private record Entry(ProxiedRequest request, long effectiveArrivalMs, long sequence) {}
 
-    private final PriorityQueue<Entry> entries =
-            new PriorityQueue<>(Comparator.comparingLong(Entry::rankMs).thenComparingLong(Entry::arrival));
-    private long arrivals;
+    private final PriorityQueue<Entry> entries = new PriorityQueue<>(
+            Comparator.comparingLong(Entry::effectiveArrivalMs).thenComparingLong(Entry::sequence));
+    private long nextSequence;
 
     synchronized void add(ProxiedRequest request) {
         AdmittedRequest admitted = request.admitted();
-        long rankMs = admitted.receivedMs() + (long) admitted.priority() * PRIORITY_STEP_MS;
-        entries.add(new Entry(request, rankMs, arrivals++));
+        long effectiveArrivalMs = admitted.receivedMs() + (long) admitted.priority() * PRIORITY_STEP_MS;
+        entries.add(new Entry(request, effectiveArrivalMs, nextSequence++));
     }
 
     synchronized int size() {
--- a/src/main/java/ringspindle/proxy/WaitQueueTimer.java
+++ b/src/main/java/ringspindle/proxy/WaitQueueTimer.java
@@ -4,26 +4,26 @@
 
 /** Lets requests that wait for capacity try again, all of them in order, shortly after the first of them came. Thread safe. */
 final class WaitQueueTimer {
-    private static final int PERIOD_MS = 20;
+    private static final int RETRY_DELAY_MS = 20;
 
     /** Runs a task later. */
     @FunctionalInterface
-    interface Timer {
+    interface TaskScheduler {
         /** Runs it so many milliseconds from now. */
-        void schedule(Runnable task, long inMs);
+        void schedule(Runnable task, long delayMs);
     }
 
-    private final Timer timer;
+    private final TaskScheduler scheduler;
     private final WaitQueue queue = new WaitQueue();
-    private final AtomicBoolean scheduled = new AtomicBoolean();
+    private final AtomicBoolean drainScheduled = new AtomicBoolean();
 
-    WaitQueueTimer(Timer timer) {
-        this.timer = timer;
+    WaitQueueTimer(TaskScheduler scheduler) {
+        this.scheduler = scheduler;
     }
 
     void add(ProxiedRequest request) {
-        if (scheduled.compareAndSet(false, true)) {
-            timer.schedule(this::drain, PERIOD_MS);
+        if (drainScheduled.compareAndSet(false, true)) {
+            scheduler.schedule(this::drain, RETRY_DELAY_MS);
         }
         queue.add(request);
     }
@@ -34,7 +34,7 @@
     }
 
     private void drain() {
-        scheduled.set(false);
+        drainScheduled.set(false);
         queue.drain().forEach(ProxiedRequest::onDequeued);
     }
 }
--- a/src/main/java/ringspindle/storagenode/StorageProxy.java
+++ b/src/main/java/ringspindle/storagenode/StorageProxy.java
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public void proveKnowledge(long heartbeatSentMs) {
+    public void confirmUpToDate(long heartbeatSentMs) {
         // no client's key is gone by here
     }
 
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public boolean takesRequests() {
+    public boolean acceptsRequests() {
         return !leaving;
     }
 
--- a/src/test/java/ringspindle/dataplane/HollowDataNode.java
+++ b/src/test/java/ringspindle/dataplane/HollowDataNode.java
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public void proveKnowledge(long heartbeatSentMs) {}
+    public void confirmUpToDate(long heartbeatSentMs) {}
 
     @Override
     public boolean isReady() {
@@ -123,7 +123,7 @@
     }
 
     @Override
-    public boolean takesRequests() {
+    public boolean acceptsRequests() {
         return isReady();
     }
 
--- a/src/test/java/ringspindle/proxy/ActiveRequestsTest.java
+++ b/src/test/java/ringspindle/proxy/ActiveRequestsTest.java
@@ -17,24 +17,24 @@
     private final ActiveRequests active = new ActiveRequests();
 
     @Test
-    void requestUnderWayKeepsItOpenAndNoneBeginsOnceItIsClosed() {
+    void closesOnlyWhenIdleAndRejectsRequestsOnceClosed() {
         assertTrue(active.begin());
-        assertFalse(active.closeIfNone());
+        assertFalse(active.closeIfIdle());
         assertEquals(1, active.count());
         active.end("a");
-        assertTrue(active.closeIfNone());
-        assertTrue(active.closeIfNone(), "it stays closed");
+        assertTrue(active.closeIfIdle());
+        assertTrue(active.closeIfIdle(), "it stays closed");
         assertFalse(active.begin());
         assertEquals(0, active.count());
     }
 
     @Test
-    void endOfTheNodeReachesEachRequestThatBeganAndNoneBeginsAfterIt() {
+    void closingCancelsEveryActiveRequestAndRejectsNewOnes() {
         List<String> ended = new ArrayList<>();
         assertTrue(active.begin());
         active.track("a", () -> ended.add("a"));
         assertTrue(active.begin(), "begun, and not yet tracked when the node ends");
-        assertEquals(2, active.closeAndEndAll());
+        assertEquals(2, active.closeAndCancelAll());
         assertEquals(List.of("a"), ended);
         active.track("b", () -> ended.add("b"));
         assertEquals(List.of("a", "b"), ended);
@@ -42,20 +42,20 @@
     }
 
     @Test
-    void ofABeginningAndAClosingAtOnceOneGoesFirst() throws Exception {
+    void concurrentBeginAndCloseAreMutuallyExclusive() throws Exception {
         for (int round = 0; round < ROUNDS; round++) {
-            ActiveRequests raced = new ActiveRequests();
-            CountDownLatch both = new CountDownLatch(2);
-            AtomicInteger begun = new AtomicInteger();
+            ActiveRequests contended = new ActiveRequests();
+            CountDownLatch barrier = new CountDownLatch(2);
+            AtomicInteger begunCount = new AtomicInteger();
             Thread request = new Thread(() -> {
-                both.countDown();
-                begun.addAndGet(raced.begin() ? 1 : 0);
+                barrier.countDown();
+                begunCount.addAndGet(contended.begin() ? 1 : 0);
             });
             request.start();
-            both.countDown();
-            boolean closed = raced.closeIfNone();
+            barrier.countDown();
+            boolean closed = contended.closeIfIdle();
             request.join();
-            assertEquals(closed ? 0 : 1, begun.get(), "round " + round);
+            assertEquals(closed ? 0 : 1, begunCount.get(), "round " + round);
         }
     }
 }
--- a/src/test/java/ringspindle/proxy/BrokenStreamTest.java
+++ b/src/test/java/ringspindle/proxy/BrokenStreamTest.java
@@ -47,9 +47,9 @@
             reset(socket);
         });
         Socket client = send(path, "t1", CLOSE, "");
-        String start = until(client, lastEvent);
+        String start = readUntil(client, lastEvent);
         forwarded.countDown();
-        return start + all(client);
+        return start + readAll(client);
     }
 
     @Test
@@ -65,7 +65,7 @@
             ScriptedEngine.writeText(out, okHead(request) + CLOSE_DELIMITED + event(0) + event(1));
             throw new IOException("close");
         });
-        String response = ok("/short/x", "t1");
+        String response = sendAndReadAll("/short/x", "t1");
         assertTrue(looksComplete(response) && response.contains("<1>"), response);
     }
 
@@ -77,7 +77,7 @@
             ScriptedEngine.writeText(out, okHead(request) + "Connection: close\r\n\r\n" + "x".repeat(8 << 20));
             reset(socket);
         });
-        String response = ok("/once/x", "t1");
+        String response = sendAndReadAll("/once/x", "t1");
         assertTrue(response.startsWith("HTTP/1.1 502"), response.substring(0, Math.min(300, response.length())));
     }
 
@@ -99,7 +99,7 @@
                 (request, out, socket) -> ScriptedEngine.writeText(
                         out,
                         ScriptedEngine.streamHead(request) + ScriptedEngine.chunk(events.toString()) + END_OF_CHUNKS));
-        String response = ok("/short/x", "t1");
+        String response = sendAndReadAll("/short/x", "t1");
         assertFalse(looksComplete(response), response);
         long previous = -1;
         for (String idText : ids.split(" ")) {
@@ -123,7 +123,7 @@
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
-        String response = ok("/long/x", "t1");
+        String response = sendAndReadAll("/long/x", "t1");
         assertTrue(looksComplete(response), response);
         assertEquals("0123", response.replaceAll("(?s)^.*?\r\n\r\n", "").replaceAll("(?s)[^<]*<(\\d+)>[^<]*", "$1"));
     }
@@ -143,7 +143,7 @@
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
-        String response = ok("/long/x", "t1");
+        String response = sendAndReadAll("/long/x", "t1");
         assertTrue(response.contains("<0>"), response);
         assertFalse(response.contains("<1>") || looksComplete(response), response);
     }
@@ -165,7 +165,7 @@
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
-        String response = ok("/long/x", "t1");
+        String response = sendAndReadAll("/long/x", "t1");
         assertTrue(response.contains("<unnumbered>"), response);
         assertFalse(response.contains("<1>") || looksComplete(response), response);
     }
--- a/src/test/java/ringspindle/proxy/ConcurrentBrokenStreamsTest.java
+++ b/src/test/java/ringspindle/proxy/ConcurrentBrokenStreamsTest.java
@@ -43,7 +43,7 @@
             List<Future<String>> faults = new ArrayList<>();
             for (int i = 0; i < STREAM_COUNT; i++) {
                 String id = "t" + i;
-                faults.add(clients.submit(() -> findFault(id, ok("/long/x", id))));
+                faults.add(clients.submit(() -> findFault(id, sendAndReadAll("/long/x", id))));
             }
             for (Future<String> fault : faults) {
                 assertEquals("", fault.get(60, TimeUnit.SECONDS));
--- a/src/test/java/ringspindle/proxy/EngineResponseTest.java
+++ b/src/test/java/ringspindle/proxy/EngineResponseTest.java
@@ -62,7 +62,7 @@
             return interim(status, own) + interim(status, own) + completeResponse(request, "hello");
         });
         for (int i = 0; i < 3; i++) {
-            String response = ok("/once/x", "t" + i);
+            String response = sendAndReadAll("/once/x", "t" + i);
             assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("\r\n\r\nhello"), response);
             assertFalse(response.contains("Link"), response);
         }
@@ -75,7 +75,7 @@
     void noFurtherRequestAfterAnInterimResponseWithoutTheId(String fields) throws Exception {
         Set<Socket> used = engineThatSends(request -> interim(103, fields) + completeResponse(request, "hello"));
         for (int i = 0; i < 3; i++) {
-            String response = ok("/once/x", "t" + i);
+            String response = sendAndReadAll("/once/x", "t" + i);
             assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("hello"), response);
         }
         assertEquals(3, used.size());
@@ -90,8 +90,8 @@
                                 ? "Attempt-Id: t1\r\n"
                                 : "Server-Seal: s\r\nAttempt-Id: other\r\n")
                         + "Content-Length: 2\r\n\r\nno");
-        assertMayHaveRun(ok("/once/x", "t1"));
-        assertMayHaveRun(ok("/once/x", "t2"));
+        assertMayHaveRun(sendAndReadAll("/once/x", "t1"));
+        assertMayHaveRun(sendAndReadAll("/once/x", "t2"));
         assertEquals(2, requestCount());
     }
 
@@ -99,7 +99,7 @@
     void protocolSwitchIsNoResponse() throws Exception {
         engineThatSends(
                 request -> interim(101, "Attempt-Id: t1\r\nServer-Seal: s\r\nUpgrade: x\r\nConnection: upgrade\r\n"));
-        assertMayHaveRun(ok("/once/x", "t1"));
+        assertMayHaveRun(sendAndReadAll("/once/x", "t1"));
     }
 
     /** A refusal without the attempt's id may be a late response to another request, while this one is executed. */
@@ -118,7 +118,7 @@
                 ScriptedEngine.writeText(out, "HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n");
         engine("i-1", "z", script);
         engine("i-2", "z", script);
-        assertMayHaveRun(ok("/once/x", "t1"));
+        assertMayHaveRun(sendAndReadAll("/once/x", "t1"));
         assertEquals(1, requestCount(), "retried although it may have been executed");
     }
 
@@ -134,7 +134,7 @@
     void connectionWithSurplusBytesAfterAResponseIsNotReused(String surplus) throws Exception {
         Set<Socket> used = engineThatSends(request -> completeResponse(request, "hello") + surplus);
         for (int i = 0; i < 4; i++) {
-            String response = ok("/once/x", "t" + i);
+            String response = sendAndReadAll("/once/x", "t" + i);
             assertTrue(
                     response.startsWith("HTTP/1.1 200")
                             && response.contains("Attempt-Id: t" + i)
@@ -154,7 +154,7 @@
             engine(id, "z", resetScript).setEarlyScript(resetScript);
         }
         for (int i = 0; i < 5; i++) {
-            assertMayHaveRun(all(send("/once/x", "t" + i, CLOSE, "b".repeat(LARGE_BODY))));
+            assertMayHaveRun(readAll(send("/once/x", "t" + i, CLOSE, "b".repeat(LARGE_BODY))));
             assertEquals(i + 1, requestCount());
         }
     }
@@ -174,7 +174,7 @@
             socket.setSoLinger(true, 0);
             throw new IOException("break off");
         });
-        String response = all(send("/once/x", "t1", CLOSE, "b".repeat(LARGE_BODY)));
+        String response = readAll(send("/once/x", "t1", CLOSE, "b".repeat(LARGE_BODY)));
         assertTrue(
                 response.startsWith("HTTP/1.1 50")
                         || response.startsWith("HTTP/1.1 200") && response.endsWith("\r\n\r\n1"),
@@ -190,7 +190,7 @@
             assertEquals(-1, socket.getInputStream().read());
         });
         engine("i-2", "z", (request, out, socket) -> socket.shutdownOutput());
-        assertMayHaveRun(ok("/once/x", "t1"));
+        assertMayHaveRun(sendAndReadAll("/once/x", "t1"));
         assertEquals(1, requestCount());
         assertEquals(
                 1, engines.stream().filter(other -> !other.requests.isEmpty()).count());
@@ -217,11 +217,11 @@
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
-        assertTrue(ok("/card/x", "t0").endsWith("hello"));
+        assertTrue(sendAndReadAll("/card/x", "t0").endsWith("hello"));
         answered.countDown();
         sent.await();
         for (int i = 1; i < 9; i++) {
-            String response = ok("/card/x", "t" + i);
+            String response = sendAndReadAll("/card/x", "t" + i);
             assertTrue(response.contains("Attempt-Id: t" + i) && response.endsWith("hello"), response);
         }
         assertEquals(10, requestCount());
@@ -234,7 +234,7 @@
         }
         for (int i = 1; i <= 6; i++) {
             String id = "t" + i;
-            String response = ok("/card/x", id);
+            String response = sendAndReadAll("/card/x", id);
             assertTrue(response.startsWith("HTTP/1.1 50"), response);
             long reached = engines.stream()
                     .filter(engine -> engine.requests.stream()
@@ -248,8 +248,8 @@
     void cookiesOfAnEngineAreNotSentWithOtherRequests() throws Exception {
         ScriptedEngine engine =
                 engine("i-1", "z", ScriptedEngine.respondWith(200, "hello", "Set-Cookie: who=me; Path=/\r\n"));
-        assertTrue(ok("/card/x", "t1").contains("Set-Cookie"));
-        ok("/card/x", "t2");
+        assertTrue(sendAndReadAll("/card/x", "t1").contains("Set-Cookie"));
+        sendAndReadAll("/card/x", "t2");
         for (ScriptedEngine.ReceivedRequest request : engine.requests) {
             assertFalse(
                     request.headers().containsKey("Cookie"), request.headers().toString());
@@ -260,7 +260,7 @@
     void headersUpToTheLimitAreForwarded() throws Exception {
         ScriptedEngine engine = engine("i-1", "z", ScriptedEngine.respondWith(200, "hello", ""));
         String prefix = "ab:1,".repeat(3000);
-        String response = all(send("/once/x", "t1", CLOSE + "Prompt-Prefix: " + prefix + "cd:2\r\n", ""));
+        String response = readAll(send("/once/x", "t1", CLOSE + "Prompt-Prefix: " + prefix + "cd:2\r\n", ""));
         assertTrue(response.startsWith("HTTP/1.1 200"), response);
         assertEquals(prefix + "cd:2", engine.requests.take().headers().get("Prompt-Prefix"));
     }
@@ -275,15 +275,15 @@
             throw new IOException("break off");
         });
         if (leaving) {
-            front.leave(Long.MAX_VALUE);
+            proxy.beginShutdown(Long.MAX_VALUE);
         }
         String head = "HTTP/1.1 200";
-        String broken = all(send("/short/x", "t1", leaving ? "" : CLOSE, ""));
+        String broken = readAll(send("/short/x", "t1", leaving ? "" : CLOSE, ""));
         assertTrue(broken.startsWith(head) && broken.contains("Connection: close"), broken);
         assertTrue(broken.contains("Transfer-Encoding: chunked") && !broken.endsWith("0\r\n\r\n"), broken);
         engine.setScript((request, out, socket) -> ScriptedEngine.writeText(
                 out, ScriptedEngine.streamHead(request) + ScriptedEngine.chunk("id: 1\ndata: a\n\n") + "0\r\n\r\n"));
-        String complete = all(send("/short/x", "t2", leaving ? "" : CLOSE, ""));
+        String complete = readAll(send("/short/x", "t2", leaving ? "" : CLOSE, ""));
         assertTrue(complete.startsWith(head) && complete.endsWith("0\r\n\r\n"), complete);
     }
 
@@ -304,14 +304,14 @@
             List<Socket> disconnecting = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 Socket client = send("/short/x", "v" + round + "-" + i, "", "");
-                assertTrue(until(client, "data: <v" + round + "-" + i + ">").startsWith("HTTP/1.1 200"));
+                assertTrue(readUntil(client, "data: <v" + round + "-" + i + ">").startsWith("HTTP/1.1 200"));
                 disconnecting.add(client);
             }
             for (Socket client : disconnecting) {
                 client.setSoLinger(true, 0);
                 client.close();
             }
-            String response = all(send("/short/x", id, CLOSE, ""));
+            String response = readAll(send("/short/x", id, CLOSE, ""));
             assertTrue(response.endsWith("0\r\n\r\n"), "the stream of " + id + " is incomplete");
             assertEquals(41, response.split("<" + id + ">", -1).length, "events are missing");
             assertFalse(response.contains("<v"), "an event of another client");
--- a/src/test/java/ringspindle/proxy/LimitsTest.java
+++ b/src/test/java/ringspindle/proxy/LimitsTest.java
@@ -39,20 +39,20 @@
                 socket.getOutputStream(),
                 "POST /once/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: wait\r\nDeadline-Ms: " + 4 * SHORT_IDLE_MS
                         + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-        assertTrue(all(socket).startsWith("HTTP/1.1 504"));
+        assertTrue(readAll(socket).startsWith("HTTP/1.1 504"));
     }
 
     @Test
     void raisedIdleTimeoutAppliesToOpenConnections() throws Exception {
         CountDownLatch testEnd = new CountDownLatch(1);
         engineSilentForOnce(testEnd);
-        config(4, SHORT_IDLE);
+        applyConfiguration(4, SHORT_IDLE);
         try (Socket client = send("/card/x", "t1", "", "")) {
-            assertTrue(until(client, "hello").startsWith("HTTP/1.1 200"));
-            config(5, limits("idleTimeoutMs", 30_000));
+            assertTrue(readUntil(client, "hello").startsWith("HTTP/1.1 200"));
+            applyConfiguration(5, limits("idleTimeoutMs", 30_000));
             waitPastIdleTimeout();
-            ask(client, "/card/x", "t2", "", "");
-            assertTrue(until(client, "hello").startsWith("HTTP/1.1 200"));
+            writeRequest(client, "/card/x", "t2", "", "");
+            assertTrue(readUntil(client, "hello").startsWith("HTTP/1.1 200"));
         }
         testEnd.countDown();
     }
@@ -62,15 +62,15 @@
         CountDownLatch testEnd = new CountDownLatch(1);
         engineSilentForOnce(testEnd);
         try (Socket old = send("/card/x", "t1", "", "")) {
-            assertTrue(until(old, "hello").startsWith("HTTP/1.1 200"));
-            config(4, SHORT_IDLE);
+            assertTrue(readUntil(old, "hello").startsWith("HTTP/1.1 200"));
+            applyConfiguration(4, SHORT_IDLE);
             try (Socket fresh = send("/card/x", "t2", "", "")) {
-                assertTrue(until(fresh, "hello").startsWith("HTTP/1.1 200"));
+                assertTrue(readUntil(fresh, "hello").startsWith("HTTP/1.1 200"));
                 assertEquals(-1, fresh.getInputStream().read(), "the idle connection was not closed by the timeout");
             }
-            ask(old, "/card/x", "t3", "", "");
+            writeRequest(old, "/card/x", "t3", "", "");
             assertTrue(
-                    until(old, "hello").startsWith("HTTP/1.1 200"),
+                    readUntil(old, "hello").startsWith("HTTP/1.1 200"),
                     "closed before the idle timeout that applied when it was opened");
         }
         testEnd.countDown();
@@ -85,15 +85,15 @@
             ScriptedEngine.writeText(
                     out, ScriptedEngine.streamHead(request) + ScriptedEngine.chunk("id: 0\ndata: x\n\n") + "0\r\n\r\n");
         });
-        config(4, SHORT_IDLE);
+        applyConfiguration(4, SHORT_IDLE);
         try (Socket client = send("/short/x", "t1", "", "")) {
             engine.requests.take();
             waitPastIdleTimeout();
             release.countDown();
-            String first = until(client, "0\r\n\r\n");
+            String first = readUntil(client, "0\r\n\r\n");
             assertTrue(first.startsWith("HTTP/1.1 200"), first);
-            ask(client, "/short/x", "t2", "", "");
-            String second = until(client, "0\r\n\r\n");
+            writeRequest(client, "/short/x", "t2", "", "");
+            String second = readUntil(client, "0\r\n\r\n");
             assertTrue(second.contains("Attempt-Id: t2"), second);
         }
         testEnd.countDown();
@@ -102,10 +102,10 @@
     @Test
     void bodyAboveTheLimitIsRejectedAndOneAtTheLimitIsNot() throws Exception {
         ScriptedEngine engine = engine("i-1", "z", ScriptedEngine.respondWith(200, "hello", ""));
-        config(4, limits("maxBodyBytes", 1000));
-        assertTrue(all(send("/card/x", "t1", "Connection: close\r\n", "b".repeat(1000)))
+        applyConfiguration(4, limits("maxBodyBytes", 1000));
+        assertTrue(readAll(send("/card/x", "t1", "Connection: close\r\n", "b".repeat(1000)))
                 .startsWith("HTTP/1.1 200"));
-        assertTrue(all(send("/card/x", "t2", "Connection: close\r\n", "b".repeat(1001)))
+        assertTrue(readAll(send("/card/x", "t2", "Connection: close\r\n", "b".repeat(1001)))
                 .startsWith("HTTP/1.1 413"));
         assertEquals(1, engine.requests.size());
     }
@@ -122,7 +122,7 @@
                 "POST /once/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: t1\r\n"
                         + "Deadline-Ms: 600000\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         assertTrue(Integer.parseInt(engine.requests.take().headers().get("Deadline-Ms")) <= 3000);
-        assertTrue(all(client).startsWith("HTTP/1.1 504"));
+        assertTrue(readAll(client).startsWith("HTTP/1.1 504"));
         testEnd.countDown();
     }
 
@@ -138,13 +138,13 @@
         });
         try (Socket client = send("/long/x", "t1", "", "")) {
             engine.requests.take();
-            assertEquals(1, front.active());
-            while (front.active() > 0) {
+            assertEquals(1, proxy.activeRequests());
+            while (proxy.activeRequests() > 0) {
                 Thread.onSpinWait();
             }
             assertEquals(0, engine.requests.size(), "retried although the client caused the delay");
-            assertEquals(1L, front.endCounts().get("CANCELED OVERALL_DEADLINE"));
-            assertTrue(scheduled.sum() < 100, scheduled + " timers");
+            assertEquals(1L, proxy.endCounts().get("CANCELED OVERALL_DEADLINE"));
+            assertTrue(scheduledTasks.sum() < 100, scheduledTasks + " timers");
             assertTrue(client.isConnected());
         }
     }
@@ -153,10 +153,10 @@
     @Test
     void requestThatMayOutliveAStoppingNodeIsRefused() throws Exception {
         ScriptedEngine engine = engine("i-1", "z", ScriptedEngine.respondWith(200, "hello", ""));
-        front.leave(clock.nowMs() + 7300);
-        assertTrue(ok("/once/x", "t1").startsWith("HTTP/1.1 200"));
-        onMs += 5500;
-        String refused = all(send("/once/x", "t2", "", ""));
+        proxy.beginShutdown(clock.nowMs() + 7300);
+        assertTrue(sendAndReadAll("/once/x", "t1").startsWith("HTTP/1.1 200"));
+        clockOffsetMs += 5500;
+        String refused = readAll(send("/once/x", "t2", "", ""));
         assertTrue(refused.startsWith("HTTP/1.1 503") && refused.contains("Retry-After"), refused);
         assertTrue(refused.contains("Connection: close"), refused);
         Socket client = new Socket("127.0.0.1", port);
@@ -164,7 +164,7 @@
                 client.getOutputStream(),
                 "POST /once/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: t3\r\nDeadline-Ms: 900\r\n"
                         + "Content-Length: 0\r\n\r\n");
-        String served = all(client);
+        String served = readAll(client);
         assertTrue(served.startsWith("HTTP/1.1 200"), served);
         assertEquals(2, engine.requests.size());
     }
@@ -183,18 +183,18 @@
                 ScriptedEngine.writeText(out, ScriptedEngine.chunk("id: 1\ndata: y\n\n") + "0\r\n\r\n");
             }
         });
-        front.leave(clock.nowMs() + 7300);
-        front.serveAsLast(true);
-        onMs += 5500;
+        proxy.beginShutdown(clock.nowMs() + 7300);
+        proxy.setLastInRegion(true);
+        clockOffsetMs += 5500;
         Socket stream = send("/long/x", "t1", "", "");
         engine.requests.take();
-        String broken = all(send("/long/broken", "t2", "", ""));
+        String broken = readAll(send("/long/broken", "t2", "", ""));
         assertTrue(broken.startsWith("HTTP/1.1 502") && !broken.contains("data: x"), broken);
         stream.setSoTimeout(1);
         assertThrows(SocketTimeoutException.class, () -> stream.getInputStream().read());
         stream.setSoTimeout(20_000);
         moreEvents.countDown();
-        String complete = all(stream);
+        String complete = readAll(stream);
         assertTrue(complete.startsWith("HTTP/1.1 200") && complete.contains("data: x\n\nid: 1\ndata: y"), complete);
         assertTrue(complete.contains("Connection: close"), complete);
     }
@@ -209,14 +209,14 @@
         });
         Socket kept = send("/once/x", "t1", "", "");
         engine.requests.take();
-        assertFalse(front.refuseIfIdle(), "a request is in progress");
-        front.leave(clock.nowMs() + 7300);
+        assertFalse(proxy.closeIfIdle(), "a request is in progress");
+        proxy.beginShutdown(clock.nowMs() + 7300);
         release.countDown();
-        assertTrue(all(kept).startsWith("HTTP/1.1 200"));
-        while (!front.refuseIfIdle()) {
+        assertTrue(readAll(kept).startsWith("HTTP/1.1 200"));
+        while (!proxy.closeIfIdle()) {
             Thread.onSpinWait();
         }
-        String refused = all(send("/once/x", "t2", "", ""));
+        String refused = readAll(send("/once/x", "t2", "", ""));
         assertTrue(refused.startsWith("HTTP/1.1 503") && refused.contains("Retry-After"), refused);
         assertTrue(refused.contains("Connection: close"), refused);
         assertEquals(0, engine.requests.size(), "the refused request was executed");
@@ -232,7 +232,7 @@
                     client.getOutputStream(),
                     "POST /once/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: t1\r\nDeadline-Ms: 300\r\n"
                             + "Content-Length: 10\r\n\r\nabc");
-            String response = until(client, "\r\n\r\n");
+            String response = readUntil(client, "\r\n\r\n");
             assertTrue(response.startsWith("HTTP/1.1 503") && response.contains("Retry-After"), response);
         }
         assertEquals(0, engine.requests.size());
@@ -247,10 +247,10 @@
         Socket stream = send("/short/x", "t2", "", "");
         engine.requests.take();
         engine.requests.take();
-        assertEquals(2, front.endAll());
-        assertTrue(until(held, "BROKEN\"}").startsWith("HTTP/1.1 502"));
-        assertTrue(until(stream, "BROKEN\"}").startsWith("HTTP/1.1 502"));
-        String refused = all(send("/card/x", "t3", "", ""));
+        assertEquals(2, proxy.cancelActiveRequests());
+        assertTrue(readUntil(held, "BROKEN\"}").startsWith("HTTP/1.1 502"));
+        assertTrue(readUntil(stream, "BROKEN\"}").startsWith("HTTP/1.1 502"));
+        String refused = readAll(send("/card/x", "t3", "", ""));
         assertTrue(refused.startsWith("HTTP/1.1 503") && refused.contains("LEAVING"), refused);
         assertEquals(0, engine.requests.size());
         testEnd.countDown();
@@ -259,7 +259,8 @@
     /** Returns true if a 408 response can be read; false for a silent or closed connection. */
     private static boolean receivesTimeoutResponse(Socket socket) {
         try {
-            return socket.getInputStream().read() >= 0 && until(socket, "408").contains("408");
+            return socket.getInputStream().read() >= 0
+                    && readUntil(socket, "408").contains("408");
         } catch (IOException silentOrClosed) {
             return false;
         }
@@ -268,11 +269,11 @@
     @Test
     void slowHeadersEndTheConnection() throws Exception {
         engine("i-1", "z", ScriptedEngine.respondWith(200, "hello", ""));
-        config(4, limits("headerTimeoutMs", 300));
+        applyConfiguration(4, limits("headerTimeoutMs", 300));
         try (Socket slow = new Socket("127.0.0.1", port)) {
             slow.setSoTimeout(20_000);
             ScriptedEngine.writeText(slow.getOutputStream(), "POST /card/x HTTP/1.1\r\nHost: h.example\r\n");
-            assertTrue(all(slow).startsWith("HTTP/1.1 408"));
+            assertTrue(readAll(slow).startsWith("HTTP/1.1 408"));
         }
     }
 
@@ -281,13 +282,13 @@
     void restOfABodyAfterAnEarlyRefusalIsNotTakenForHeaders() throws Exception {
         CountDownLatch testEnd = new CountDownLatch(1);
         engineSilentForOnce(testEnd);
-        config(4, limits("headerTimeoutMs", 300));
+        applyConfiguration(4, limits("headerTimeoutMs", 300));
         try (Socket client = new Socket("127.0.0.1", port)) {
             client.setSoTimeout(20_000);
             ScriptedEngine.writeText(
                     client.getOutputStream(),
                     "POST /none/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: a\r\nContent-Length: 10\r\n\r\n01234");
-            assertTrue(until(client, "NO_MAPPING").startsWith("HTTP/1.1 404"));
+            assertTrue(readUntil(client, "NO_MAPPING").startsWith("HTTP/1.1 404"));
             ScriptedEngine.writeText(client.getOutputStream(), "56789");
             waitPastIdleTimeout();
             client.setSoTimeout(1);
@@ -300,12 +301,12 @@
     void connectionBetweenRequestsHasNoHeaderTimeout() throws Exception {
         CountDownLatch testEnd = new CountDownLatch(1);
         engineSilentForOnce(testEnd);
-        config(4, limits("headerTimeoutMs", 300));
+        applyConfiguration(4, limits("headerTimeoutMs", 300));
         try (Socket client = send("/card/x", "t1", "", "")) {
-            assertTrue(until(client, "hello").startsWith("HTTP/1.1 200"));
+            assertTrue(readUntil(client, "hello").startsWith("HTTP/1.1 200"));
             waitPastIdleTimeout();
-            ask(client, "/card/x", "t2", "", "");
-            assertTrue(until(client, "hello").startsWith("HTTP/1.1 200"));
+            writeRequest(client, "/card/x", "t2", "", "");
+            assertTrue(readUntil(client, "hello").startsWith("HTTP/1.1 200"));
         }
         testEnd.countDown();
     }
@@ -318,9 +319,9 @@
             ScriptedEngine.respondWith(200, "early", "").run(request, out, socket);
             testEnd.await();
         });
-        config(4, limits("maxBodyBytes", 64 << 20));
+        applyConfiguration(4, limits("maxBodyBytes", 64 << 20));
         try (Socket client = send("/once/x", "t1", "Connection: close\r\n", "x".repeat(24 << 20))) {
-            String response = all(client);
+            String response = readAll(client);
             assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("early"), response);
         }
         testEnd.countDown();
@@ -328,13 +329,13 @@
 
     @Test
     void refusalNamesTheMissingEngine() throws Exception {
-        assertTrue(ok("/once/x", "t1").contains("NO_ENGINE"));
+        assertTrue(sendAndReadAll("/once/x", "t1").contains("NO_ENGINE"));
     }
 
     @Test
     void batchJobIsRefusedAndReachesNoEngine() throws Exception {
         ScriptedEngine engine = engine("i-1", "z", ScriptedEngine.respondWith(200, "hello", ""));
-        String response = all(send("/batch/x", "t1", "Connection: close\r\n", "{\"requests\":[]}"));
+        String response = readAll(send("/batch/x", "t1", "Connection: close\r\n", "{\"requests\":[]}"));
         assertTrue(response.startsWith("HTTP/1.1 503") && response.contains("Retry-After"), response);
         assertTrue(engine.requests.isEmpty());
     }
--- a/src/test/java/ringspindle/proxy/ProxyFixture.java
+++ b/src/test/java/ringspindle/proxy/ProxyFixture.java
@@ -29,17 +29,17 @@
 abstract class ProxyFixture {
     final List<ScriptedEngine> engines = new ArrayList<>();
     QueuedThreadPool pool;
-    ScheduledExecutorScheduler beats;
+    ScheduledExecutorScheduler scheduler;
     /** How often anything was scheduled. */
-    final LongAdder scheduled = new LongAdder();
+    final LongAdder scheduledTasks = new LongAdder();
 
-    ProxyHandler front;
-    LoadBalancer picker;
+    ProxyHandler proxy;
+    LoadBalancer loadBalancer;
     int port;
-    private final MonotonicClock steady = MonotonicClock.system();
-    volatile long onMs;
+    private final MonotonicClock systemClock = MonotonicClock.system();
+    volatile long clockOffsetMs;
     /** The steady clock, put on by hand where time has to pass. */
-    final MonotonicClock clock = () -> steady.nowMs() + onMs;
+    final MonotonicClock clock = () -> systemClock.nowMs() + clockOffsetMs;
 
     @BeforeEach
     void open() throws Exception {
@@ -47,22 +47,22 @@
         pool.setDaemon(true);
         pool.setStopTimeout(0);
         pool.start();
-        beats = new ScheduledExecutorScheduler("beats", true, 1) {
+        scheduler = new ScheduledExecutorScheduler("beats", true, 1) {
             @Override
             public Task schedule(Runnable task, long delay, TimeUnit unit) {
-                scheduled.increment();
+                scheduledTasks.increment();
                 return super.schedule(task, delay, unit);
             }
         };
-        beats.start();
-        int ready;
-        try (ServerSocket a = new ServerSocket(0);
-                ServerSocket b = new ServerSocket(0)) {
-            port = a.getLocalPort();
-            ready = b.getLocalPort();
+        scheduler.start();
+        int readinessPort;
+        try (ServerSocket first = new ServerSocket(0);
+                ServerSocket second = new ServerSocket(0)) {
+            port = first.getLocalPort();
+            readinessPort = second.getLocalPort();
         }
-        Properties p = new Properties();
-        p.putAll(Map.of(
+        Properties properties = new Properties();
+        properties.putAll(Map.of(
                 "node.name",
                 "f",
                 "node.ip",
@@ -74,19 +74,20 @@
                 "listen.frontend",
                 "127.0.0.1:" + port,
                 "listen.readiness",
-                "127.0.0.1:" + ready,
+                "127.0.0.1:" + readinessPort,
                 "listen.inner",
                 "1",
                 "seeds",
                 "127.0.0.1:1"));
-        p.putAll(Map.of("zone.z", "r", "zone.far", "q", "bound.retrySlack", retrySlack(), "bound.retryRatio", "0.2"));
-        NodeConfig node = ((Validated.Valid<NodeConfig>) NodeConfig.check(p)).value();
-        picker = LoadBalancer.create(node);
-        front = new ProxyHandler(node, picker, pool, beats, clock);
-        front.open();
-        config(3, "");
-        front.markConfirmed();
-        picker.updateLease(new Lease(1, 1, 60_000), clock.nowMs());
+        properties.putAll(
+                Map.of("zone.z", "r", "zone.far", "q", "bound.retrySlack", retrySlack(), "bound.retryRatio", "0.2"));
+        NodeConfig node = ((Validated.Valid<NodeConfig>) NodeConfig.check(properties)).value();
+        loadBalancer = LoadBalancer.create(node);
+        proxy = new ProxyHandler(node, loadBalancer, pool, scheduler, clock);
+        proxy.open();
+        applyConfiguration(3, "");
+        proxy.markConfirmed();
+        loadBalancer.updateLease(new Lease(1, 1, 60_000), clock.nowMs());
     }
 
     /** How many further arrivals at a service are allowed beyond its ratio. */
@@ -95,7 +96,7 @@
     }
 
     /** Puts the routes in force under that revision; more is further JSON of the configuration, from its comma on. */
-    void config(long revision, String more) {
+    void applyConfiguration(long revision, String moreMembers) {
         String json = "{\"revision\":" + revision + ",\"routes\":["
                 + route("card", "/card/", "idempotent", 3000, 200, 2, false, "") + ","
                 + route("short", "/short/", "streaming", 3000, 800, 1, false, "") + ","
@@ -104,74 +105,84 @@
                 + route("long", "/long/", "streaming", 4000, 800, 2, true, "") + ","
                 + route("batch", "/batch/", "batch", 4000, 800, 2, false, "")
                 + "],\"services\":[{\"name\":\"s\",\"healthPath\":\"/health\",\"maxConnections\":100,\"warmupS\":0,\"warmupPerS\":0}]"
-                + more + "}";
-        FleetConfig c = ((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
-        picker.updateConfiguration(c);
-        front.updateConfiguration(c);
+                + moreMembers + "}";
+        FleetConfig configuration = ((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
+        loadBalancer.updateConfiguration(configuration);
+        proxy.updateConfiguration(configuration);
     }
 
     static String route(
-            String name, String prefix, String kind, int deadline, int aim, int most, boolean resume, String homes) {
+            String name,
+            String prefix,
+            String kind,
+            int deadlineMs,
+            int targetLatencyMs,
+            int maxAttempts,
+            boolean resumable,
+            String homeRegions) {
         return "{\"name\":\"" + name + "\",\"host\":\"h.example\",\"pathPrefix\":\"" + prefix + "\",\"routeKind\":\""
                 + kind
-                + "\",\"deadlineMs\":" + deadline + ",\"targetLatencyMs\":" + aim
+                + "\",\"deadlineMs\":" + deadlineMs + ",\"targetLatencyMs\":" + targetLatencyMs
                 + ",\"priority\":0,\"service\":\"s\",\"maxAttempts\":"
-                + most + ",\"resumable\":" + resume + ",\"tokenGapMs\":400,\"homeRegions\":[" + homes + "]}";
+                + maxAttempts + ",\"resumable\":" + resumable + ",\"tokenGapMs\":400,\"homeRegions\":[" + homeRegions
+                + "]}";
     }
 
     @AfterEach
     void close() throws Exception {
-        front.close();
-        for (ScriptedEngine e : engines) {
-            e.close();
+        proxy.close();
+        for (ScriptedEngine engine : engines) {
+            engine.close();
         }
         pool.stop();
-        beats.stop();
+        scheduler.stop();
     }
 
     ScriptedEngine engine(String id, String zone, ScriptedEngine.Script script) throws IOException {
-        ScriptedEngine e = new ScriptedEngine(script);
-        engines.add(e);
-        picker.updateEngine(id, new Engine(8, 0, false, -1, 1, "s", e.address(), zone, "v"), 1, clock.nowMs());
-        return e;
+        ScriptedEngine engine = new ScriptedEngine(script);
+        engines.add(engine);
+        loadBalancer.updateEngine(
+                id, new Engine(8, 0, false, -1, 1, "s", engine.address(), zone, "v"), 1, clock.nowMs());
+        return engine;
     }
 
-    Socket send(String path, String id, String more, String body) throws IOException {
-        Socket s = new Socket("127.0.0.1", port);
-        s.setSoTimeout(20_000);
-        ask(s, path, id, more, body);
-        return s;
+    Socket send(String path, String id, String moreHeaders, String body) throws IOException {
+        Socket client = new Socket("127.0.0.1", port);
+        client.setSoTimeout(20_000);
+        writeRequest(client, path, id, moreHeaders, body);
+        return client;
     }
 
-    static void ask(Socket s, String path, String id, String more, String body) throws IOException {
+    static void writeRequest(Socket client, String path, String id, String moreHeaders, String body)
+            throws IOException {
         ScriptedEngine.writeText(
-                s.getOutputStream(),
+                client.getOutputStream(),
                 "POST " + path + " HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: " + id + "\r\nDeadline-Ms: 2500\r\n"
-                        + more + "Content-Length: " + body.length() + "\r\n\r\n" + body);
+                        + moreHeaders + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     /** Reads to the end of the wire. */
-    static String all(Socket s) throws IOException {
-        try (s) {
-            return new String(s.getInputStream().readAllBytes(), ISO_8859_1);
+    static String readAll(Socket client) throws IOException {
+        try (client) {
+            return new String(client.getInputStream().readAllBytes(), ISO_8859_1);
         }
     }
 
     /** Reads until the text is there. */
-    static String until(Socket s, String text) throws IOException {
-        StringBuilder b = new StringBuilder();
-        InputStream in = s.getInputStream();
-        while (b.indexOf(text) < 0) {
-            int c = in.read();
-            if (c < 0) {
-                return b + "<end>";
+    static String readUntil(Socket client, String text) throws IOException {
+        StringBuilder received = new StringBuilder();
+        InputStream in = client.getInputStream();
+        while (received.indexOf(text) < 0) {
+            int next = in.read();
+            if (next < 0) {
+                return received + "<end>";
             }
-            b.append((char) c);
+            received.append((char) next);
         }
-        return b.toString();
+        return received.toString();
     }
 
-    String ok(String path, String id) throws IOException {
-        return all(send(path, id, "Connection: close\r\n", ""));
+    String sendAndReadAll(String path, String id) throws IOException {
+        return readAll(send(path, id, "Connection: close\r\n", ""));
     }
 }
--- a/src/test/java/ringspindle/proxy/RouteSplitTest.java
+++ b/src/test/java/ringspindle/proxy/RouteSplitTest.java
@@ -16,7 +16,7 @@
 class RouteSplitTest {
     private static final int REQUESTS = 20_000;
     /** The chi-square distribution with two degrees of freedom exceeds this with a probability of 0.001. */
-    private static final double CHI_SQUARE_2 = 13.82;
+    private static final double CHI_SQUARE_LIMIT = 13.82;
 
     private static FleetConfig.Route route(int first, int second, int third) {
         String target = "{\"service\":\"%s\",\"weight\":%d}";
@@ -34,36 +34,37 @@
 
     @ParameterizedTest
     @CsvSource({"90, 10, 0, false", "90, 10, 0, true", "1, 1, 1, false", "70, 20, 10, true", "1, 0, 99, false"})
-    void partsGetTheirShares(int first, int second, int third, boolean risingIds) {
+    void servicesReceiveRequestsInProportionToTheirWeights(int first, int second, int third, boolean risingIds) {
         FleetConfig.Route route = route(first, second, third);
         Random random = new Random(22);
         int[] weights = {first, second, third};
         int[] counts = new int[weights.length];
         for (int i = 0; i < REQUESTS; i++) {
             String id = risingIds ? Integer.toString(i) : Long.toHexString(random.nextLong());
-            counts["abc".indexOf(RouteSplit.service(route, id))]++;
+            counts["abc".indexOf(RouteSplit.selectService(route, id))]++;
         }
         double total = first + second + third;
         double chiSquare = 0;
-        for (int part = 0; part < weights.length; part++) {
-            double expected = REQUESTS * weights[part] / total;
-            if (weights[part] == 0) {
-                assertEquals(0, counts[part]);
+        for (int service = 0; service < weights.length; service++) {
+            double expected = REQUESTS * weights[service] / total;
+            if (weights[service] == 0) {
+                assertEquals(0, counts[service]);
             } else {
-                chiSquare += (counts[part] - expected) * (counts[part] - expected) / expected;
+                chiSquare += (counts[service] - expected) * (counts[service] - expected) / expected;
             }
         }
         assertTrue(
-                chiSquare < CHI_SQUARE_2,
+                chiSquare < CHI_SQUARE_LIMIT,
                 "chi-square " + chiSquare + " of " + List.of(counts[0], counts[1], counts[2]));
     }
 
     @Test
-    void oneTryAlwaysGoesTheSameWay() {
+    void sameAttemptIdAlwaysSelectsTheSameService() {
         FleetConfig.Route route = route(50, 30, 20);
         for (int i = 0; i < 100; i++) {
             String id = Integer.toString(i);
-            assertEquals(RouteSplit.service(route, id), RouteSplit.service(route, new String(id.toCharArray())));
+            assertEquals(
+                    RouteSplit.selectService(route, id), RouteSplit.selectService(route, new String(id.toCharArray())));
         }
     }
 }
--- a/src/test/java/ringspindle/proxy/ServingRulesProxyTest.java
+++ b/src/test/java/ringspindle/proxy/ServingRulesProxyTest.java
@@ -26,94 +26,95 @@
         return ((Validated.Valid<ServingRules>) ServingRules.read(json.getBytes(UTF_8))).value();
     }
 
-    private LedgerRow row(String cls) {
-        return front.ledgerReport(1, 1).rows().stream()
-                .filter(r -> r.cls().equals(cls))
+    private LedgerRow row(String servingClass) {
+        return proxy.ledgerReport(1, 1).rows().stream()
+                .filter(row -> row.cls().equals(servingClass))
                 .findFirst()
                 .orElseThrow();
     }
 
     @Test
-    void rankOfTheClassGoesToTheEngineAndOlderRulesAreIgnored() throws Exception {
+    void classRankIsSentToTheEngineAndOlderRulesAreIgnored() throws Exception {
         ScriptedEngine engine = engine("i-1", "z", (seen, out, socket) -> {
             ScriptedEngine.writeText(
                     out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk("id: 0\ndata: x\n\n") + "0\r\n\r\n");
         });
-        front.updateRules(
+        proxy.updateRules(
                 rules(
                         "{\"revision\":5,\"rules\":[{\"name\":\"q\",\"match\":{\"route\":\"short\"},\"class\":{\"rank\":3}}]}"));
-        front.updateRules(rules("{\"revision\":4,\"default\":{\"class\":{\"rank\":9}}}"));
-        ok("/short/x", "t1");
+        proxy.updateRules(rules("{\"revision\":4,\"default\":{\"class\":{\"rank\":9}}}"));
+        sendAndReadAll("/short/x", "t1");
         assertEquals("3", engine.requests.take().headers().get("Request-Urgency"));
         assertEquals(5, row("q").revision());
-        assertEquals(5, front.ledgerReport(1, 1).revision());
+        assertEquals(5, proxy.ledgerReport(1, 1).revision());
     }
 
     /** One action, one revision: what waits when the rules change goes on under those it was admitted with. */
     @Test
     void actionKeepsTheRulesItWasAdmittedUnder() throws Exception {
-        CountDownLatch hold = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         ScriptedEngine engine = engine("i-1", "z", (seen, out, socket) -> {
-            hold.await();
+            release.await();
             ScriptedEngine.respondWith(200, "hello", "").run(seen, out, socket);
         });
-        front.updateRules(rules("{\"revision\":1,\"default\":{\"class\":{\"rank\":1}}}"));
+        proxy.updateRules(rules("{\"revision\":1,\"default\":{\"class\":{\"rank\":1}}}"));
         Socket first = send("/card/x", "t1", "Connection: close\r\n", "");
         engine.requests.take();
-        front.updateRules(rules("{\"revision\":2,\"rules\":[{\"name\":\"cards\",\"match\":{\"route\":\"card\"}}]}"));
+        proxy.updateRules(rules("{\"revision\":2,\"rules\":[{\"name\":\"cards\",\"match\":{\"route\":\"card\"}}]}"));
         Socket second = send("/card/x", "t2", "Connection: close\r\n", "");
         engine.requests.take();
-        hold.countDown();
-        assertTrue(all(first).startsWith("HTTP/1.1 200"));
-        assertTrue(all(second).startsWith("HTTP/1.1 200"));
-        LedgerRow one = row(ServingRules.DEFAULT_CLASS);
-        LedgerRow two = row("cards");
-        assertEquals(List.of(1L, 1L, 1L), List.of(one.revision(), one.admitted(), one.sent()));
-        assertEquals(List.of(2L, 1L, 1L), List.of(two.revision(), two.admitted(), two.sent()));
+        release.countDown();
+        assertTrue(readAll(first).startsWith("HTTP/1.1 200"));
+        assertTrue(readAll(second).startsWith("HTTP/1.1 200"));
+        LedgerRow firstRow = row(ServingRules.DEFAULT_CLASS);
+        LedgerRow secondRow = row("cards");
+        assertEquals(List.of(1L, 1L, 1L), List.of(firstRow.revision(), firstRow.admitted(), firstRow.sent()));
+        assertEquals(List.of(2L, 1L, 1L), List.of(secondRow.revision(), secondRow.admitted(), secondRow.sent()));
     }
 
     /** Long ones may use a quarter of the places and wait; the short one that comes behind them waits for none of them. */
     @Test
-    void shortQuestionsNeverWaitBehindDigests() throws Exception {
-        CountDownLatch hold = new CountDownLatch(1);
+    void shortRequestsDoNotWaitBehindLongOnes() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
         List<String> order = Collections.synchronizedList(new ArrayList<>());
         ScriptedEngine engine = engine("i-1", "z", (seen, out, socket) -> {
             order.add(seen.headers().get("Attempt-Id"));
             if (seen.headers().get("Attempt-Id").startsWith("d")) {
-                hold.await();
+                release.await();
             }
             ScriptedEngine.writeText(
                     out, ScriptedEngine.streamHead(seen) + ScriptedEngine.chunk("id: 0\ndata: x\n\n") + "0\r\n\r\n");
         });
-        front.updateRules(
+        proxy.updateRules(
                 rules(
                         "{\"revision\":1,\"rules\":[{\"name\":\"digests\",\"match\":{\"prompt\":{\"from\":5000}},"
                                 + "\"class\":{\"rank\":2,\"waitMs\":2000}}],\"default\":{\"class\":{\"rank\":0,\"share\":0.75,\"waitMs\":100}}}"));
-        String digest = "Connection: close\r\nToken-Count: 17000,100\r\nPrompt-Prefix: aa:13000,bb:4000\r\n";
-        List<Socket> digests = new ArrayList<>();
+        String longRequestHeaders =
+                "Connection: close\r\nToken-Count: 17000,100\r\nPrompt-Prefix: aa:13000,bb:4000\r\n";
+        List<Socket> longRequests = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            digests.add(send("/short/x", "d" + i, digest, ""));
+            longRequests.add(send("/short/x", "d" + i, longRequestHeaders, ""));
         }
         // two of the eight places are theirs, the other four wait
         engine.requests.take();
         engine.requests.take();
-        String got = all(send("/short/x", "q1", "Connection: close\r\nToken-Count: 383,50\r\n", ""));
-        assertTrue(got.startsWith("HTTP/1.1 200"), got);
+        String response = readAll(send("/short/x", "q1", "Connection: close\r\nToken-Count: 383,50\r\n", ""));
+        assertTrue(response.startsWith("HTTP/1.1 200"), response);
         assertEquals("q1", order.get(2), "a digest went before the question: " + order);
         assertEquals(1, row(ServingRules.DEFAULT_CLASS).completed());
-        hold.countDown();
-        for (Socket client : digests) {
-            all(client);
+        release.countDown();
+        for (Socket client : longRequests) {
+            readAll(client);
         }
         assertEquals(6, row("digests").admitted());
-        assertEquals(Set.of(), RequestLedger.violations(front.ledgerReport(1, 1)));
+        assertEquals(Set.of(), RequestLedger.violations(proxy.ledgerReport(1, 1)));
     }
 
     /** The ledger against what the stand-in engines and clients counted themselves. */
     @Test
     void ledgerAgreesWithEnginesAndClients() throws Exception {
         int[] answered = new int[1];
-        ScriptedEngine bad = engine("i-1", "z", (seen, out, socket) -> {
+        ScriptedEngine failingEngine = engine("i-1", "z", (seen, out, socket) -> {
             if (seen.requestLine().startsWith("GET")) {
                 ScriptedEngine.writeText(out, "HTTP/1.1 200 OK\r\nInstance-Id: i-1\r\nContent-Length: 0\r\n\r\n");
                 return;
@@ -128,27 +129,27 @@
                 default -> socket.close();
             }
         });
-        ScriptedEngine good = engine("i-2", "z", ScriptedEngine.respondWith(200, "hello", ""));
-        int whole = 0;
-        int refused = 0;
+        ScriptedEngine healthyEngine = engine("i-2", "z", ScriptedEngine.respondWith(200, "hello", ""));
+        int completed = 0;
+        int rejected = 0;
         for (int i = 0; i < 60; i++) {
-            String got = ok(i % 2 == 0 ? "/card/x" : "/once/x", "t" + i);
-            whole += got.startsWith("HTTP/1.1 200") || got.startsWith("HTTP/1.1 500") ? 1 : 0;
-            refused += got.startsWith("HTTP/1.1 50") && !got.startsWith("HTTP/1.1 500") ? 1 : 0;
+            String response = sendAndReadAll(i % 2 == 0 ? "/card/x" : "/once/x", "t" + i);
+            completed += response.startsWith("HTTP/1.1 200") || response.startsWith("HTTP/1.1 500") ? 1 : 0;
+            rejected += response.startsWith("HTTP/1.1 50") && !response.startsWith("HTTP/1.1 500") ? 1 : 0;
         }
         LedgerRow total = row(ServingRules.DEFAULT_CLASS);
-        long arrived = bad.requests.stream()
-                        .filter(x -> x.requestLine().startsWith("POST"))
+        long received = failingEngine.requests.stream()
+                        .filter(request -> request.requestLine().startsWith("POST"))
                         .count()
-                + good.requests.size();
+                + healthyEngine.requests.size();
         assertEquals(60, total.admitted());
-        assertEquals(whole, total.completed());
-        assertEquals(refused, total.givenUp());
-        assertEquals(arrived, total.sent());
+        assertEquals(completed, total.completed());
+        assertEquals(rejected, total.givenUp());
+        assertEquals(received, total.sent());
         assertEquals(0, total.inProgress());
-        assertEquals(Set.of(), RequestLedger.violations(front.ledgerReport(1, 1)));
+        assertEquals(Set.of(), RequestLedger.violations(proxy.ledgerReport(1, 1)));
         Map<String, Integer> runs = new HashMap<>();
-        good.requests.forEach(x -> runs.merge(x.headers().get("Attempt-Id"), 1, Integer::sum));
-        assertTrue(runs.values().stream().allMatch(k -> k == 1), "doubled: " + runs);
+        healthyEngine.requests.forEach(request -> runs.merge(request.headers().get("Attempt-Id"), 1, Integer::sum));
+        assertTrue(runs.values().stream().allMatch(count -> count == 1), "doubled: " + runs);
     }
 }
--- a/src/test/java/ringspindle/proxy/StreamContentTest.java
+++ b/src/test/java/ringspindle/proxy/StreamContentTest.java
@@ -35,7 +35,7 @@
                         ScriptedEngine.streamHead(request)
                                 + ScriptedEngine.chunk(longEvent + event(1))
                                 + END_OF_CHUNKS));
-        Received received = Received.of(ok("/short/x", "t1"));
+        Received received = Received.of(sendAndReadAll("/short/x", "t1"));
         assertTrue(received.looksComplete());
         assertEquals(longEvent + event(1), received.body());
     }
@@ -48,7 +48,7 @@
                 "z",
                 (request, out, socket) -> ScriptedEngine.writeText(
                         out, ScriptedEngine.streamHead(request) + ScriptedEngine.chunk(stream) + END_OF_CHUNKS));
-        Received received = Received.of(ok("/short/x", "t1"));
+        Received received = Received.of(sendAndReadAll("/short/x", "t1"));
         assertTrue(received.looksComplete());
         assertEquals(stream, received.body());
     }
@@ -64,7 +64,7 @@
         };
         engine("i-1", "z", script);
         engine("i-2", "z", script);
-        Received received = Received.of(ok("/long/x", "t1"));
+        Received received = Received.of(sendAndReadAll("/long/x", "t1"));
         assertFalse(received.looksComplete());
         assertEquals(event(0) + "data: none\n\n", received.body());
         assertEquals(1, requests.size());
@@ -88,9 +88,9 @@
         for (String id : List.of("i-1", "i-2")) {
             // The engine announces no weight version, so that it may be selected.
             String address = engine(id, "z", script).address();
-            picker.updateEngine(id, new Engine(8, 0, false, -1, -1, "s", address, "z", "v"), 2, clock.nowMs());
+            loadBalancer.updateEngine(id, new Engine(8, 0, false, -1, -1, "s", address, "z", "v"), 2, clock.nowMs());
         }
-        Received received = Received.of(ok("/long/x", "t1"));
+        Received received = Received.of(sendAndReadAll("/long/x", "t1"));
         assertFalse(received.looksComplete());
         assertFalse(received.body().contains("<2>"), received.body());
         assertEquals("2", requests.get(1).headers().get("Expected-Revision"));
--- a/src/test/java/ringspindle/proxy/StreamFaultsTest.java
+++ b/src/test/java/ringspindle/proxy/StreamFaultsTest.java
@@ -220,7 +220,7 @@
     @EnumSource(Fault.class)
     void faultOnAStoppingNode(Fault fault) throws Exception {
         CountDownLatch forwarded = startEngines(2, fault, true);
-        front.leave(clock.nowMs() + 60_000);
+        proxy.beginShutdown(clock.nowMs() + 60_000);
         Received received = sendRequest("/short/x", "", "<1>", forwarded);
         assertAbortedAfter(1, received);
         assertTrue(received.head().contains("Connection: close"), received.head());
@@ -254,7 +254,7 @@
         client.setReceiveBufferSize(8192);
         client.connect(new InetSocketAddress("127.0.0.1", port));
         client.setSoTimeout(20_000);
-        ask(client, path, "t1", CLOSE, "");
+        writeRequest(client, path, "t1", CLOSE, "");
         Received received = Received.of(EventStreams.readAll(client, "", () -> {}));
         assertEquals(List.of("seal1"), received.seals());
         String ids = received.body().replaceAll("id: (\\d+)\ndata: <\\d+>x+\n\n", "$1 ");
@@ -334,7 +334,7 @@
                     out, event(2) + EventStreams.head(request, "other", "1") + "Content-Length: 0\r\n\r\n");
         });
         for (int i = 0; i < 3; i++) {
-            Received received = Received.of(ok("/short/x", "t" + i));
+            Received received = Received.of(sendAndReadAll("/short/x", "t" + i));
             if (received.status() == 200) {
                 assertEquals(List.of("seal"), received.seals());
                 assertTrue(received.head().contains("Attempt-Id: t" + i), received.head());
--- a/src/test/java/ringspindle/proxy/StreamTruncationTest.java
+++ b/src/test/java/ringspindle/proxy/StreamTruncationTest.java
@@ -70,8 +70,8 @@
         String json = "{\"revision\":4,\"routes\":[" + String.join(",", routes) + "],\"services\":["
                 + String.join(",", services) + "]}";
         FleetConfig config = ((Validated.Valid<FleetConfig>) FleetConfig.read(json.getBytes(UTF_8))).value();
-        picker.updateConfiguration(config);
-        front.updateConfiguration(config);
+        loadBalancer.updateConfiguration(config);
+        proxy.updateConfiguration(config);
     }
 
     private static String routeTo(String service, String kind, int attempts, boolean resumable) {
@@ -159,15 +159,15 @@
                     service + "-" + number + "-e");
             for (String id : ids) {
                 Engine engine = new Engine(8, 0, false, -1, -1, service, server.address(), "z", "v");
-                picker.updateEngine(id, engine, 1, clock.nowMs());
+                loadBalancer.updateEngine(id, engine, 1, clock.nowMs());
             }
             try {
                 Socket client = send("/" + service + kind + "/x", attempt, "Connection: close\r\n", "");
                 return EventStreams.readAll(client, awaited, onReceived);
             } finally {
-                ids.forEach(id -> picker.markDraining(id, true, clock.nowMs()));
+                ids.forEach(id -> loadBalancer.markDraining(id, true, clock.nowMs()));
                 if (number % 100 == 0) {
-                    front.closeIdleConnections();
+                    proxy.closeIdleConnections();
                 }
             }
         }
