--- a/src/main/java/ringspindle/proxy/ActiveRequests.java
+++ b/src/main/java/ringspindle/proxy/ActiveRequests.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The requests under way. Closing and refusing are one step: once it is closed no request begins, so that each one either
- * is seen by whoever ends the node or is never begun. Thread safe.
+ * Registry of the requests in progress. Closing is atomic with admission: a request is either counted before the close, and
+ * then cancelled or waited for by the shutdown, or it is rejected. Thread safe.
  *
  * <pre>{@code
  * if (active.begin()) {
@@ -17,56 +17,56 @@
  * }</pre>
  */
 final class ActiveRequests {
-    /** A request that is under way. */
+    /** A request in progress. */
     @FunctionalInterface
     interface Cancellable {
-        /** The node ends: the request gets its final answer now. Has no effect on one that has ended. */
+        /** Sends the final response now because the node terminates. Has no effect on a request that has ended. */
         void onNodeTermination();
     }
 
-    /** Stands beside the count once none may begin any more. */
+    /** Set in the state, next to the count, once no further request may begin. */
     private static final long CLOSED_BIT = 1L << 62;
 
     private final AtomicLong state = new AtomicLong();
     private final Map<String, Cancellable> cancellables = new ConcurrentHashMap<>();
 
-    /** Counts a request; false if none may begin any more. */
+    /** Counts a request; returns false if the registry is closed. */
     boolean begin() {
         long previous = state.getAndUpdate(current -> isClosed(current) ? current : current + 1);
         return !isClosed(previous);
     }
 
-    /** A request that was counted can be ended with the node from now on. */
+    /** Registers a counted request, so that it is cancelled when the node terminates. */
     void track(String id, Cancellable request) {
         cancellables.put(id, request);
         if (isClosed(state.get())) {
-            // closed between its beginning and this, so that whoever closed may not have seen it
+            // closed between begin() and put(): closeAndCancelAll() may have missed this request
             request.onNodeTermination();
         }
     }
 
-    /** A request that was tracked goes on under another id, which is tracked next. */
+    /** Unregisters a request that continues under another id, which is tracked next; it stays counted. */
     void untrack(String id) {
         cancellables.remove(id);
     }
 
-    /** A request that was counted is over. */
+    /** Unregisters and uncounts a request that has ended. */
     void end(String id) {
         cancellables.remove(id);
         state.decrementAndGet();
     }
 
-    /** How many are under way. */
+    /** Returns the number of requests in progress. */
     long count() {
         return state.get() & ~CLOSED_BIT;
     }
 
-    /** Lets none begin from now on, if none is under way; true if so. */
+    /** Closes the registry if no request is in progress; returns true if it is closed now. */
     boolean closeIfIdle() {
         return state.compareAndSet(0, CLOSED_BIT) || state.get() == CLOSED_BIT;
     }
 
-    /** Lets none begin from now on, and gives those under way their final answer; returns how many there were. */
+    /** Closes the registry and cancels all requests in progress; returns how many there were. */
     long closeAndCancelAll() {
         long previous = state.getAndUpdate(current -> current | CLOSED_BIT);
         cancellables.values().forEach(Cancellable::onNodeTermination);
--- a/src/main/java/ringspindle/proxy/AdmittedRequest.java
+++ b/src/main/java/ringspindle/proxy/AdmittedRequest.java
@@ -18,11 +18,11 @@
 import ringspindle.tenancy.Identity;
 
 /**
- * A client's request that was read whole, with the route and the serving rules that it was admitted under. All that is
- * done for it follows these, whatever configuration comes since.
+ * A client request that was read completely, with the route and the serving rules in force at its admission. It is processed
+ * under these even if the configuration changes meanwhile.
  */
 final class AdmittedRequest {
-    /** Ranks of routes and rules within one rank of tenants. */
+    /** Number of route and rule ranks within one tenant priority. */
     private static final int RANKS_PER_TENANT_PRIORITY = 4;
 
     private final Request request;
@@ -42,11 +42,11 @@
     private final Affinity.Key affinity;
 
     /**
-     * Reads what the head says of the request.
+     * Creates an admitted request from its headers and body.
      *
      * @param service the service of the route that serves this request
      * @param rulesInForce the serving rules in force, null while there are none
-     * @param assignment what an experiment says of it
+     * @param assignment the experiment variant assigned to the request, if any
      */
     AdmittedRequest(
             IncomingRequest incoming,
@@ -109,17 +109,17 @@
         return attemptId;
     }
 
-    /** When its head had come, on the steady clock. */
+    /** When the request headers were received, on the monotonic clock. */
     long receivedMs() {
         return receivedMs;
     }
 
-    /** When it has to be answered at the latest, on the steady clock. */
+    /** The deadline for the response, on the monotonic clock. */
     long deadlineMs() {
         return receivedMs + timeLimitMs;
     }
 
-    /** What an experiment said of it when it was admitted. */
+    /** The experiment variant assigned at admission. */
     Optional<Assignment> assignment() {
         return assignment;
     }
@@ -128,54 +128,54 @@
         return assignment.map(Assignment::policy).orElse(Policy.DEFAULT);
     }
 
-    /** The rules that it was admitted under, null if there were none. */
+    /** The serving rules in force at admission, null if there were none. */
     ServingRules rules() {
         return rules;
     }
 
-    /** The rule that it falls under, null without rules. */
+    /** The serving rule that the request matches, null without rules. */
     ServingRule rule() {
         return rule;
     }
 
-    /** The name that it is counted under. */
+    /** The name of the serving class that the request is counted under. */
     String servingClass() {
         return rule == null ? ServingRules.DEFAULT_CLASS : rule.name();
     }
 
-    /** The revision of the rules that it was admitted under, 0 without rules. */
+    /** The revision of the rules in force at admission, 0 without rules. */
     long rulesRevision() {
         return rules == null ? 0 : rules.revision();
     }
 
-    /** Its rank among requests that wait, 0 being served first: the tenant's before the rule's, or else the route's. */
+    /** Priority among waiting requests, 0 first: the tenant's, then the rule's rank or else the route's priority. */
     int priority() {
         int baseRank = rule == null || rule.rank() < 0 ? route.priority() : rule.rank();
         return tenant().map(Tenant::priority).orElse(0) * RANKS_PER_TENANT_PRIORITY + baseRank;
     }
 
-    /** True where there are tenants, though this may be anyone's request. */
+    /** Returns true if tenants are configured, even if the request belongs to none of them. */
     boolean areTenantsConfigured() {
         return !(identity instanceof Identity.Anyone anyone) || anyone.amongTenants();
     }
 
-    /** Whose request it is, empty where it is anyone's. */
+    /** The tenant that sent the request, empty if it belongs to none. */
     Optional<Tenant> tenant() {
         return identity instanceof Identity.Known known ? Optional.of(known.tenant()) : Optional.empty();
     }
 
-    /** The regions that may serve it: homes of the route and of the tenant. */
+    /** The regions that may serve the request: the intersection of the route's and the tenant's home regions. */
     private AllowedRegions allowedRegions() {
         AllowedRegions routeRegions = route.allowedRegions();
         return tenant().map(tenant -> routeRegions.and(tenant.homes())).orElse(routeRegions);
     }
 
     /**
-     * Asks for an engine.
+     * Returns the load balancer's input for selecting an engine.
      *
-     * @param attemptedEngines engines that are not to be asked again
-     * @param weightVersion the weights that a stream is to go on with, below 0 if any will do
-     * @param waitedMs how long it has waited for capacity
+     * @param attemptedEngines engines that were already tried and are excluded
+     * @param weightVersion the model weights that a resumed stream requires, below 0 for any
+     * @param waitedMs how long the request has waited for capacity
      */
     LoadBalancer.SelectionRequest selectionRequest(
             Set<String> attemptedEngines, long weightVersion, long random, long waitedMs) {
@@ -193,7 +193,7 @@
                 policy().weights());
     }
 
-    /** What its rule says of the choice of an engine; null where it says nothing, so that all is as without rules. */
+    /** The rule's routing preference, null if the rule states none; routing is then the same as without rules. */
     private LoadBalancer.RoutingPreference routingPreference(long waitedMs) {
         if (rule == null) {
             return null;
@@ -217,7 +217,7 @@
         return route.kind() == FleetConfig.Kind.STREAMING;
     }
 
-    /** True for a stream that is passed on only when it is whole, as the node may end before: it must not be cut then. */
+    /** Returns true for a stream that is buffered until complete, because the node may terminate first and truncate it. */
     boolean isBufferedUntilComplete() {
         return mayOutliveNode && isStreaming();
     }
@@ -226,17 +226,17 @@
         return new RetryPolicy(route.repeatable(), route.resumable(), route.maxAttempts());
     }
 
-    /** What identifies the shared part of its prompt on every node, 0 if it shares none worth going back for. */
+    /** Hash of the shared prompt prefix, equal on every node; 0 if it has none long enough to route by. */
     long affinityKey() {
         return affinity.hash();
     }
 
-    /** Tokens of its prompt that are shared with other requests. */
+    /** Number of prompt tokens shared with other requests. */
     int sharedTokens() {
         return affinity.sharedTokens();
     }
 
-    /** Tokens of its prompt that are its own. */
+    /** Number of prompt tokens that are not shared. */
     int ownTokens() {
         return Math.max(0, promptTokens - affinity.sharedTokens());
     }
--- a/src/main/java/ringspindle/proxy/BoundedBody.java
+++ b/src/main/java/ringspindle/proxy/BoundedBody.java
@@ -6,7 +6,7 @@
 import org.eclipse.jetty.io.Content;
 import org.eclipse.jetty.server.Request;
 
-/** Reads a request's body, and no more of it than its bound. Whoever takes the body must not block. */
+/** Reads a request body up to a maximum size. The callbacks must not block. */
 public final class BoundedBody implements NonBlockingTask {
     private final Request request;
     private final int maxBytes;
@@ -15,8 +15,8 @@
     private final ByteArrayOutputStream collected;
 
     /**
-     * {@code new BoundedBody(request, 65536, body -> ..., x -> ...).run()} gives the body once it is whole, null as soon as
-     * it is known to pass its bound.
+     * Creates a reader; {@code new BoundedBody(request, 65536, body -> ..., failure -> ...).run()} passes on the body once it
+     * is complete, or null as soon as it is known to exceed the maximum.
      */
     public BoundedBody(Request request, int maxBytes, Consumer<byte[]> onBody, Consumer<Throwable> onFailure) {
         this.request = request;
--- a/src/main/java/ringspindle/proxy/BufferedBody.java
+++ b/src/main/java/ringspindle/proxy/BufferedBody.java
@@ -3,16 +3,16 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 
-/** The body of an engine's answer, held until it is complete. Not thread safe. */
+/** Buffers the body of an engine's response until it is complete. Not thread safe. */
 final class BufferedBody {
-    /** The largest answer that is held, in bytes. */
+    /** The largest response body that is buffered. */
     private static final int MAX_BYTES = 16 << 20;
 
     private static final int INITIAL_CAPACITY_BYTES = 1024;
 
     private final ByteArrayOutputStream collected = new ByteArrayOutputStream(INITIAL_CAPACITY_BYTES);
 
-    /** Adds what is left of the part; false if the body is larger than may be held. */
+    /** Appends the remaining bytes of the part; returns false if the body exceeds the maximum size. */
     boolean append(ByteBuffer part) {
         byte[] copy = new byte[part.remaining()];
         part.get(copy);
@@ -24,7 +24,7 @@
         return collected.size() == 0;
     }
 
-    /** All that has come, in a new array. */
+    /** Returns a copy of the bytes received so far. */
     byte[] toByteArray() {
         return collected.toByteArray();
     }
--- a/src/main/java/ringspindle/proxy/CallerIdentification.java
+++ b/src/main/java/ringspindle/proxy/CallerIdentification.java
@@ -8,9 +8,9 @@
 import ringspindle.tenancy.KeyLease;
 import ringspindle.tenancy.TenantTable;
 
-/** Tells who sends a request: by its key, as long as what is known of keys is new enough. Thread safe. */
+/** Identifies the sender of a request by its API key while the node's key data is fresh enough. Thread safe. */
 final class CallerIdentification {
-    /** The tenants of a configuration, made once for each. */
+    /** The tenant table of a configuration, built once per configuration. */
     private record Tenants(FleetConfig configuration, TenantTable table) {}
 
     private final KeyLease lease;
@@ -20,7 +20,7 @@
         this.lease = lease;
     }
 
-    /** Who sends the request under that configuration. */
+    /** Identifies the sender of the request under the given configuration. */
     Identity identify(Request request, FleetConfig configuration, FleetConfig.Route route, long nowMs) {
         Tenants current = tenants;
         if (current == null || current.configuration() != configuration) {
--- a/src/main/java/ringspindle/proxy/CapacityWait.java
+++ b/src/main/java/ringspindle/proxy/CapacityWait.java
@@ -1,19 +1,19 @@
 package ringspindle.proxy;
 
-/** How long a request has waited for capacity, and until when it may; all in ms of the steady clock. Not thread safe. */
+/** A request's wait for capacity and its deadline, in ms of the monotonic clock. Not thread safe. */
 final class CapacityWait {
     private boolean active;
     private long startMs;
     private long deadlineMs;
 
-    /** Starts to wait until that time at most. */
+    /** Starts a wait that expires at the deadline. */
     void begin(long nowMs, long deadlineMs) {
         active = true;
         this.startMs = nowMs;
         this.deadlineMs = deadlineMs;
     }
 
-    /** An engine was found. */
+    /** Ends the wait because an engine was found. */
     void end() {
         active = false;
     }
@@ -22,12 +22,12 @@
         return active;
     }
 
-    /** True once the request is to be given up. */
+    /** Returns true once the wait has expired and the request is to be rejected or failed. */
     boolean isExpired(long nowMs) {
         return active && nowMs >= deadlineMs;
     }
 
-    /** For how long it has waited so far, 0 if it does not wait. */
+    /** Returns how long the request has waited so far, 0 if it does not wait. */
     long elapsedMs(long nowMs) {
         return active ? nowMs - startMs : 0;
     }
--- a/src/main/java/ringspindle/proxy/ExperimentOutcomes.java
+++ b/src/main/java/ringspindle/proxy/ExperimentOutcomes.java
@@ -14,8 +14,8 @@
 import ringspindle.time.MonotonicClock;
 
 /**
- * Experiments at this node: assigns requests as they come, and counts how those that take part ended. Without an experiment it
- * holds nothing. Thread safe.
+ * Assigns incoming requests to experiment variants at this node and counts the outcomes of the assigned ones. Keeps no
+ * per-request state without an experiment. Thread safe.
  */
 final class ExperimentOutcomes {
     private record PendingOutcome(Assignment assignment, AdmittedRequest admitted, ResponseTiming timing) {}
@@ -32,12 +32,12 @@
         return outcomes;
     }
 
-    /** What experiments say of a request, which is held to it from here on. */
+    /** Assigns a request to a variant, which then applies to it until it ends; empty without an experiment. */
     Optional<Assignment> assign(FleetConfig.Route route, String promptPrefix, long nowMs) {
         return experiments.assign(route.name(), promptPrefix, nowMs);
     }
 
-    /** A request begins; if its outcome counts, its answer is timed. */
+    /** Starts timing the response of a request whose outcome is counted. */
     void begin(String actionId, AdmittedRequest admitted, ClientResponse client, MonotonicClock clock) {
         admitted.assignment().filter(Assignment::isCounted).ifPresent(assignment -> {
             ResponseTiming timing = new ResponseTiming(clock);
@@ -46,7 +46,7 @@
         });
     }
 
-    /** An action ended; one that the client gave up says nothing of a policy. */
+    /** Counts the outcome of an ended action, unless the client disconnected: that says nothing about a policy. */
     void onEnded(TerminalEvent event, long nowMs) {
         PendingOutcome pendingOutcome = pending.remove(event.actionId());
         if (pendingOutcome == null || event.cause() == CancelCause.CLIENT_GONE) {
@@ -54,7 +54,7 @@
         }
         FleetConfig.Route route = pendingOutcome.admitted().route();
         boolean answered = event.state() == Action.State.COMPLETED && event.lastOutcome() == AttemptOutcome.ANSWERED;
-        // an answer that is held until it is whole is written right after the end
+        // a response that is buffered until complete is written right after the action ends
         long firstWriteMs = pendingOutcome.timing().firstWriteMs() == ResponseTiming.NOT_WRITTEN && answered
                 ? nowMs
                 : pendingOutcome.timing().firstWriteMs();
--- a/src/main/java/ringspindle/proxy/IncomingRequest.java
+++ b/src/main/java/ringspindle/proxy/IncomingRequest.java
@@ -5,14 +5,14 @@
 import ringspindle.tenancy.Identity;
 
 /**
- * A client's request whose head was read and found proper; its body is still to come.
+ * A client request whose headers were validated and whose body is not read yet.
  *
- * @param client where its answer goes
- * @param attemptId the client's id of this try
- * @param receivedMs when the head had come, on the steady clock
- * @param timeLimitMs how long it may take from then on
- * @param identity who sends it: a tenant, or anyone
- * @param mayOutliveNode the node may end before that time is over
+ * @param client receives the response
+ * @param attemptId the client's id of this attempt
+ * @param receivedMs when the headers were received, on the monotonic clock
+ * @param timeLimitMs time limit of the request, counted from {@code receivedMs}
+ * @param identity the caller: a tenant, or anyone
+ * @param mayOutliveNode true if the node may terminate before the time limit
  */
 record IncomingRequest(
         Request request,
--- a/src/main/java/ringspindle/proxy/NodeServices.java
+++ b/src/main/java/ringspindle/proxy/NodeServices.java
@@ -1,29 +1,29 @@
 package ringspindle.proxy;
 
-/** What requests need of the rest of the fleet, as the owner of the node connects it before the proxy opens. Thread safe. */
+/** Fleet services that requests use; the node sets them before the proxy opens. Thread safe. */
 public final class NodeServices {
     private volatile JobGateway jobs = JobGateway.NONE;
     private volatile QuotaGateway quotas = QuotaGateway.NONE;
     private volatile UsageListener usage = tenant -> {};
 
-    /** Told of requests that engines began. */
+    /** Notified of requests that engines have started. */
     @FunctionalInterface
     public interface UsageListener {
-        /** An engine has begun a request of that tenant: its first output is there. */
+        /** An engine has started a request of the tenant: its first output was received. */
         void onRequestStarted(String tenant);
     }
 
-    /** Passes calls about batch jobs to that gateway. */
+    /** Sets the gateway that handles batch job calls. */
     public void setJobs(JobGateway gateway) {
         jobs = gateway;
     }
 
-    /** Counts requests of tenants by that gateway. */
+    /** Sets the gateway that counts tenants' requests against their quotas. */
     public void setQuotas(QuotaGateway gateway) {
         quotas = gateway;
     }
 
-    /** Tells that listener what tenants use. */
+    /** Sets the listener that records tenants' usage. */
     public void setUsage(UsageListener listener) {
         usage = listener;
     }
--- a/src/main/java/ringspindle/proxy/Proxy.java
+++ b/src/main/java/ringspindle/proxy/Proxy.java
@@ -7,50 +7,50 @@
 import ringspindle.protocol.Message.LedgerReport;
 import ringspindle.routing.ServingRules;
 
-/** The clients' side of a data node, as the owner of what the node knows sees it. Thread safe. */
+/** The client-facing side of a data node, as seen by the component that holds the replicated state. Thread safe. */
 public interface Proxy {
-    /** Puts a configuration in force here; one that is not newer is ignored. */
+    /** Puts a configuration in force on this node; ignored unless it is newer. */
     void updateConfiguration(FleetConfig newer);
 
-    /** Puts serving rules in force here; ones that are not newer are ignored. */
+    /** Puts serving rules in force on this node; ignored unless they are newer. */
     void updateRules(ServingRules newer);
 
     /**
-     * What became of this node's actions, and the rules in force here.
+     * Reports the outcomes of this node's actions and the serving rules in force.
      *
      * @param incarnation the incarnation of this node
-     * @param sequence the number of the report, which rises
+     * @param sequence the increasing number of the report
      */
     LedgerReport ledgerReport(long incarnation, long sequence);
 
-    /** Experiments in force here; whoever hears a control node that is in touch with a majority renews its lease. */
+    /** Experiments in force on this node; their lease is renewed on contact with a control node that reaches a majority. */
     ExperimentTable experiments();
 
-    /** What became of the requests that took part in experiments. */
+    /** Outcomes of the requests that took part in experiments. */
     OutcomeTable outcomes();
 
-    /** A control node has told all that is in force: from now on requests are taken. */
+    /** Starts accepting requests: a control node has sent everything that is in force. */
     void markConfirmed();
 
     /**
-     * What is in force here was proven to be what is committed.
+     * Records that the state in force on this node was confirmed to be the committed state.
      *
-     * @param heartbeatSentMs when the heartbeat was sent by whose answer that is known, on the steady clock
+     * @param heartbeatSentMs when the heartbeat whose acknowledgement confirmed it was sent, on the monotonic clock
      */
     void confirmUpToDate(long heartbeatSentMs);
 
-    /** True while new clients are welcome. */
+    /** Returns true while the node accepts new clients. */
     boolean isReady();
 
-    /** True while requests are taken, also by a node that is shutting down. */
+    /** Returns true while requests are accepted, also during shutdown. */
     boolean acceptsRequests();
 
-    /** Asks ejected engines for their health, as far as that is due. */
+    /** Sends the health probes that are due to ejected engines. */
     void probeEngines();
 
-    /** Closes connections to engines that are idle for too long, or lead to engines that are gone. */
+    /** Closes engine connections that are idle for too long or whose engine is no longer known. */
     void closeIdleConnections();
 
-    /** How many actions have ended how: by state, and by cause if they were cancelled. */
+    /** Counts of ended actions by state, and by cause for cancelled ones. */
     Map<String, Long> endCounts();
 }
--- a/src/main/java/ringspindle/proxy/ProxyHandler.java
+++ b/src/main/java/ringspindle/proxy/ProxyHandler.java
@@ -36,15 +36,15 @@
 import ringspindle.time.MonotonicClock;
 import ringspindle.transport.LifeCycles;
 
-/** The clients' side of a data node: takes requests, matches them to routes, and tells whether the node is ready. */
+/** The client-facing side of a data node: accepts requests, matches them to routes and reports readiness. */
 public final class ProxyHandler extends Handler.Abstract implements Action.Listener, Proxy {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** The longest request line with header fields that a client may send, in bytes. */
+    /** Maximum size of a client's request line with its headers. */
     static final int MAX_REQUEST_HEADER_BYTES = 32768;
 
     private static final String READINESS_PATH = "/ringspindle/readiness";
 
-    /** Default: about how long a data node takes to come back; what clients that only the last one could serve are told. */
+    /** Typical restart time of a data node; the Retry-After of the last node in a region that is shutting down. */
     private static final int RESTART_ESTIMATE_MS = 800;
 
     private final NodeConfig node;
@@ -75,7 +75,7 @@
     private volatile boolean lastInRegion;
 
     /**
-     * A proxy that does not listen yet.
+     * Creates a proxy that does not listen yet.
      *
      * @throws Exception if the client to engines cannot start
      */
@@ -86,7 +86,7 @@
             Scheduler scheduler,
             MonotonicClock clock)
             throws Exception {
-        // nothing here waits for anything, so requests are handled on the selector's thread without a change of threads
+        // handling never blocks, so requests are handled on the selector thread without dispatching to another one
         super(InvocationType.NON_BLOCKING);
         this.node = node;
         this.loadBalancer = loadBalancer;
@@ -105,7 +105,7 @@
     }
 
     /**
-     * Listens; to be called once.
+     * Starts listening; may be called once.
      *
      * @throws Exception if a port cannot be opened
      */
@@ -113,22 +113,22 @@
         server.start();
     }
 
-    /** Says what answers rest on, for log lines; before {@link #open}. */
+    /** Sets the description of the state's freshness for log lines; call before {@link #open}. */
     public void setStateFreshness(StateFreshness freshness) {
         stateFreshness = freshness;
     }
 
-    /** What requests need of the rest of the fleet; to be connected before {@link #open}. */
+    /** The fleet services that requests use; set them before {@link #open}. */
     public NodeServices services() {
         return services;
     }
 
-    /** Serves figures at that address; before {@link #open}. */
+    /** Serves metrics at the given address; call before {@link #open}. */
     public void serveMetrics(NodeId address, Metrics metrics) {
         server.serveMetrics(address, metrics);
     }
 
-    // ---- for the owner of what the node knows
+    // ---- called by the component that holds the replicated state
 
     @Override
     public void updateConfiguration(FleetConfig newer) {
@@ -204,70 +204,70 @@
         return counts;
     }
 
-    // ---- the end of the node
+    // ---- shutdown
 
     /**
-     * Sends clients elsewhere in order: each answer ends its connection.
+     * Begins the graceful shutdown: each response from now on closes its client connection.
      *
-     * @param endMs when {@link #close} will come, on the steady clock; what could last longer is soon refused
+     * @param endMs when {@link #close} will be called, on the monotonic clock; requests that could take longer are soon rejected
      */
     public void beginShutdown(long endMs) {
         shutdown = new ShutdownWindow(clock.nowMs(), endMs);
     }
 
     /**
-     * Whether this node, which leaves, is the last of its region to take requests. The last one also takes what may last longer
-     * than itself, and passes a stream of that kind on only when it is whole: an answer that has begun must not be cut.
+     * Sets whether this node, which is shutting down, is the last of its region to accept requests. The last one also accepts
+     * requests that may outlive it, and buffers such streams until complete: a response that has begun must not be truncated.
      */
     public void setLastInRegion(boolean last) {
         lastInRegion = last;
     }
 
-    /** Stops accepting connections, once clients had time to hear of it. */
+    /** Stops accepting connections; called once clients had time to learn of the shutdown. */
     public void stopAccepting() {
         accepting = false;
         server.stopAccepting();
     }
 
-    /** Requests under way. */
+    /** Returns the number of requests in progress. */
     public long activeRequests() {
         return active.count();
     }
 
     /**
-     * Takes no request any more if none is under way; true if so. A request that comes on an open connection from then on is
-     * refused as not run.
+     * Stops admitting requests if none is in progress; returns true if so. Later requests on open connections are rejected as
+     * not executed.
      */
     public boolean closeIfIdle() {
         return active.closeIfIdle();
     }
 
-    /** Revision of the configuration in force, 0 while there is none. */
+    /** Returns the revision of the current configuration, 0 while there is none. */
     public long configurationRevision() {
         FleetConfig current = config;
         return current == null ? 0 : current.revision();
     }
 
-    /** Requests that wait for capacity. */
+    /** Returns the number of requests that wait for capacity. */
     public int queuedRequests() {
         return waitQueue.size();
     }
 
     /**
-     * Takes no request any more and gives those under way their final answer: a refusal where nothing has run, else a
-     * failure; a stream that has begun is broken off. Returns how many there were.
+     * Stops admitting requests and ends those in progress: with a rejection if nothing was executed, else with a failure; a
+     * stream that has begun is aborted. Returns how many there were.
      */
     public long cancelActiveRequests() {
         return active.closeAndCancelAll();
     }
 
-    /** Closes connections and listeners; the end of a process does so by itself. */
+    /** Closes connections and listeners; not needed when the process exits. */
     public void close() {
         server.close();
         LifeCycles.stopQuietly(engineClient);
     }
 
-    // ---- for requests
+    // ---- used by requests
 
     LoadBalancer loadBalancer() {
         return loadBalancer;
@@ -293,7 +293,7 @@
         return clock;
     }
 
-    /** The configuration in force, null while none is known to be. */
+    /** The configuration in force, null until a control node has confirmed one. */
     FleetConfig configurationInForce() {
         return confirmed ? config : null;
     }
@@ -307,18 +307,18 @@
         return shutdown != null;
     }
 
-    /** True if this node leaves and may have ended before a request that comes now has. */
+    /** Returns true if this node is shutting down and may terminate before the request ends. */
     boolean mayBeOutlivedBy(long receivedMs, long timeLimitMs) {
         ShutdownWindow window = shutdown;
         return window != null && window.mayBeOutlivedBy(receivedMs, timeLimitMs);
     }
 
-    /** True if this node leaves and is the last of its region to take requests. */
+    /** Returns true if this node is shutting down and is the last of its region to accept requests. */
     boolean isLastInRegion() {
         return lastInRegion;
     }
 
-    /** What a client is told that is refused as this node leaves. */
+    /** Returns the Retry-After of requests rejected during shutdown. */
     int shutdownRetryAfterMs() {
         return lastInRegion ? RESTART_ESTIMATE_MS : 0;
     }
@@ -335,12 +335,12 @@
         return scheduler.schedule(() -> threadPool.execute(task), delayMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Lets a request try again soon, in the order of priority. */
+    /** Queues a request for another try at an engine, in order of priority. */
     void enqueue(ProxiedRequest request) {
         waitQueue.add(request);
     }
 
-    /** Output of an engine came; the first of a success shows that it has begun to run the request. */
+    /** Handles engine output; the first output of a success shows that the engine has started the request. */
     void onOutput(boolean first, ResponseKind kind, AdmittedRequest admitted) {
         if (first && kind == ResponseKind.SUCCESS) {
             admitted.tenant().ifPresent(tenant -> services.usage().onRequestStarted(tenant.name()));
@@ -377,7 +377,7 @@
         }
     }
 
-    // ---- requests as they come
+    // ---- incoming requests
 
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
--- a/src/main/java/ringspindle/proxy/ProxyServer.java
+++ b/src/main/java/ringspindle/proxy/ProxyServer.java
@@ -17,7 +17,7 @@
 import ringspindle.protocol.NodeId;
 import ringspindle.transport.LifeCycles;
 
-/** The listening side of a data node: one port for clients, one where the platform asks for readiness. */
+/** HTTP server of a data node: one port for clients, one for the platform's readiness probes. */
 final class ProxyServer {
     private static final int DEFAULT_IDLE_TIMEOUT_MS = 15_000;
     private static final int ACCEPT_QUEUE_LENGTH = 512;
@@ -32,13 +32,13 @@
     }
 
     /**
-     * A server that does not listen yet.
+     * Creates a server that does not listen yet.
      *
-     * @param readiness where the platform asks for readiness, null if nowhere
+     * @param readiness the address for readiness probes, null for none
      */
     static ProxyServer create(
             NodeId address, NodeId readiness, Handler handler, QueuedThreadPool pool, Scheduler scheduler) {
-        // buffers are bounded for a small machine
+        // retained buffer memory is limited so that the node fits on a small machine
         Server server = new Server(pool, scheduler, new ArrayByteBufferPool(0, 4096, 65536, 256, 2 << 20, 4 << 20));
         HttpConnectionFactory http = new HttpConnectionFactory(httpConfiguration());
         ClientEndPoint.Connector clientConnector = new ClientEndPoint.Connector(server, pool, scheduler, http);
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Listens; to be called once.
+     * Starts listening; may be called once.
      *
      * @throws Exception if a port cannot be opened
      */
@@ -80,23 +80,23 @@
         return http;
     }
 
-    /** Serves the node's own figures at a port of their own; before {@link #start}. */
+    /** Serves the node's metrics at a separate port; call before {@link #start}. */
     void serveMetrics(NodeId address, Metrics metrics) {
         MetricsEndpoint.add(server, address, metrics);
     }
 
-    /** True if the request came to the clients' port. */
+    /** Returns true if the request arrived at the client port. */
     boolean isClientRequest(Request request) {
         return request.getConnectionMetaData().getConnector() == clientConnector;
     }
 
-    /** Takes over what a configuration allows clients. */
+    /** Applies the configuration's limits for clients. */
     void setLimits(FleetConfig.Limits limits) {
         clientConnector.setHeadTimeout(limits.headerMs());
         setIdleTimeout(limits.idleMs());
     }
 
-    /** For how long clients may rest between requests, from now on; what open connections were promised is not cut short. */
+    /** Sets the idle timeout of client connections; never shortens the one already announced to open connections. */
     private void setIdleTimeout(int idleMs) {
         clientConnector.setIdleTimeout(idleMs);
         for (EndPoint endPoint : clientConnector.getConnectedEndPoints()) {
@@ -104,12 +104,12 @@
         }
     }
 
-    /** Accepts no further connections; those that stand go on. */
+    /** Stops accepting connections; open ones continue. */
     void stopAccepting() {
         clientConnector.shutdown();
     }
 
-    /** Closes everything. */
+    /** Closes all connections and listeners. */
     void close() {
         LifeCycles.stopQuietly(server);
     }
--- a/src/main/java/ringspindle/proxy/RequestAdmission.java
+++ b/src/main/java/ringspindle/proxy/RequestAdmission.java
@@ -13,13 +13,13 @@
 import ringspindle.tenancy.Identity;
 
 /**
- * Takes clients' requests: matches them to routes, checks what their heads say, reads their bodies, and begins those that may
- * run. Thread safe; without state of its own.
+ * Admits client requests: matches them to routes, validates their headers, reads their bodies and starts those that are
+ * admitted. Thread safe and stateless.
  */
 final class RequestAdmission {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
 
-    /** Default: about how long a node that has just started takes until it holds what is in force. */
+    /** Typical time for a node that has just started to receive the configuration in force; sent as Retry-After. */
     private static final int NOT_READY_RETRY_MS = 1000;
 
     private final ProxyHandler proxy;
@@ -30,11 +30,11 @@
     private final CallerIdentification callerIdentification;
 
     /**
-     * Admission to that proxy.
+     * Creates the admission of a proxy.
      *
-     * @param stateFreshness what a refusal for want of a route rests on
-     * @param jobAdmission where batch jobs go
-     * @param callerIdentification tells who sends a request
+     * @param stateFreshness logged when no route matches a request
+     * @param jobAdmission handles batch jobs
+     * @param callerIdentification identifies the sender of a request
      */
     RequestAdmission(
             ProxyHandler proxy,
@@ -51,7 +51,7 @@
         this.stateFreshness = stateFreshness;
     }
 
-    /** A request's head has come. */
+    /** Handles a request whose headers were received. */
     void handle(Request request, ClientResponse client) {
         long receivedMs = proxy.nowMs();
         FleetConfig current = proxy.configurationInForce();
@@ -108,7 +108,7 @@
         client.respond(Outcome.LEAVING, proxy.shutdownRetryAfterMs(), true);
     }
 
-    /** A proper request may be refused so only as long as no newer configuration allows it: says what the answer rests on. */
+    /** Logs how current this node's state is: a newer configuration might have a route for the request. */
     private void logUnmappedRequest(Request request, FleetConfig current) {
         LOG.atInfo()
                 .atMostEvery(1, TimeUnit.SECONDS)
@@ -139,7 +139,7 @@
         }
     }
 
-    /** The body has come in time; null if it is too large. */
+    /** Admits a request whose body was read in time; the body is null if it is too large. */
     private void admit(IncomingRequest incoming, byte[] body) {
         if (body == null) {
             incoming.client().respond(Outcome.TOO_LARGE, 0, proxy.isShuttingDown());
@@ -161,7 +161,7 @@
         }
     }
 
-    /** The request counts as active. */
+    /** Starts a request that is already counted as active. */
     private void begin(IncomingRequest incoming, byte[] body) {
         long nowMs = proxy.nowMs();
         String service = RouteSplit.selectService(incoming.route(), incoming.attemptId());
--- a/src/main/java/ringspindle/proxy/RequestTimeLimits.java
+++ b/src/main/java/ringspindle/proxy/RequestTimeLimits.java
@@ -2,18 +2,18 @@
 
 import ringspindle.config.FleetConfig;
 
-/** How long the parts of a request may take, in ms. All figures are defaults of this project. Pure. */
+/** Time limits for the phases of a request, in ms. Has no side effects. */
 final class RequestTimeLimits {
-    /** How long a request waits for capacity once something has run or reached the client. */
+    /** Maximum wait for capacity once an engine has run something or the client has received output. */
     private static final int CAPACITY_WAIT_AFTER_RUN_MS = 1500;
-    /** A request that has not run waits for this part of its latency target, and at least so long. */
+    /** A request that has not run waits for its latency target divided by this, but at least the minimum below. */
     private static final int CAPACITY_WAIT_TARGET_DIVISOR = 5;
 
     private static final int MIN_CAPACITY_WAIT_MS = 40;
 
     private static final int MIN_STREAM_ATTEMPT_MS = 1500;
     private static final int STREAM_ATTEMPT_TARGET_FACTOR = 2;
-    /** Prompt tokens that an engine reads in a millisecond, at the least; lengthens a stream's attempt. */
+    /** Lowest prompt processing rate of an engine; a stream's attempt timeout is extended by the prompt at this rate. */
     private static final int MIN_PROMPT_TOKENS_PER_MS = 15;
 
     private static final int MIN_NON_STREAM_ATTEMPT_MS = 250;
@@ -29,9 +29,9 @@
     }
 
     /**
-     * How long a request may take: the lesser of the route's deadline and what the client states, if it does.
+     * Returns a request's time limit: the route's deadline, or the client's if it states a shorter one.
      *
-     * @throws NumberFormatException if what it states is no number
+     * @throws NumberFormatException if the client's deadline is not a number
      */
     static long timeLimitMs(FleetConfig.Route route, String requestedDeadlineMs) {
         return requestedDeadlineMs == null
@@ -39,7 +39,7 @@
                 : Math.min(route.deadlineMs(), (long) Double.parseDouble(requestedDeadlineMs.trim()));
     }
 
-    /** How long an attempt may take where another may follow. */
+    /** Returns the timeout of an attempt that may be followed by another one. */
     long attemptTimeoutMs() {
         int targetMs = admitted.route().aimMs();
         if (admitted.isStreaming()) {
@@ -49,7 +49,7 @@
         return Math.max(MIN_NON_STREAM_ATTEMPT_MS, (long) (targetMs * NON_STREAM_ATTEMPT_TARGET_FACTOR));
     }
 
-    /** Silence of a stream after which another engine may be tried. */
+    /** Returns how long a stream may be silent before another engine may be tried. */
     long silenceTimeoutMs() {
         return Math.max(
                 MIN_SILENCE_MS,
@@ -57,9 +57,9 @@
     }
 
     /**
-     * How long the request may wait for capacity from now on.
+     * Returns how long the request may wait for capacity from now on.
      *
-     * @param startedOrSent something has run, or reached the client
+     * @param startedOrSent an engine has run something, or output has reached the client
      */
     long capacityWaitMs(boolean startedOrSent, long nowMs) {
         if (startedOrSent) {
--- a/src/main/java/ringspindle/proxy/RequestTimer.java
+++ b/src/main/java/ringspindle/proxy/RequestTimer.java
@@ -2,11 +2,11 @@
 
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** The one timer of a request, set anew for whatever is due next. Guarded by its owner. */
+/** The single timer of a request, reset to whatever is due next. Guarded by its owner. */
 final class RequestTimer {
     private final ProxyHandler proxy;
     private final Runnable onDue;
-    /** Null while none is set. */
+    /** Null while no timer is set. */
     private Scheduler.Task task;
 
     RequestTimer(ProxyHandler proxy, Runnable onDue) {
@@ -14,7 +14,7 @@
         this.onDue = onDue;
     }
 
-    /** Runs the task at that time of the steady clock, in ms, in place of what was set before. */
+    /** Schedules the callback for a time of the monotonic clock, replacing an earlier schedule. */
     void set(long atMs) {
         clear();
         task = proxy.schedule(onDue, Math.max(1, atMs - proxy.nowMs()));
--- a/src/main/java/ringspindle/proxy/RouteSplit.java
+++ b/src/main/java/ringspindle/proxy/RouteSplit.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import ringspindle.config.FleetConfig;
 
-/** Splits the requests of a route over its services by weight. */
+/** Distributes the requests of a route over its services by weight. */
 final class RouteSplit {
     private static final double HASH_RANGE = 1L << 31;
 
     private RouteSplit() {}
 
-    /** The service for a request; one attempt id always goes the same way. */
+    /** Selects the service for a request; the same attempt id always selects the same service. */
     static String selectService(FleetConfig.Route route, String attemptId) {
         List<FleetConfig.Target> targets = route.targets();
         if (targets.size() == 1) {
@@ -30,7 +30,7 @@
         return targets.get(targets.size() - 1).service();
     }
 
-    /** A number from 0 to below 1, drawn from the id. */
+    /** Hashes the id to a number in [0, 1). */
     private static double fraction(String attemptId) {
         int hash = Hashing.murmur3_32_fixed().hashUnencodedChars(attemptId).asInt();
         return (hash >>> 1) / HASH_RANGE;
--- a/src/main/java/ringspindle/proxy/StateFreshness.java
+++ b/src/main/java/ringspindle/proxy/StateFreshness.java
@@ -1,8 +1,8 @@
 package ringspindle.proxy;
 
-/** What a node's answers rest on, for log lines: {@code knowledge.describe()}. Asked with no lock held. */
+/** Describes for log lines how current the node's replicated state is. Called without any lock held. */
 @FunctionalInterface
 public interface StateFreshness {
-    /** How old the last word of a majority is, and which facts are known here and not in force. */
+    /** Returns the age of the last majority-confirmed state and the facts known here that are not in force. */
     String describe();
 }
--- a/src/main/java/ringspindle/proxy/TokenCounts.java
+++ b/src/main/java/ringspindle/proxy/TokenCounts.java
@@ -3,13 +3,13 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * What {@code Token-Count} says; 0 where it says nothing that can be read.
+ * The token counts of a {@code Token-Count} header; 0 where a count is missing or malformed.
  *
- * @param prompt tokens of the prompt
- * @param output the most tokens to be sent out
+ * @param prompt number of prompt tokens
+ * @param output maximum number of output tokens
  */
 record TokenCounts(int prompt, int output) {
-    /** Reads a head; {@code Token-Count: 1460,80} has 1460 and 80. */
+    /** Parses the header; {@code Token-Count: 1460,80} gives 1460 and 80. */
     static TokenCounts of(HttpFields headers) {
         String header = headers.get(Headers.TOKEN_COUNT);
         String[] counts = (header == null ? "" : header).split(",", -1);
--- a/src/main/java/ringspindle/proxy/WaitQueue.java
+++ b/src/main/java/ringspindle/proxy/WaitQueue.java
@@ -6,11 +6,11 @@
 import java.util.PriorityQueue;
 
 /**
- * Requests that wait for capacity, by priority. Waiting makes up for priority, so that none starves. Thread safe; guarded
- * by itself.
+ * Queue of requests that wait for capacity, ordered by priority. Waiting time offsets priority, so that no request starves.
+ * Thread safe; guarded by its own monitor.
  */
 final class WaitQueue {
-    /** Default: one step of priority is worth so much waiting. */
+    /** Waiting time that offsets one step of priority. */
     private static final int PRIORITY_STEP_MS = 250;
 
     private record Entry(ProxiedRequest request, long effectiveArrivalMs, long sequence) {}
@@ -29,7 +29,7 @@
         return entries.size();
     }
 
-    /** Removes all that wait, in the order in which they may try. */
+    /** Removes all requests and returns them in the order in which they may try again. */
     synchronized List<ProxiedRequest> drain() {
         List<ProxiedRequest> requests = new ArrayList<>(entries.size());
         while (!entries.isEmpty()) {
--- a/src/main/java/ringspindle/proxy/WaitQueueTimer.java
+++ b/src/main/java/ringspindle/proxy/WaitQueueTimer.java
@@ -2,14 +2,14 @@
 
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** Lets requests that wait for capacity try again, all of them in order, shortly after the first of them came. Thread safe. */
+/** Drains the queue of waiting requests in order, shortly after the first one was added. Thread safe. */
 final class WaitQueueTimer {
     private static final int RETRY_DELAY_MS = 20;
 
-    /** Runs a task later. */
+    /** Schedules a task. */
     @FunctionalInterface
     interface TaskScheduler {
-        /** Runs it so many milliseconds from now. */
+        /** Runs the task after the delay. */
         void schedule(Runnable task, long delayMs);
     }
 
@@ -28,7 +28,7 @@
         queue.add(request);
     }
 
-    /** How many wait. */
+    /** Returns the number of waiting requests. */
     int size() {
         return queue.size();
     }
--- a/src/main/java/ringspindle/proxy/package-info.java
+++ b/src/main/java/ringspindle/proxy/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Carries clients' requests to engines and engines' answers to clients: admission, the wait for capacity, one attempt after
- * another, event streams, connections on both sides. It owns the state of each request under way (a {@code ProxiedRequest}
- * and its {@code ProxiedAttempt}s, guarded by the request's own lock), the connections to engines and the queue of requests
- * that wait. It uses loadbalancing for the choice of engines, retry for what follows an attempt, routing and config for what
- * is in force, and api, protocol, time and transport.
+ * Proxies client requests to engines and engine responses to clients: admission, waiting for capacity, successive attempts,
+ * event streams, and the connections on both sides. The package owns the state of each request in progress (a {@code
+ * ProxiedRequest} and its {@code ProxiedAttempt}s, guarded by the request's lock), the engine connections and the queue of
+ * waiting requests. It uses loadbalancing to select engines, retry to decide what follows an attempt, routing and config for
+ * the configuration in force, and api, protocol, time and transport.
  */
 package ringspindle.proxy;
--- a/src/test/java/ringspindle/proxy/ActiveRequestsTest.java
+++ b/src/test/java/ringspindle/proxy/ActiveRequestsTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** A node ends only when nothing is under way, and nothing begins once it does. */
+/** Guards against a request that starts while the node closes: it must be counted before the close or rejected. */
 class ActiveRequestsTest {
     private static final int ROUNDS = 2000;
 
@@ -23,7 +23,7 @@
         assertEquals(1, active.count());
         active.end("a");
         assertTrue(active.closeIfIdle());
-        assertTrue(active.closeIfIdle(), "it stays closed");
+        assertTrue(active.closeIfIdle(), "closing again must report that the registry is closed");
         assertFalse(active.begin());
         assertEquals(0, active.count());
     }
@@ -33,7 +33,7 @@
         List<String> ended = new ArrayList<>();
         assertTrue(active.begin());
         active.track("a", () -> ended.add("a"));
-        assertTrue(active.begin(), "begun, and not yet tracked when the node ends");
+        assertTrue(active.begin(), "begun, but not yet tracked when the registry closes");
         assertEquals(2, active.closeAndCancelAll());
         assertEquals(List.of("a"), ended);
         active.track("b", () -> ended.add("b"));
--- a/src/test/java/ringspindle/proxy/ProxyFixture.java
+++ b/src/test/java/ringspindle/proxy/ProxyFixture.java
@@ -25,12 +25,12 @@
 import ringspindle.protocol.Message.Lease;
 import ringspindle.time.MonotonicClock;
 
-/** The real edge on loopback with stand-in engines, opened for each test and closed after it. */
+/** Runs a proxy on loopback with scripted engines; opened before and closed after each test. */
 abstract class ProxyFixture {
     final List<ScriptedEngine> engines = new ArrayList<>();
     QueuedThreadPool pool;
     ScheduledExecutorScheduler scheduler;
-    /** How often anything was scheduled. */
+    /** Number of tasks that were scheduled. */
     final LongAdder scheduledTasks = new LongAdder();
 
     ProxyHandler proxy;
@@ -38,7 +38,7 @@
     int port;
     private final MonotonicClock systemClock = MonotonicClock.system();
     volatile long clockOffsetMs;
-    /** The steady clock, put on by hand where time has to pass. */
+    /** The system's monotonic clock plus an offset by which tests let time pass. */
     final MonotonicClock clock = () -> systemClock.nowMs() + clockOffsetMs;
 
     @BeforeEach
@@ -90,12 +90,12 @@
         loadBalancer.updateLease(new Lease(1, 1, 60_000), clock.nowMs());
     }
 
-    /** How many further arrivals at a service are allowed beyond its ratio. */
+    /** Value of the setting {@code bound.retrySlack}: retries allowed in addition to the retry ratio. */
     String retrySlack() {
         return "100";
     }
 
-    /** Puts the routes in force under that revision; more is further JSON of the configuration, from its comma on. */
+    /** Applies the test routes as the given revision; {@code moreMembers} is further JSON with a leading comma. */
     void applyConfiguration(long revision, String moreMembers) {
         String json = "{\"revision\":" + revision + ",\"routes\":["
                 + route("card", "/card/", "idempotent", 3000, 200, 2, false, "") + ","
@@ -161,14 +161,14 @@
                         + moreHeaders + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    /** Reads to the end of the wire. */
+    /** Reads until the connection is closed. */
     static String readAll(Socket client) throws IOException {
         try (client) {
             return new String(client.getInputStream().readAllBytes(), ISO_8859_1);
         }
     }
 
-    /** Reads until the text is there. */
+    /** Reads until the text was received. */
     static String readUntil(Socket client, String text) throws IOException {
         StringBuilder received = new StringBuilder();
         InputStream in = client.getInputStream();
--- a/src/test/java/ringspindle/proxy/ProxyHandlerTest.java
+++ b/src/test/java/ringspindle/proxy/ProxyHandlerTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The real edge on loopback, with stand-in engines that behave badly. */
+/** Tests a proxy on loopback against scripted engines that misbehave. */
 @Timeout(60)
 class ProxyHandlerTest extends ProxyFixture {
     @Test
@@ -37,7 +37,7 @@
         assertEquals("i-1", request.headers().get("Target-Instance"));
         assertEquals("h.example", request.headers().get("Host"));
         assertEquals("a, b", request.headers().get("X-Odd"));
-        assertFalse(request.headers().containsKey("X-Hop"), "a header of one wire was passed on");
+        assertFalse(request.headers().containsKey("X-Hop"), "a hop-by-hop header was forwarded");
         assertFalse(
                 request.headers().containsKey("User-Agent") || request.headers().containsKey("Accept-Encoding"),
                 request.headers().toString());
@@ -77,7 +77,7 @@
     void clientDisconnectClosesTheEngineConnectionAndIsNotAFailure() throws Exception {
         ScriptedEngine engine = engine("i-1", "z", (request, out, socket) -> {
             if (request.requestLine().contains("/short/")) {
-                // waits for the other side to close
+                // blocks until the proxy closes the connection
                 socket.getInputStream().read();
                 throw new IOException("closed");
             }
@@ -86,7 +86,7 @@
         Socket client = send("/short/x", "t1", "", "abc");
         engine.requests.take();
         client.close();
-        assertEquals("closed", engine.closed.poll(10, TimeUnit.SECONDS), "the engine's wire stays open");
+        assertEquals("closed", engine.closed.poll(10, TimeUnit.SECONDS), "the engine connection stays open");
         assertTrue(readAll(send("/card/x", "t2", "Connection: close\r\n", "")).startsWith("HTTP/1.1 200"));
         assertEquals(1L, proxy.endCounts().get("CANCELED CLIENT_GONE"));
     }
@@ -119,8 +119,8 @@
         });
         String response = readAll(send("/short/x", "t1", "", "abc"));
         assertTrue(response.contains("id: 1\ndata: a\n\n"), response);
-        assertFalse(response.contains("id: 2"), "a piece of an event was passed on");
-        assertFalse(response.endsWith("0\r\n\r\n"), "an answer that is not whole looks complete");
+        assertFalse(response.contains("id: 2"), "an incomplete event was forwarded");
+        assertFalse(response.endsWith("0\r\n\r\n"), "a truncated response looks complete");
     }
 
     @Test
@@ -145,7 +145,7 @@
         for (int id = 1; id <= 3; id++) {
             seen += response.split("id: " + id + "\n", -1).length - 1;
         }
-        // a reset may take the second event along before it was read here; it must then come from the other engine
+        // the reset may discard the second event before the proxy reads it; the other engine must then send it
         assertTrue(response.contains("id: 1\n") || response.startsWith("HTTP/1.1 502"), response);
         if (response.endsWith("0\r\n\r\n")) {
             assertEquals(3, seen, response);
@@ -273,9 +273,9 @@
     }
 
     /**
-     * A second answer behind the first. Written together, both come in one read, and each request gets its own. Written
-     * apart, the second may come when the next request is under way on that connection: that request then ends as one
-     * that may have run, and the engine is doubted, so that later ones may not reach it.
+     * The engine sends a second response behind the first. Written together, both arrive in one read, and every request gets
+     * its own response. Written separately, the second may arrive while the next request is in progress on the connection:
+     * that request then ends as possibly executed and counts against the engine, so that later requests may not reach it.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -299,7 +299,7 @@
                 assertTrue(
                         engine.requests.stream()
                                 .anyMatch(request -> id.equals(request.headers().get("Attempt-Id"))),
-                        "answered unseen");
+                        "response to a request that the engine did not receive");
             } else {
                 assertTrue(response.startsWith("HTTP/1.1 50"), response);
             }
@@ -316,7 +316,7 @@
         never.countDown();
     }
 
-    /** Serves one request a connection, then forgets it: what comes next on it is reset. */
+    /** Serves one request per connection and resets the connection on the next one. */
     private static ScriptedEngine.Script resetOnReuse(Set<Socket> served) {
         return (seen, out, socket) -> {
             if (!served.add(socket)) {
@@ -339,7 +339,7 @@
             clockOffsetMs += 2000;
         }
         assertEquals(4, engine.requests.size());
-        assertEquals(4, served.size(), "a connection idle for two seconds was used again");
+        assertEquals(4, served.size(), "a connection that was idle for two seconds was reused");
     }
 
     @Test
@@ -348,7 +348,7 @@
         ScriptedEngine engine = engine("i-1", "z", resetOnReuse(served));
         assertTrue(sendAndReadAll("/card/x", "t1").startsWith("HTTP/1.1 200"));
         clockOffsetMs += 2000;
-        // repeatable: the stated thirty seconds are believed once; the reset is no failure of the engine's
+        // the route is repeatable: the engine's 30 s keep-alive is trusted once, and the reset is not an engine failure
         sendAndReadAll("/card/x", "t2");
         assertEquals(
                 0,
@@ -361,7 +361,7 @@
             assertTrue(response.startsWith("HTTP/1.1 200"), i + ": " + response);
             clockOffsetMs += 2000;
         }
-        assertEquals(6, engine.requests.size(), "tried again on a connection as old as the one that was reset");
+        assertEquals(6, engine.requests.size(), "reused a connection that was idle as long as the one that was reset");
     }
 
     @Test
--- a/src/test/java/ringspindle/proxy/RouteSplitTest.java
+++ b/src/test/java/ringspindle/proxy/RouteSplitTest.java
@@ -12,7 +12,7 @@
 import ringspindle.config.FleetConfig;
 import ringspindle.config.Validated;
 
-/** The parts of a route get their weights' shares of the requests, whatever ids clients give their tries. */
+/** Each service of a route receives its weight's share of the requests, for random and for sequential attempt ids. */
 class RouteSplitTest {
     private static final int REQUESTS = 20_000;
     /** The chi-square distribution with two degrees of freedom exceeds this with a probability of 0.001. */
--- a/src/test/java/ringspindle/proxy/ServingRulesProxyTest.java
+++ b/src/test/java/ringspindle/proxy/ServingRulesProxyTest.java
@@ -19,7 +19,7 @@
 import ringspindle.routing.RequestLedger;
 import ringspindle.routing.ServingRules;
 
-/** Serving rules at the real edge on loopback: rank, waiting, the revision that a request is admitted under, and the ledger. */
+/** Tests serving rules in a proxy on loopback: rank, waiting, the rules revision at admission, and the request ledger. */
 @Timeout(60)
 class ServingRulesProxyTest extends ProxyFixture {
     private static ServingRules rules(String json) {
@@ -49,7 +49,7 @@
         assertEquals(5, proxy.ledgerReport(1, 1).revision());
     }
 
-    /** One action, one revision: what waits when the rules change goes on under those it was admitted with. */
+    /** An action has one rules revision: a request in progress when the rules change keeps those it was admitted under. */
     @Test
     void actionKeepsTheRulesItWasAdmittedUnder() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
@@ -72,7 +72,7 @@
         assertEquals(List.of(2L, 1L, 1L), List.of(secondRow.revision(), secondRow.admitted(), secondRow.sent()));
     }
 
-    /** Long ones may use a quarter of the places and wait; the short one that comes behind them waits for none of them. */
+    /** Long requests may use a quarter of the slots and wait for them; a short request behind them does not wait for them. */
     @Test
     void shortRequestsDoNotWaitBehindLongOnes() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
@@ -95,12 +95,12 @@
         for (int i = 0; i < 6; i++) {
             longRequests.add(send("/short/x", "d" + i, longRequestHeaders, ""));
         }
-        // two of the eight places are theirs, the other four wait
+        // two of the eight slots are open to long requests, so the other four wait
         engine.requests.take();
         engine.requests.take();
         String response = readAll(send("/short/x", "q1", "Connection: close\r\nToken-Count: 383,50\r\n", ""));
         assertTrue(response.startsWith("HTTP/1.1 200"), response);
-        assertEquals("q1", order.get(2), "a digest went before the question: " + order);
+        assertEquals("q1", order.get(2), "a long request was served before the short one: " + order);
         assertEquals(1, row(ServingRules.DEFAULT_CLASS).completed());
         release.countDown();
         for (Socket client : longRequests) {
@@ -110,7 +110,7 @@
         assertEquals(Set.of(), RequestLedger.violations(proxy.ledgerReport(1, 1)));
     }
 
-    /** The ledger against what the stand-in engines and clients counted themselves. */
+    /** Compares the ledger with the counts of the scripted engines and of the clients. */
     @Test
     void ledgerAgreesWithEnginesAndClients() throws Exception {
         int[] answered = new int[1];
@@ -150,6 +150,6 @@
         assertEquals(Set.of(), RequestLedger.violations(proxy.ledgerReport(1, 1)));
         Map<String, Integer> runs = new HashMap<>();
         healthyEngine.requests.forEach(request -> runs.merge(request.headers().get("Attempt-Id"), 1, Integer::sum));
-        assertTrue(runs.values().stream().allMatch(count -> count == 1), "doubled: " + runs);
+        assertTrue(runs.values().stream().allMatch(count -> count == 1), "executed more than once: " + runs);
     }
 }
