--- a/src/main/java/ringspindle/proxy/ExperimentOutcomes.java
+++ b/src/main/java/ringspindle/proxy/ExperimentOutcomes.java
@@ -14,15 +14,15 @@
 import ringspindle.time.MonotonicClock;
 
 /**
- * Experiments at this node: assigns requests as they come, and counts how those that take part ended. Without an experiment it
- * holds nothing. Thread safe.
+ * Assigns incoming requests to experiment variants at this node and counts the outcomes of the assigned ones. Keeps no
+ * per-request state without an experiment. Thread safe.
  */
 final class ExperimentOutcomes {
-    private record Open(Assignment assignment, AdmittedRequest admitted, ResponseTiming timing) {}
+    private record PendingOutcome(Assignment assignment, AdmittedRequest admitted, ResponseTiming timing) {}
 
     private final ExperimentTable experiments = new ExperimentTable();
     private final OutcomeTable outcomes = new OutcomeTable();
-    private final Map<String, Open> open = new ConcurrentHashMap<>();
+    private final Map<String, PendingOutcome> pending = new ConcurrentHashMap<>();
 
     ExperimentTable experiments() {
         return experiments;
@@ -32,37 +32,37 @@
         return outcomes;
     }
 
-    /** What experiments say of a request, which is held to it from here on. */
+    /** Assigns a request to a variant, which then applies to it until it ends; empty without an experiment. */
     Optional<Assignment> assign(FleetConfig.Route route, String promptPrefix, long nowMs) {
         return experiments.assign(route.name(), promptPrefix, nowMs);
     }
 
-    /** A request begins; if its outcome counts, its answer is timed. */
+    /** Starts timing the response of a request whose outcome is counted. */
     void begin(String actionId, AdmittedRequest admitted, ClientResponse client, MonotonicClock clock) {
         admitted.assignment().filter(Assignment::isCounted).ifPresent(assignment -> {
             ResponseTiming timing = new ResponseTiming(clock);
             client.setTiming(timing);
-            open.put(actionId, new Open(assignment, admitted, timing));
+            pending.put(actionId, new PendingOutcome(assignment, admitted, timing));
         });
     }
 
-    /** An action ended; one that the client gave up says nothing of a policy. */
+    /** Counts the outcome of an ended action, unless the client disconnected: that says nothing about a policy. */
     void onEnded(TerminalEvent event, long nowMs) {
-        Open ended = open.remove(event.actionId());
-        if (ended == null || event.cause() == CancelCause.CLIENT_GONE) {
+        PendingOutcome pendingOutcome = pending.remove(event.actionId());
+        if (pendingOutcome == null || event.cause() == CancelCause.CLIENT_GONE) {
             return;
         }
-        FleetConfig.Route route = ended.admitted().route();
+        FleetConfig.Route route = pendingOutcome.admitted().route();
         boolean answered = event.state() == Action.State.COMPLETED && event.lastOutcome() == AttemptOutcome.ANSWERED;
-        // an answer that is held until it is whole is written right after the end
-        long firstMs = ended.timing().firstWriteMs() == ResponseTiming.NOT_WRITTEN && answered
+        // a response that is buffered until complete is written right after the action ends
+        long firstWriteMs = pendingOutcome.timing().firstWriteMs() == ResponseTiming.NOT_WRITTEN && answered
                 ? nowMs
-                : ended.timing().firstWriteMs();
-        long takenMs = firstMs == ResponseTiming.NOT_WRITTEN
-                ? firstMs
-                : firstMs - ended.admitted().receivedMs();
-        boolean paused = route.tokenGapMs() > 0 && ended.timing().longestGapMs() > route.tokenGapMs();
-        boolean inTarget = answered && takenMs <= route.aimMs() && !paused;
-        outcomes.add(ended.assignment(), inTarget, takenMs, route.aimMs());
+                : pendingOutcome.timing().firstWriteMs();
+        long firstResponseMs = firstWriteMs == ResponseTiming.NOT_WRITTEN
+                ? firstWriteMs
+                : firstWriteMs - pendingOutcome.admitted().receivedMs();
+        boolean gapExceeded = route.tokenGapMs() > 0 && pendingOutcome.timing().longestGapMs() > route.tokenGapMs();
+        boolean withinTarget = answered && firstResponseMs <= route.aimMs() && !gapExceeded;
+        outcomes.add(pendingOutcome.assignment(), withinTarget, firstResponseMs, route.aimMs());
     }
 }
--- a/src/main/java/ringspindle/proxy/ProxyHandler.java
+++ b/src/main/java/ringspindle/proxy/ProxyHandler.java
@@ -36,16 +36,16 @@
 import ringspindle.time.MonotonicClock;
 import ringspindle.transport.LifeCycles;
 
-/** The clients' side of a data node: takes requests, matches them to routes, and tells whether the node is ready. */
+/** The client-facing side of a data node: accepts requests, matches them to routes and reports readiness. */
 public final class ProxyHandler extends Handler.Abstract implements Action.Listener, Proxy {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** The longest request line with header fields that a client may send, in bytes. */
-    static final int REQUEST_HEADERS_MAX = 32768;
+    /** Maximum size of a client's request line with its headers. */
+    static final int MAX_REQUEST_HEADER_BYTES = 32768;
 
     private static final String READINESS_PATH = "/ringspindle/readiness";
 
-    /** Default: about how long a data node takes to come back; what clients that only the last one could serve are told. */
-    private static final int RESTART_MS = 800;
+    /** Typical restart time of a data node; the Retry-After of the last node in a region that is shutting down. */
+    private static final int RESTART_ESTIMATE_MS = 800;
 
     private final NodeConfig node;
     private final LoadBalancer loadBalancer;
@@ -56,8 +56,8 @@
     private final ProxyServer server;
     private final MonotonicClock clock;
     private final Scheduler scheduler;
-    private final QueuedThreadPool pool;
-    private final WaitQueueTimer queue = new WaitQueueTimer(this::schedule);
+    private final QueuedThreadPool threadPool;
+    private final WaitQueueTimer waitQueue = new WaitQueueTimer(this::schedule);
     private final AtomicLong actionIds = new AtomicLong();
     private final ActiveRequests active = new ActiveRequests();
     private final Map<String, LongAdder> endCounts = new ConcurrentHashMap<>();
@@ -68,44 +68,44 @@
     private volatile boolean confirmed;
     private final CallerIdentification callers;
     private final RequestAdmission admission;
-    private volatile Knowledge knowledge = () -> "";
+    private volatile StateFreshness stateFreshness = () -> "";
     private final NodeServices services = new NodeServices();
-    private volatile GracefulShutdown departure;
+    private volatile ShutdownWindow shutdown;
     private volatile boolean accepting = true;
-    private volatile boolean lastServing;
+    private volatile boolean lastInRegion;
 
     /**
-     * A proxy that does not listen yet.
+     * Creates a proxy that does not listen yet.
      *
      * @throws Exception if the client to engines cannot start
      */
     public ProxyHandler(
             NodeConfig node,
             LoadBalancer loadBalancer,
-            QueuedThreadPool pool,
+            QueuedThreadPool threadPool,
             Scheduler scheduler,
             MonotonicClock clock)
             throws Exception {
-        // nothing here waits for anything, so requests are handled on the selector's thread without a change of threads
+        // handling never blocks, so requests are handled on the selector thread without dispatching to another one
         super(InvocationType.NON_BLOCKING);
         this.node = node;
         this.loadBalancer = loadBalancer;
-        this.pool = pool;
+        this.threadPool = threadPool;
         this.scheduler = scheduler;
         this.clock = clock;
-        engineClient = EngineHttpClient.start(pool, scheduler);
+        engineClient = EngineHttpClient.start(threadPool, scheduler);
         connections = new EngineConnectionPool(engineClient, clock);
         engineRequests = new EngineRequestFactory(engineClient);
         callers = new CallerIdentification(new KeyLease(node.revokeMs()));
         admission = new RequestAdmission(
-                this, active, experiments, () -> knowledge.describe(), new JobAdmission(this, active), callers);
+                this, active, experiments, () -> stateFreshness.describe(), new JobAdmission(this, active), callers);
         prober = new EngineHealthProber(engineClient, loadBalancer, clock);
         server = ProxyServer.create(
-                node.frontend().orElseThrow(), node.readiness().orElse(null), this, pool, scheduler);
+                node.frontend().orElseThrow(), node.readiness().orElse(null), this, threadPool, scheduler);
     }
 
     /**
-     * Listens; to be called once.
+     * Starts listening; may be called once.
      *
      * @throws Exception if a port cannot be opened
      */
@@ -113,22 +113,22 @@
         server.start();
     }
 
-    /** Says what answers rest on, for log lines; before {@link #open}. */
-    public void explainBy(Knowledge nodeKnowledge) {
-        knowledge = nodeKnowledge;
+    /** Sets the description of the state's freshness for log lines; call before {@link #open}. */
+    public void setStateFreshness(StateFreshness freshness) {
+        stateFreshness = freshness;
     }
 
-    /** What requests need of the rest of the fleet; to be connected before {@link #open}. */
+    /** The fleet services that requests use; set them before {@link #open}. */
     public NodeServices services() {
         return services;
     }
 
-    /** Serves figures at that address; before {@link #open}. */
+    /** Serves metrics at the given address; call before {@link #open}. */
     public void serveMetrics(NodeId address, Metrics metrics) {
         server.serveMetrics(address, metrics);
     }
 
-    // ---- for the owner of what the node knows
+    // ---- called by the component that holds the replicated state
 
     @Override
     public void updateConfiguration(FleetConfig newer) {
@@ -148,10 +148,13 @@
     }
 
     @Override
-    public LedgerReport ledgerReport(long life, long seq) {
+    public LedgerReport ledgerReport(long incarnation, long sequence) {
         ServingRules current = rules;
         return ledger.report(
-                life, seq, current == null ? 0 : current.revision(), current == null ? 0 : current.digest());
+                incarnation,
+                sequence,
+                current == null ? 0 : current.revision(),
+                current == null ? 0 : current.digest());
     }
 
     @Override
@@ -170,17 +173,17 @@
     }
 
     @Override
-    public void proveKnowledge(long heartbeatSentMs) {
-        callers.prove(heartbeatSentMs);
+    public void confirmUpToDate(long heartbeatSentMs) {
+        callers.confirmUpToDate(heartbeatSentMs);
     }
 
     @Override
     public boolean isReady() {
-        return configurationInForce() != null && !isLeaving();
+        return configurationInForce() != null && !isShuttingDown();
     }
 
     @Override
-    public boolean takesRequests() {
+    public boolean acceptsRequests() {
         return accepting && configurationInForce() != null;
     }
 
@@ -201,70 +204,70 @@
         return counts;
     }
 
-    // ---- the end of the node
+    // ---- shutdown
 
     /**
-     * Sends clients elsewhere in order: each answer ends its connection.
+     * Begins the graceful shutdown: each response from now on closes its client connection.
      *
-     * @param endMs when {@link #close} will come, on the steady clock; what could last longer is soon refused
+     * @param endMs when {@link #close} will be called, on the monotonic clock; requests that could take longer are soon rejected
      */
-    public void leave(long endMs) {
-        departure = new GracefulShutdown(clock.nowMs(), endMs);
+    public void beginShutdown(long endMs) {
+        shutdown = new ShutdownWindow(clock.nowMs(), endMs);
     }
 
     /**
-     * Whether this node, which leaves, is the last of its region to take requests. The last one also takes what may last longer
-     * than itself, and passes a stream of that kind on only when it is whole: an answer that has begun must not be cut.
+     * Sets whether this node, which is shutting down, is the last of its region to accept requests. The last one also accepts
+     * requests that may outlive it, and buffers such streams until complete: a response that has begun must not be truncated.
      */
-    public void serveAsLast(boolean last) {
-        lastServing = last;
+    public void setLastInRegion(boolean last) {
+        lastInRegion = last;
     }
 
-    /** Stops accepting connections, once clients had time to hear of it. */
+    /** Stops accepting connections; called once clients had time to learn of the shutdown. */
     public void stopAccepting() {
         accepting = false;
         server.stopAccepting();
     }
 
-    /** Requests under way. */
-    public long active() {
+    /** Returns the number of requests in progress. */
+    public long activeRequests() {
         return active.count();
     }
 
     /**
-     * Takes no request any more if none is under way; true if so. A request that comes on an open connection from then on is
-     * refused as not run.
+     * Stops admitting requests if none is in progress; returns true if so. Later requests on open connections are rejected as
+     * not executed.
      */
-    public boolean refuseIfIdle() {
-        return active.closeIfNone();
+    public boolean closeIfIdle() {
+        return active.closeIfIdle();
     }
 
-    /** Revision of the configuration in force, 0 while there is none. */
+    /** Returns the revision of the current configuration, 0 while there is none. */
     public long configurationRevision() {
         FleetConfig current = config;
         return current == null ? 0 : current.revision();
     }
 
-    /** Requests that wait for capacity. */
-    public int waiting() {
-        return queue.size();
+    /** Returns the number of requests that wait for capacity. */
+    public int queuedRequests() {
+        return waitQueue.size();
     }
 
     /**
-     * Takes no request any more and gives those under way their final answer: a refusal where nothing has run, else a
-     * failure; a stream that has begun is broken off. Returns how many there were.
+     * Stops admitting requests and ends those in progress: with a rejection if nothing was executed, else with a failure; a
+     * stream that has begun is aborted. Returns how many there were.
      */
-    public long endAll() {
-        return active.closeAndEndAll();
+    public long cancelActiveRequests() {
+        return active.closeAndCancelAll();
     }
 
-    /** Closes connections and listeners; the end of a process does so by itself. */
+    /** Closes connections and listeners; not needed when the process exits. */
     public void close() {
         server.close();
         LifeCycles.stopQuietly(engineClient);
     }
 
-    // ---- for requests
+    // ---- used by requests
 
     LoadBalancer loadBalancer() {
         return loadBalancer;
@@ -290,7 +293,7 @@
         return clock;
     }
 
-    /** The configuration in force, null while none is known to be. */
+    /** The configuration in force, null until a control node has confirmed one. */
     FleetConfig configurationInForce() {
         return confirmed ? config : null;
     }
@@ -300,24 +303,24 @@
         return rules;
     }
 
-    boolean isLeaving() {
-        return departure != null;
+    boolean isShuttingDown() {
+        return shutdown != null;
     }
 
-    /** True if this node leaves and may have ended before a request that comes now has. */
+    /** Returns true if this node is shutting down and may terminate before the request ends. */
     boolean mayBeOutlivedBy(long receivedMs, long timeLimitMs) {
-        GracefulShutdown leaving = departure;
-        return leaving != null && leaving.mayBeOutlivedBy(receivedMs, timeLimitMs);
+        ShutdownWindow window = shutdown;
+        return window != null && window.mayBeOutlivedBy(receivedMs, timeLimitMs);
     }
 
-    /** True if this node leaves and is the last of its region to take requests. */
-    boolean servesAsLast() {
-        return lastServing;
+    /** Returns true if this node is shutting down and is the last of its region to accept requests. */
+    boolean isLastInRegion() {
+        return lastInRegion;
     }
 
-    /** What a client is told that is refused as this node leaves. */
-    int retryAfterLeavingMs() {
-        return lastServing ? RESTART_MS : 0;
+    /** Returns the Retry-After of requests rejected during shutdown. */
+    int shutdownRetryAfterMs() {
+        return lastInRegion ? RESTART_ESTIMATE_MS : 0;
     }
 
     long nextRandom() {
@@ -328,19 +331,19 @@
         return node.name() + "-" + Long.toString(actionIds.incrementAndGet(), 36);
     }
 
-    Scheduler.Task schedule(Runnable task, long inMs) {
-        return scheduler.schedule(() -> pool.execute(task), inMs, TimeUnit.MILLISECONDS);
+    Scheduler.Task schedule(Runnable task, long delayMs) {
+        return scheduler.schedule(() -> threadPool.execute(task), delayMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Lets a request try again soon, in the order of priority. */
+    /** Queues a request for another try at an engine, in order of priority. */
     void enqueue(ProxiedRequest request) {
-        queue.add(request);
+        waitQueue.add(request);
     }
 
-    /** Output of an engine came; the first of a success shows that it has begun to run the request. */
+    /** Handles engine output; the first output of a success shows that the engine has started the request. */
     void onOutput(boolean first, ResponseKind kind, AdmittedRequest admitted) {
         if (first && kind == ResponseKind.SUCCESS) {
-            admitted.tenant().ifPresent(tenant -> services.usage().began(tenant.name()));
+            admitted.tenant().ifPresent(tenant -> services.usage().onRequestStarted(tenant.name()));
         }
     }
 
@@ -359,12 +362,12 @@
         active.end(event.actionId());
         ledger.onEnded(event);
         experiments.onEnded(event, clock.nowMs());
-        String end = event.state() + (event.cause() == null ? "" : " " + event.cause());
-        endCounts.computeIfAbsent(end, key -> new LongAdder()).increment();
+        String terminal = event.state() + (event.cause() == null ? "" : " " + event.cause());
+        endCounts.computeIfAbsent(terminal, key -> new LongAdder()).increment();
         if (event.state() != Action.State.COMPLETED && event.cause() != CancelCause.CLIENT_GONE) {
             LOG.atFine()
                     .with(LogField.REQUEST, event.actionId())
-                    .with(LogField.OUTCOME, end)
+                    .with(LogField.OUTCOME, terminal)
                     .with(LogField.ATTEMPTS, event.attemptCount())
                     .with(LogField.LAST_ATTEMPT, event.lastOutcome())
                     .with(LogField.COMMITTED, event.responseCommitted())
@@ -374,7 +377,7 @@
         }
     }
 
-    // ---- requests as they come
+    // ---- incoming requests
 
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
@@ -383,13 +386,13 @@
             Request.addCompletionListener(request, failure -> endPoint.onRequestEnded());
         }
         ClientResponse client = new ClientResponse(request, response, callback);
-        if (server.isFromClient(request)) {
+        if (server.isClientRequest(request)) {
             admission.handle(request, client);
         } else if (request.getHttpURI().getPath().equals(READINESS_PATH)) {
             response.setStatus(isReady() ? HttpStatus.OK_200 : HttpStatus.SERVICE_UNAVAILABLE_503);
             response.write(true, BufferUtil.EMPTY_BUFFER, callback);
         } else {
-            client.respond(Outcome.NO_SUCH, 0, isLeaving());
+            client.respond(Outcome.NO_SUCH, 0, isShuttingDown());
         }
         return true;
     }
--- a/src/main/java/ringspindle/proxy/QuotaCheck.java
+++ b/src/main/java/ringspindle/proxy/QuotaCheck.java
@@ -14,15 +14,15 @@
 
     private final ProxyHandler proxy;
     private final ActiveRequests active;
-    private final Arrival arrival;
+    private final IncomingRequest incoming;
     private final Runnable continuation;
     private final String id;
     private final AtomicBoolean ended = new AtomicBoolean();
 
-    QuotaCheck(ProxyHandler proxy, ActiveRequests active, Arrival arrival, Runnable continuation) {
+    QuotaCheck(ProxyHandler proxy, ActiveRequests active, IncomingRequest incoming, Runnable continuation) {
         this.proxy = proxy;
         this.active = active;
-        this.arrival = arrival;
+        this.incoming = incoming;
         this.continuation = continuation;
         id = "quota-" + proxy.nextActionId();
     }
@@ -51,14 +51,14 @@
     }
 
     @Override
-    public void onNodeEnds() {
-        refuse(Outcome.LEAVING, proxy.retryAfterLeavingMs());
+    public void onNodeTermination() {
+        refuse(Outcome.LEAVING, proxy.shutdownRetryAfterMs());
     }
 
     private void refuse(Outcome outcome, int retryAfterMs) {
         if (ended.compareAndSet(false, true)) {
             active.end(id);
-            arrival.client().respond(outcome, retryAfterMs, proxy.isLeaving());
+            incoming.client().respond(outcome, retryAfterMs, proxy.isShuttingDown());
         }
     }
 }
