--- a/src/test/java/ringspindle/replication/ModelDisks.java
+++ b/src/test/java/ringspindle/replication/ModelDisks.java
@@ -10,7 +10,7 @@
     private final ModelWalk walk;
     private final long seed;
     private final Map<Integer, ModelRandom> diskRandom = new HashMap<>();
-    private final Map<Integer, Long> diskFreeMs = new HashMap<>();
+    private final Map<Integer, Long> diskIdleAtMs = new HashMap<>();
     private final Map<Integer, Long> diskHangsUntilMs = new HashMap<>();
 
     ModelDisks(ModelWalk walk, long seed) {
@@ -24,18 +24,19 @@
     }
 
     /** The process ended, and its writes with it. */
-    void ended(ModelNode node) {
-        diskFreeMs.remove(node.slot);
+    void processEnded(ModelNode node) {
+        diskIdleAtMs.remove(node.slot);
     }
 
     /** Syncs the write a moment later, or once the disk no longer hangs. */
-    void writing(ModelNode node) {
-        ModelRandom random = diskRandom.computeIfAbsent(node.slot, k -> new ModelRandom(seed, k + 2_000_000));
-        long freeMs = Math.max(diskFreeMs.getOrDefault(node.slot, 0L), diskHangsUntilMs.getOrDefault(node.slot, 0L));
-        long whenMs = Math.max(walk.world.nowMs, freeMs) + 1 + random.below(DISK_DELAY_MS);
-        diskFreeMs.put(node.slot, whenMs);
+    void scheduleSync(ModelNode node) {
+        ModelRandom random = diskRandom.computeIfAbsent(node.slot, slot -> new ModelRandom(seed, slot + 2_000_000));
+        long idleAtMs =
+                Math.max(diskIdleAtMs.getOrDefault(node.slot, 0L), diskHangsUntilMs.getOrDefault(node.slot, 0L));
+        long syncAtMs = Math.max(walk.world.nowMs, idleAtMs) + 1 + random.below(DISK_DELAY_MS);
+        diskIdleAtMs.put(node.slot, syncAtMs);
         int life = node.life;
-        walk.at(whenMs, () -> sync(node, life));
+        walk.at(syncAtMs, () -> sync(node, life));
     }
 
     private void sync(ModelNode node, int life) {
--- a/src/test/java/ringspindle/replication/ModelFactory.java
+++ b/src/test/java/ringspindle/replication/ModelFactory.java
@@ -11,5 +11,5 @@
 
     /** Same parameters as {@link ReplicatedState#create}. */
     ReplicatedState create(
-            NodeId me, List<NodeId> seeds, boolean bootstrap, List<Message> found, long luck, int leastVoters);
+            NodeId self, List<NodeId> seeds, boolean bootstrap, List<Message> records, long randomSeed, int minVoters);
 }
--- a/src/test/java/ringspindle/replication/ModelFindingsTest.java
+++ b/src/test/java/ringspindle/replication/ModelFindingsTest.java
@@ -8,29 +8,29 @@
 
 /** Searches and walks that found something, in the same bounds as in {@link ModelCheckTest}. */
 class ModelFindingsTest {
-    private static final Set<ModelExplorer.Action> LATE =
+    private static final Set<ModelExplorer.Action> DELAYED_DELIVERY =
             EnumSet.of(ModelExplorer.Action.HOLD, ModelExplorer.Action.DUPLICATE);
 
     /** Every single fault at every step of three nodes that take two orders. */
     @Test
-    void oneFaultAnywhere() {
-        Set<ModelExplorer.Action> once = EnumSet.complementOf(EnumSet.copyOf(LATE));
-        once.removeAll(ModelCheckTest.MEMBERS);
-        ModelCheckTest.requireCleanSearch(once);
+    void singleFaultAtAnyStepBreaksNothing() {
+        Set<ModelExplorer.Action> singleFaults = EnumSet.complementOf(EnumSet.copyOf(DELAYED_DELIVERY));
+        singleFaults.removeAll(ModelCheckTest.MEMBERS);
+        ModelCheckTest.requireCleanSearch(singleFaults);
     }
 
     /** A head that was left behind must not answer from what it held then; no old order may act late. */
     @Test
-    void answersOfDeposedHeadsAndLateOrders() {
+    void deposedHeadsAndDelayedCommandsBreakNothing() {
         ModelCheckTest.requireClean(ModelPlan.read("seed 220 size 3 lost 1 length 5639: 3489 CUT_IN 0 0 2150 12"));
         ModelCheckTest.requireClean(3, 1, 8, ModelPlan.Mix.STORM);
         ModelCheckTest.requireClean(5, 2, 4, ModelPlan.Mix.STORM);
-        ModelCheckTest.requireCleanSearch(LATE);
+        ModelCheckTest.requireCleanSearch(DELAYED_DELIVERY);
     }
 
     /** An operator takes back an order that got no clear answer, and that arrives only then. */
     @Test
-    void ordersThatWereTakenBackDoNotComeBack() {
+    void withdrawnCommandsDoNotTakeEffect() {
         ModelCheckTest.requireClean(
                 ModelPlan.read("seed 1038 size 5 lost 2 length 12099: 3000 LOSE_AND_REPLACE 2 5 0 0; "
                         + "7873 JOIN 6 0 0 0; 9526 IMPATIENT 0 0 2573 0; 10969 WIPE 0 0 182 2"));
@@ -41,7 +41,7 @@
 
     @ParameterizedTest
     @CsvSource({"3, 1, 8", "5, 2, 4", "9, 4, 2"})
-    void membersComeAndGo(int size, int lost, int seeds) {
+    void membershipChangesBreakNothing(int size, int lost, int seeds) {
         ModelCheckTest.requireClean(size, lost, seeds, ModelPlan.Mix.MEMBERS);
         ModelCheckTest.requireClean(size, lost, seeds, ModelPlan.Mix.ALL);
     }
--- a/src/test/java/ringspindle/replication/ModelRandom.java
+++ b/src/test/java/ringspindle/replication/ModelRandom.java
@@ -16,13 +16,13 @@
         return (int) Math.floorMod(mix(seed, stream, count++), (long) bound);
     }
 
-    boolean oneIn(int n) {
-        return below(n) == 0;
+    boolean oneIn(int denominator) {
+        return below(denominator) == 0;
     }
 
     /** A hash of three numbers. */
-    static long mix(long a, long b, long c) {
-        return scramble(scramble(scramble(a) + b) + c);
+    static long mix(long first, long second, long third) {
+        return scramble(scramble(scramble(first) + second) + third);
     }
 
     private static long scramble(long value) {
--- a/src/test/java/ringspindle/replication/ModelSearchState.java
+++ b/src/test/java/ringspindle/replication/ModelSearchState.java
@@ -8,7 +8,7 @@
     private record Fingerprint(long version, long value) {}
 
     private final ModelWorld world;
-    private final Map<Integer, Fingerprint> kept = new HashMap<>();
+    private final Map<Integer, Fingerprint> cache = new HashMap<>();
 
     ModelSearchState(ModelWorld world) {
         this.world = world;
@@ -17,14 +17,14 @@
     /** Adds what every node holds and which links are cut. */
     void addNodes(ModelFingerprint fingerprint) {
         for (ModelNode node : world.nodes.values()) {
-            fingerprint.add(of(node));
+            fingerprint.add(fingerprintOf(node));
             world.nodes.values().forEach(other -> fingerprint.add(world.isCut(node, other)));
         }
     }
 
-    private long of(ModelNode node) {
-        Fingerprint known = kept.get(node.slot);
-        if (known == null || known.version() != node.version) {
+    private long fingerprintOf(ModelNode node) {
+        Fingerprint cached = cache.get(node.slot);
+        if (cached == null || cached.version() != node.version) {
             ModelFingerprint fingerprint = new ModelFingerprint()
                     .add(node.up())
                     .add(node.frozen)
@@ -33,9 +33,9 @@
                     .add(node.reachableSinceMs)
                     .add(node.writes.size());
             node.writes.forEach(store -> fingerprint.add(store.records()));
-            known = new Fingerprint(node.version, fingerprint.value());
-            kept.put(node.slot, known);
+            cached = new Fingerprint(node.version, fingerprint.value());
+            cache.put(node.slot, cached);
         }
-        return known.value();
+        return cached.value();
     }
 }
--- a/src/test/java/ringspindle/replication/ModelWalk.java
+++ b/src/test/java/ringspindle/replication/ModelWalk.java
@@ -132,7 +132,7 @@
 
     @Override
     public void writing(ModelNode node) {
-        disks.writing(node);
+        disks.scheduleSync(node);
     }
 
     @Override
--- a/src/test/java/ringspindle/replication/ModelWalkFaults.java
+++ b/src/test/java/ringspindle/replication/ModelWalkFaults.java
@@ -132,7 +132,7 @@
             world.kill(node);
         }
         network.ended(node);
-        disks.ended(node);
+        disks.processEnded(node);
         int life = node.life;
         walk.in(fault.forMs(), () -> {
             if (node.life == life && !node.up() && !node.removed) {
