--- a/src/test/java/ringspindle/replication/ModelDisks.java
+++ b/src/test/java/ringspindle/replication/ModelDisks.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The disks of a {@link ModelWalk}: each syncs one write after the other, with delays drawn from the seed. */
+/** The disks of a {@link ModelWalk}; each syncs its writes in order, with delays drawn from the seed. */
 final class ModelDisks {
     private static final int DISK_DELAY_MS = 8;
 
@@ -18,17 +18,17 @@
         this.seed = seed;
     }
 
-    /** The disk syncs nothing for that time. */
+    /** Makes the disk sync nothing for the given time. */
     void hang(ModelNode node, long forMs) {
         diskHangsUntilMs.put(node.slot, walk.world.nowMs + forMs);
     }
 
-    /** The process ended, and its writes with it. */
+    /** Resets the disk when its process ends, because the unsynced writes end with it. */
     void processEnded(ModelNode node) {
         diskIdleAtMs.remove(node.slot);
     }
 
-    /** Syncs the write a moment later, or once the disk no longer hangs. */
+    /** Schedules the sync of a write after a short delay, or for when the disk no longer hangs. */
     void scheduleSync(ModelNode node) {
         ModelRandom random = diskRandom.computeIfAbsent(node.slot, slot -> new ModelRandom(seed, slot + 2_000_000));
         long idleAtMs =
@@ -44,7 +44,7 @@
             return;
         }
         if (node.frozen) {
-            // the process takes note when it runs again
+            // a frozen process learns of the sync only when it runs again
             walk.in(ModelWalk.TICK_MS, () -> sync(node, life));
             return;
         }
--- a/src/test/java/ringspindle/replication/ModelFactory.java
+++ b/src/test/java/ringspindle/replication/ModelFactory.java
@@ -4,12 +4,12 @@
 import ringspindle.protocol.Message;
 import ringspindle.protocol.NodeId;
 
-/** Creates the machines under test, so that a planted fault can take the place of the real one. */
+/** Creates the state machines under test, so that a faulty one can be substituted for the real one. */
 interface ModelFactory {
-    /** The machines as they run in production. */
+    /** Creates the production state machine. */
     ModelFactory REAL = ReplicatedState::create;
 
-    /** Same parameters as {@link ReplicatedState#create}. */
+    /** Creates a state machine with the parameters of {@link ReplicatedState#create}. */
     ReplicatedState create(
             NodeId self, List<NodeId> seeds, boolean bootstrap, List<Message> records, long randomSeed, int minVoters);
 }
--- a/src/test/java/ringspindle/replication/ModelFault.java
+++ b/src/test/java/ringspindle/replication/ModelFault.java
@@ -1,57 +1,63 @@
 package ringspindle.replication;
 
 /**
- * One planned fault.
+ * A fault that is scheduled in a plan.
  *
  * @param atMs when it begins
  * @param kind what happens
- * @param slot the node it happens to
+ * @param slot the affected node
  * @param other another node: the far end of a link, or the new node's number
  * @param forMs how long it lasts
- * @param detail depends on the kind: writes that survive, a set of nodes as bits, noise
+ * @param detail depends on the kind: surviving writes, a bit set of nodes, or the noise rate
  */
 record ModelFault(long atMs, Kind kind, int slot, int other, long forMs, int detail) {
-    /** What can happen. */
+    /** The kinds of faults. */
     enum Kind {
-        /** The process ends and starts again; unsynced writes are gone. */
+        /** The process ends and restarts; unsynced writes are lost. */
         KILL,
-        /** Power is lost; of the writes {@code detail / 4} survive whole and {@code detail % 4} records of the next. */
+        /** Power fails; {@code detail / 4} writes survive whole, and {@code detail % 4} records of the next one. */
         POWER,
-        /** The process ends and starts again with an empty disk. */
+        /** The process ends and restarts with an empty disk. */
         WIPE,
-        /** The process stops; messages wait for it. */
+        /** The process is paused; messages to it are queued. */
         FREEZE,
-        /** No messages in or out; what is sent is lost. */
+        /** The node is isolated; messages to and from it are lost. */
         CUT,
-        /** No messages in or out; what is sent arrives when the cut heals. */
+        /** The node is isolated; messages to and from it are delivered when the cut heals. */
         CUT_HELD,
-        /** No messages out. */
+        /** Outgoing messages of the node do not arrive. */
         CUT_OUT,
-        /** No messages in. */
+        /** Messages to the node do not arrive. */
         CUT_IN,
-        /** No messages from {@code slot} to {@code other}; lost, or held up if {@code detail} is 1. */
+        /** Messages from {@code slot} to {@code other} are lost, or delayed if {@code detail} is 1. */
         LINK,
         /** The disk hangs. */
         DISK,
-        /** Of all messages one in {@code detail} is dropped, held up for up to 1.8 s, or delivered twice. */
+        /** One in {@code detail} messages is dropped, delayed by up to 1.8 s, or delivered twice. */
         NOISE,
-        /** A new node with an empty disk. */
+        /** A new node joins with an empty disk. */
         JOIN,
-        /** A node goes for good. */
+        /** A node is removed permanently. */
         REMOVE,
-        /** A new node joins; then the old one says that it leaves, and ends. */
+        /** A new node joins; then the old one announces that it leaves, and ends. */
         REPLACE,
-        /** A node is gone at once, a new one comes a second later. */
+        /** A node is lost without notice, and a new one joins a second later. */
         LOSE_AND_REPLACE,
         /** All processes end. */
         KILL_ALL,
-        /** All lose power. */
+        /** All nodes lose power. */
         POWER_ALL,
-        /** After the next acknowledgement the nodes in {@code detail} lose their disks; if {@code other} is 1, all others their power. */
+        /**
+         * After the next acknowledgement the nodes in {@code detail} lose their disks.
+         * If {@code other} is 1, all other nodes lose power.
+         */
         WIPE_ACKED,
-        /** The next voter that accepts a view restarts right after it said so, and nothing that the proposer sends arrives. */
+        /**
+         * The next voter that accepts a view restarts right after it has replied.
+         * Nothing that the proposer sends arrives.
+         */
         VOTE_CRASH,
-        /** Operators give up on a call after {@link ModelOperators#IMPATIENT_MS} and turn to another node. */
+        /** Operators abandon a call after {@link ModelOperators#IMPATIENT_MS} and try another node. */
         IMPATIENT
     }
 
@@ -59,7 +65,7 @@
         return kind == Kind.JOIN || kind == Kind.REMOVE || kind == Kind.REPLACE || kind == Kind.LOSE_AND_REPLACE;
     }
 
-    /** {@code ModelFault.read("3000 KILL 1 0 800 0")}, as {@link #toString} writes it. */
+    /** Parses the form written by {@link #toString}, such as {@code 3000 KILL 1 0 800 0}. */
     static ModelFault read(String text) {
         String[] part = text.trim().split(" +");
         return new ModelFault(
--- a/src/test/java/ringspindle/replication/ModelFindingsTest.java
+++ b/src/test/java/ringspindle/replication/ModelFindingsTest.java
@@ -6,12 +6,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Searches and walks that found something, in the same bounds as in {@link ModelCheckTest}. */
+/** Repeats searches and random walks that once found a fault, within the bounds of {@link ModelCheckTest}. */
 class ModelFindingsTest {
     private static final Set<ModelExplorer.Action> DELAYED_DELIVERY =
             EnumSet.of(ModelExplorer.Action.HOLD, ModelExplorer.Action.DUPLICATE);
 
-    /** Every single fault at every step of three nodes that take two orders. */
+    /** Injects each single fault at each step of a run of three nodes and two commands. */
     @Test
     void singleFaultAtAnyStepBreaksNothing() {
         Set<ModelExplorer.Action> singleFaults = EnumSet.complementOf(EnumSet.copyOf(DELAYED_DELIVERY));
@@ -19,7 +19,7 @@
         ModelCheckTest.requireCleanSearch(singleFaults);
     }
 
-    /** A head that was left behind must not answer from what it held then; no old order may act late. */
+    /** A deposed head must not answer from its outdated state, and a delayed old command must not take effect. */
     @Test
     void deposedHeadsAndDelayedCommandsBreakNothing() {
         ModelCheckTest.requireClean(ModelPlan.read("seed 220 size 3 lost 1 length 5639: 3489 CUT_IN 0 0 2150 12"));
@@ -28,7 +28,7 @@
         ModelCheckTest.requireCleanSearch(DELAYED_DELIVERY);
     }
 
-    /** An operator takes back an order that got no clear answer, and that arrives only then. */
+    /** An operator withdraws a command whose outcome is unknown, and the command arrives only afterwards. */
     @Test
     void withdrawnCommandsDoNotTakeEffect() {
         ModelCheckTest.requireClean(
--- a/src/test/java/ringspindle/replication/ModelRandom.java
+++ b/src/test/java/ringspindle/replication/ModelRandom.java
@@ -1,6 +1,10 @@
 package ringspindle.replication;
 
-/** Chance that depends on names and counters only, so that a shorter schedule keeps the draws of the longer one. */
+/**
+ * Pseudo-random generator that depends only on seed, stream and draw counter.
+ *
+ * <p>A shortened schedule therefore draws the same values as the one it was derived from.
+ */
 final class ModelRandom {
     private final long seed;
     private final long stream;
@@ -11,7 +15,7 @@
         this.stream = stream;
     }
 
-    /** {@code new ModelRandom(7, 1).below(10)} is 0 to 9. */
+    /** Returns the next value from 0 up to, but not including, {@code bound}. */
     int below(int bound) {
         return (int) Math.floorMod(mix(seed, stream, count++), (long) bound);
     }
@@ -20,7 +24,7 @@
         return below(denominator) == 0;
     }
 
-    /** A hash of three numbers. */
+    /** Returns a 64-bit hash of three numbers. */
     static long mix(long first, long second, long third) {
         return scramble(scramble(scramble(first) + second) + third);
     }
--- a/src/test/java/ringspindle/replication/ModelSearchState.java
+++ b/src/test/java/ringspindle/replication/ModelSearchState.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The nodes' part of a state's fingerprint; each node's is kept until the node changes. */
+/** Computes the nodes' part of a state's fingerprint and caches that of each node until the node changes. */
 final class ModelSearchState {
     private record Fingerprint(long version, long value) {}
 
@@ -14,7 +14,7 @@
         this.world = world;
     }
 
-    /** Adds what every node holds and which links are cut. */
+    /** Adds the state of every node and which links are cut. */
     void addNodes(ModelFingerprint fingerprint) {
         for (ModelNode node : world.nodes.values()) {
             fingerprint.add(fingerprintOf(node));
--- a/src/test/java/ringspindle/replication/ModelShrinker.java
+++ b/src/test/java/ringspindle/replication/ModelShrinker.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Makes a failing plan shorter while it still breaks the same property. */
+/** Shrinks a failing plan for as long as it still violates the same property. */
 final class ModelShrinker {
     private final ModelFactory factory;
     private final ModelViolation.Kind kind;
@@ -17,7 +17,7 @@
         this.runsLeft = runs;
     }
 
-    /** {@code ModelShrinker.shrink(factory, result, 150)}: at most 150 runs are spent. */
+    /** Returns the result of the smallest failing plan found within {@code runs} runs. */
     static ModelWalk.Result shrink(ModelFactory factory, ModelWalk.Result failing, int runs) {
         ModelShrinker shrinker = new ModelShrinker(factory, failing, runs);
         shrinker.endEarlier();
@@ -39,7 +39,7 @@
         return false;
     }
 
-    /** Faults after the violation played no part; a plan without them may also end sooner. */
+    /** Drops faults after the violation, which cannot have caused it, and ends the plan earlier if it still fails. */
     private void endEarlier() {
         long brokenMs = shortest.violations().get(0).atMs();
         ModelPlan plan = shortest.plan();
@@ -50,7 +50,7 @@
                 .max()
                 .orElse(0);
         for (long lengthMs : new long[] {lastMs, brokenMs}) {
-            // progress is asked for only when all drawn faults are over
+            // progress is required only after all scheduled faults have ended
             boolean calm = kind != ModelViolation.Kind.NO_PROGRESS || lengthMs == lastMs;
             if (calm
                     && lengthMs < plan.lengthMs()
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Drops halves, then quarters, and so on down to single faults. */
+    /** Drops halves of the fault list, then quarters, and so on down to single faults. */
     private void dropFaults() {
         for (int piece = Math.max(1, shortest.plan().faults().size() / 2); piece >= 1; piece /= 2) {
             int from = 0;
--- a/src/test/java/ringspindle/replication/ModelViews.java
+++ b/src/test/java/ringspindle/replication/ModelViews.java
@@ -4,11 +4,11 @@
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
 
-/** The one place of the model checker where views are made. */
+/** Creates the views that the model checker constructs itself. */
 final class ModelViews {
     private ModelViews() {}
 
-    /** {@code ModelViews.next(view, voters, chain)} has the epoch after the given view's. */
+    /** Returns a view with the given voters and chain, whose epoch is one above that of {@code view}. */
     static View next(View view, List<NodeId> voters, List<NodeId> chain) {
         return new View(view.epoch() + 1, List.copyOf(voters), List.copyOf(chain));
     }
--- a/src/test/java/ringspindle/replication/ModelViolation.java
+++ b/src/test/java/ringspindle/replication/ModelViolation.java
@@ -1,40 +1,40 @@
 package ringspindle.replication;
 
 /**
- * A broken property.
+ * A violation of one of the checked properties.
  *
- * @param kind which property
- * @param detail what was seen
- * @param atMs model time
+ * @param kind the violated property
+ * @param detail what was observed
+ * @param atMs simulated time of the violation
  */
 record ModelViolation(Kind kind, String detail, long atMs) {
     /** The properties that are checked. */
     enum Kind {
-        /** Two different views carry one epoch. */
+        /** Two different views have the same epoch. */
         TWO_VIEWS,
-        /** Two different committed states carry one sequence number. */
+        /** Two different committed states have the same sequence number. */
         DIVERGED,
-        /** A running node's committed state went back. */
+        /** The committed state of a running node moved back to an earlier one. */
         WENT_BACK,
-        /** Two orders on one base took effect. */
+        /** Two commands with the same base revision took effect. */
         TWO_WINNERS,
-        /** An acknowledged order is not in a later state. */
+        /** An acknowledged command is missing from a later state. */
         LOST,
-        /** An order that took effect was refused when it was sent again. */
+        /** A command that had taken effect was rejected when it was sent again. */
         REFUSED_AGAIN,
-        /** A read returned less than what was acknowledged before it began. */
+        /** A read returned a state older than one acknowledged before the read began. */
         OLD_READ,
-        /** A read returned a body that nobody sent under that revision. */
+        /** A read returned a body that no command wrote at that revision. */
         WRONG_BODY,
-        /** Fewer durable copies than promised at the moment of an acknowledgement. */
+        /** A command was acknowledged with fewer durable copies than promised. */
         FEW_COPIES,
-        /** An evacuation came back after its withdrawal was acknowledged. */
+        /** An evacuation reappeared after its withdrawal was acknowledged. */
         CAME_BACK,
-        /** No order was acknowledged although a majority had been up and linked for long enough. */
+        /** No command was acknowledged although a majority had been up and connected for long enough. */
         NO_PROGRESS,
-        /** The history of configuration orders and reads has no linearization. */
+        /** The history of configuration commands and reads has no linearization. */
         NOT_LINEARIZABLE,
-        /** The machine threw an exception. */
+        /** The state machine threw an exception. */
         EXCEPTION
     }
 
