--- a/src/test/java/ringspindle/replication/ClosingFaultTest.java
+++ b/src/test/java/ringspindle/replication/CorrelatedFailureTest.java
@@ -16,16 +16,16 @@
  * that may be lost, right at an acknowledgement and at steps of writes under way. What was acknowledged is read back, and
  * orders are taken again.
  */
-class ClosingFaultTest {
+class CorrelatedFailureTest {
     private static final int NODES = 6;
-    private static final int SEEDS = 3;
-    private static final int LOST = 2;
-    private static final long STRIKE_MS = 9_000;
+    private static final int SEED_NODES = 3;
+    private static final int LOST_DISKS = 2;
+    private static final long FAULT_MS = 9_000;
     private static final long END_MS = 15_000;
     /** Time from the return of all nodes within which orders are taken again, as a deployment of this size asks. */
-    private static final long RECOVERY_MS = 5_000;
+    private static final long RECOVERY_LIMIT_MS = 5_000;
 
-    private static List<Set<Integer>> pairs() {
+    private static List<Set<Integer>> diskPairs() {
         List<Set<Integer>> pairs = new ArrayList<>();
         for (int first = 0; first < NODES; first++) {
             for (int second = first + 1; second < NODES; second++) {
@@ -36,26 +36,26 @@
     }
 
     private static ChainSimulation simulation(long seed) {
-        return new ChainSimulation(seed, NODES, SEEDS, LOST);
+        return new ChainSimulation(seed, NODES, SEED_NODES, LOST_DISKS);
     }
 
-    private static void assertNothingLost(ChainSimulation simulation, Set<Integer> wiped, String when) {
+    private static void assertNothingLost(ChainSimulation simulation, Set<Integer> lostDisks, String when) {
         SimulationHistory history = simulation.run(0, END_MS);
-        String what = simulation.name() + ", disks of " + wiped + " lost " + when;
-        assertEquals(List.of(), history.problems(), () -> what + simulation.standing());
-        assertTrue(history.readBack > 0, () -> what + simulation.standing());
+        String description = simulation.name() + ", disks of " + lostDisks + " lost " + when;
+        assertEquals(List.of(), history.problems(), () -> description + simulation.standing());
+        assertTrue(history.readBack > 0, () -> description + simulation.standing());
         assertTrue(
-                simulation.acknowledgedAfter(STRIKE_MS + RECOVERY_MS) > 0,
-                () -> what + ": nothing is acknowledged afterwards" + simulation.standing());
+                simulation.acknowledgedAfter(FAULT_MS + RECOVERY_LIMIT_MS) > 0,
+                () -> description + ": nothing is acknowledged afterwards" + simulation.standing());
     }
 
     @Test
     void disksLostAtAnAcknowledgementWhileAllOthersLosePower() {
         long seed = 1;
-        for (Set<Integer> wiped : pairs()) {
+        for (Set<Integer> lostDisks : diskPairs()) {
             ChainSimulation simulation = simulation(seed++);
-            simulation.scriptOnAcknowledgement(STRIKE_MS, () -> simulation.loseDisksAndPower(wiped));
-            assertNothingLost(simulation, wiped, "at an acknowledgement");
+            simulation.scriptOnAcknowledgement(FAULT_MS, () -> simulation.loseDisksAndPower(lostDisks));
+            assertNothingLost(simulation, lostDisks, "at an acknowledgement");
         }
     }
 
@@ -64,45 +64,45 @@
     @ValueSource(longs = {100, 200, 300})
     void disksLostAtAnyStepOfAWriteWhileAllOthersLosePower(long firstSeed) {
         long step = 0;
-        for (Set<Integer> wiped : pairs()) {
-            long atMs = STRIKE_MS + step++ * 17;
+        for (Set<Integer> lostDisks : diskPairs()) {
+            long atMs = FAULT_MS + step++ * 17;
             ChainSimulation simulation = simulation(firstSeed + step);
-            simulation.script(atMs, () -> simulation.loseDisksAndPower(wiped));
-            assertNothingLost(simulation, wiped, "at " + atMs);
+            simulation.script(atMs, () -> simulation.loseDisksAndPower(lostDisks));
+            assertNothingLost(simulation, lostDisks, "at " + atMs);
         }
     }
 
     /** A member is dark while the chain is mended without it; the fault strikes at an acknowledgement of the mended chain. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5})
-    void disksLostRightAfterTheChainWasMended(int dark) {
-        long seed = 500 + 20L * dark;
-        for (Set<Integer> wiped : pairs()) {
+    void disksLostRightAfterTheChainWasReconfigured(int poweredOff) {
+        long seed = 500 + 20L * poweredOff;
+        for (Set<Integer> lostDisks : diskPairs()) {
             ChainSimulation simulation = simulation(seed++);
-            simulation.script(STRIKE_MS - 700, () -> simulation.losePower(dark, 400));
-            simulation.scriptOnAcknowledgement(STRIKE_MS - 400, () -> simulation.loseDisksAndPower(wiped));
-            assertNothingLost(simulation, wiped, "after " + dark + " was dark");
+            simulation.script(FAULT_MS - 700, () -> simulation.losePower(poweredOff, 400));
+            simulation.scriptOnAcknowledgement(FAULT_MS - 400, () -> simulation.loseDisksAndPower(lostDisks));
+            assertNothingLost(simulation, lostDisks, "after " + poweredOff + " was dark");
         }
     }
 
     /** Everything loses its power twice within the time that a return takes, with the same disks lost the second time. */
     @Test
-    void powerLostAgainDuringTheReturn() {
+    void powerLostAgainDuringRecovery() {
         long seed = 900;
-        for (Set<Integer> wiped : pairs()) {
+        for (Set<Integer> lostDisks : diskPairs()) {
             ChainSimulation simulation = simulation(seed++);
-            long secondMs = STRIKE_MS + 400 + seed % 7 * 150;
-            simulation.scriptOnAcknowledgement(STRIKE_MS, () -> simulation.loseDisksAndPower(Set.of()));
-            simulation.script(secondMs, () -> simulation.loseDisksAndPower(wiped));
-            assertNothingLost(simulation, wiped, "during the return");
+            long secondMs = FAULT_MS + 400 + seed % 7 * 150;
+            simulation.scriptOnAcknowledgement(FAULT_MS, () -> simulation.loseDisksAndPower(Set.of()));
+            simulation.script(secondMs, () -> simulation.loseDisksAndPower(lostDisks));
+            assertNothingLost(simulation, lostDisks, "during the return");
         }
     }
 
     /** The check is able to fail: with every disk gone nothing can be read back. */
     @Test
-    void lossOfAllDisksIsNoticed() {
+    void lossOfAllDisksIsDetected() {
         ChainSimulation simulation = simulation(7);
-        simulation.scriptOnAcknowledgement(STRIKE_MS, () -> simulation.loseDisksAndPower(Set.of(0, 1, 2, 3, 4, 5)));
+        simulation.scriptOnAcknowledgement(FAULT_MS, () -> simulation.loseDisksAndPower(Set.of(0, 1, 2, 3, 4, 5)));
         SimulationHistory history = simulation.run(0, END_MS);
         assertFalse(history.problems().isEmpty());
     }
--- a/src/test/java/ringspindle/replication/FleetOrdersTest.java
+++ b/src/test/java/ringspindle/replication/FleetCommandsTest.java
@@ -17,7 +17,7 @@
 import ringspindle.shard.ShardMember;
 
 /** Orders of the head of the view on shards, usage and versions: decided once, and by the head in charge alone. */
-class FleetOrdersTest {
+class FleetCommandsTest {
     private static final ShardMember MEMBER = new ShardMember(NodeId.of("10.0.0.1:7002"), -7);
 
     private final CommandDecider decider = new CommandDecider();
@@ -30,7 +30,7 @@
         return new State(first.lineage(), 5, 3, first.past(), first.marks(), config.packed());
     }
 
-    private Outcome order(CallKind kind, String argument, byte[] body) {
+    private Outcome submit(CallKind kind, String argument, byte[] body) {
         Decision decision = decider.decide(state, kind.call(1, state.seq(), argument, body));
         if (decision instanceof Decision.Commit commit) {
             state = ControlState.apply(state, commit.op());
@@ -41,7 +41,7 @@
 
     private Outcome assign(long shardEpoch, long viewEpoch) {
         ShardAssignment next = new ShardAssignment(2, shardEpoch, MEMBER, 1, List.of(MEMBER), List.of(MEMBER));
-        return order(CallKind.SHARD, "2", ShardCommands.assignCommand(next, viewEpoch));
+        return submit(CallKind.SHARD, "2", ShardCommands.assignCommand(next, viewEpoch));
     }
 
     private Mark mark(MarkKind kind, String key) {
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void anAssignmentTakesThePlaceOfTheOneBeforeItAndOfNoOther() {
+    void anAssignmentReplacesOnlyItsDirectPredecessor() {
         long epoch = state.lineage();
         assertEquals(Outcome.CLASH, assign(2, epoch));
         assertEquals(Outcome.TAKEN, assign(1, epoch));
@@ -62,40 +62,40 @@
     }
 
     @Test
-    void whatIsReportedOfAWindowIsDecidedOnce() {
+    void aMeteringWindowIsCommittedOnce() {
         long epoch = state.lineage();
         MeteredWindow first = new MeteredWindow(70, Map.of("a", 3L));
         MeteredWindow differing = new MeteredWindow(70, Map.of("a", 4L));
-        assertEquals(Outcome.TAKEN, order(CallKind.METER, "", first.command(epoch)));
-        assertEquals(Outcome.CLASH, order(CallKind.METER, "", differing.command(epoch)));
-        assertEquals(Outcome.CLASH, order(CallKind.METER, "", new MeteredWindow(71, Map.of()).command(epoch + 1)));
+        assertEquals(Outcome.TAKEN, submit(CallKind.METER, "", first.command(epoch)));
+        assertEquals(Outcome.CLASH, submit(CallKind.METER, "", differing.command(epoch)));
+        assertEquals(Outcome.CLASH, submit(CallKind.METER, "", new MeteredWindow(71, Map.of()).command(epoch + 1)));
         assertEquals(first, MeteredWindow.read(mark(MarkKind.METERING, "").value()));
-        assertEquals(Outcome.TAKEN, order(CallKind.METER, "", new MeteredWindow(71, Map.of()).command(epoch)));
+        assertEquals(Outcome.TAKEN, submit(CallKind.METER, "", new MeteredWindow(71, Map.of()).command(epoch)));
     }
 
     @Test
-    void aVersionIsRolledOutOnceAtATimeAndEndedByTheHead() {
+    void onlyOneVersionRolloutRunsAndOnlyTheCurrentHeadEndsIt() {
         byte[] start = "{\"service\":\"s\",\"targetRevision\":\"v2\",\"durationS\":12}".getBytes(UTF_8);
         byte[] other = "{\"service\":\"s\",\"targetRevision\":\"v3\",\"durationS\":12}".getBytes(UTF_8);
         long epoch = state.lineage();
-        assertEquals(Outcome.NO_SUCH, order(CallKind.VERSION, "x", start));
-        assertEquals(Outcome.INVALID, order(CallKind.VERSION, "s", "{\"durationS\":3}".getBytes(UTF_8)));
-        assertEquals(Outcome.TAKEN, order(CallKind.VERSION, "s", start));
-        assertEquals(Outcome.TAKEN, order(CallKind.VERSION, "s", start), "sent again");
-        assertEquals(Outcome.CLASH, order(CallKind.VERSION, "s", other));
+        assertEquals(Outcome.NO_SUCH, submit(CallKind.VERSION, "x", start));
+        assertEquals(Outcome.INVALID, submit(CallKind.VERSION, "s", "{\"durationS\":3}".getBytes(UTF_8)));
+        assertEquals(Outcome.TAKEN, submit(CallKind.VERSION, "s", start));
+        assertEquals(Outcome.TAKEN, submit(CallKind.VERSION, "s", start), "sent again");
+        assertEquals(Outcome.CLASH, submit(CallKind.VERSION, "s", other));
         assertEquals(
-                Outcome.CLASH, order(CallKind.VERSION, "s", VersionRollout.endCommand(Status.REVERTED, epoch + 1)));
-        assertEquals(Outcome.TAKEN, order(CallKind.VERSION, "s", VersionRollout.endCommand(Status.REVERTED, epoch)));
+                Outcome.CLASH, submit(CallKind.VERSION, "s", VersionRollout.endCommand(Status.REVERTED, epoch + 1)));
+        assertEquals(Outcome.TAKEN, submit(CallKind.VERSION, "s", VersionRollout.endCommand(Status.REVERTED, epoch)));
         assertEquals(
                 new VersionRollout("s", "v2", 12, Status.REVERTED),
                 VersionRollout.read(mark(MarkKind.VERSION, "s").value()));
-        assertEquals(Outcome.TAKEN, order(CallKind.VERSION, "s", other), "the next one");
+        assertEquals(Outcome.TAKEN, submit(CallKind.VERSION, "s", other), "the next one");
     }
 
     @Test
-    void aRetirementIsTakenAgain() {
-        assertEquals(Outcome.TAKEN, order(CallKind.RETIRE, "storage-1", new byte[0]));
-        assertEquals(Outcome.TAKEN, order(CallKind.RETIRE, "storage-1", new byte[0]));
+    void aRepeatedRetirementIsAccepted() {
+        assertEquals(Outcome.TAKEN, submit(CallKind.RETIRE, "storage-1", new byte[0]));
+        assertEquals(Outcome.TAKEN, submit(CallKind.RETIRE, "storage-1", new byte[0]));
         assertEquals("on", mark(MarkKind.RETIREMENT, "storage-1").value());
     }
 }
--- a/src/test/java/ringspindle/replication/SuccessorLinkTest.java
+++ b/src/test/java/ringspindle/replication/SuccessorLinkTest.java
@@ -13,7 +13,7 @@
     private final SuccessorLink link = new SuccessorLink();
 
     @Test
-    void aSnapshotComesFirst() {
+    void aSnapshotIsSentFirst() {
         assertTrue(link.snapshotDue());
         assertEquals(-1, link.sentSeq());
         link.sent(7, 100);
@@ -22,23 +22,23 @@
     }
 
     @Test
-    void whatIsNotConfirmedIsSentAgainAfterEverLongerPauses() {
-        List<Long> pauses = new ArrayList<>();
-        long lastMs = 0;
+    void unacknowledgedSnapshotsAreResentWithExponentialBackoff() {
+        List<Long> resendDelaysMs = new ArrayList<>();
+        long lastSentMs = 0;
         link.sent(7, 0);
-        for (long nowMs = 1; pauses.size() < 6; nowMs++) {
+        for (long nowMs = 1; resendDelaysMs.size() < 6; nowMs++) {
             link.tick(7, nowMs);
             if (link.snapshotDue()) {
-                pauses.add(nowMs - lastMs);
-                lastMs = nowMs;
+                resendDelaysMs.add(nowMs - lastSentMs);
+                lastSentMs = nowMs;
                 link.sent(7, nowMs);
             }
         }
-        assertEquals(List.of(401L, 801L, 1601L, 3201L, 6401L, 6401L), pauses);
+        assertEquals(List.of(401L, 801L, 1601L, 3201L, 6401L, 6401L), resendDelaysMs);
     }
 
     @Test
-    void whatIsConfirmedIsNotSentAgain() {
+    void anAcknowledgedSnapshotIsNotResent() {
         link.sent(7, 0);
         link.acknowledged(7);
         link.tick(7, 100_000);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aConfirmationEndsTheLongPauses() {
+    void anAcknowledgementResetsTheBackoff() {
         link.sent(7, 0);
         link.tick(7, 401);
         link.sent(7, 401);
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aNewViewStartsOver() {
+    void aNewViewRequiresANewSnapshot() {
         link.sent(7, 0);
         link.acknowledged(7);
         link.startView();
