--- a/src/test/java/ringspindle/replication/CorrelatedFailureTest.java
+++ b/src/test/java/ringspindle/replication/CorrelatedFailureTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * As many disks are lost as the deployment bears, and in the same moment every other node loses its power: each set of disks
- * that may be lost, right at an acknowledgement and at steps of writes under way. What was acknowledged is read back, and
- * orders are taken again.
+ * Tests the largest failure that a deployment tolerates: the permitted number of disks is lost at the moment in
+ * which every other node loses power. Covers each set of disks that may be lost, both at an acknowledgement and
+ * during writes in progress. Acknowledged changes must be readable afterwards, and commands must be accepted again.
  */
 class CorrelatedFailureTest {
     private static final int NODES = 6;
@@ -22,7 +22,7 @@
     private static final int LOST_DISKS = 2;
     private static final long FAULT_MS = 9_000;
     private static final long END_MS = 15_000;
-    /** Time from the return of all nodes within which orders are taken again, as a deployment of this size asks. */
+    /** Time after the return of all nodes in which a deployment of this size must accept commands again. */
     private static final long RECOVERY_LIMIT_MS = 5_000;
 
     private static List<Set<Integer>> diskPairs() {
@@ -46,7 +46,7 @@
         assertTrue(history.readBack > 0, () -> description + simulation.standing());
         assertTrue(
                 simulation.acknowledgedAfter(FAULT_MS + RECOVERY_LIMIT_MS) > 0,
-                () -> description + ": nothing is acknowledged afterwards" + simulation.standing());
+                () -> description + ": nothing was acknowledged after recovery" + simulation.standing());
     }
 
     @Test
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Two operators send all the while, so that each instant is another step of a write along the chain. */
+    /** Two operators send commands continuously, so that each instant is another step of a write along the chain. */
     @ParameterizedTest
     @ValueSource(longs = {100, 200, 300})
     void disksLostAtAnyStepOfAWriteWhileAllOthersLosePower(long firstSeed) {
@@ -72,7 +72,7 @@
         }
     }
 
-    /** A member is dark while the chain is mended without it; the fault strikes at an acknowledgement of the mended chain. */
+    /** A member has no power while the chain is reconfigured; the fault occurs when the new chain acknowledges. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5})
     void disksLostRightAfterTheChainWasReconfigured(int poweredOff) {
@@ -81,11 +81,11 @@
             ChainSimulation simulation = simulation(seed++);
             simulation.script(FAULT_MS - 700, () -> simulation.losePower(poweredOff, 400));
             simulation.scriptOnAcknowledgement(FAULT_MS - 400, () -> simulation.loseDisksAndPower(lostDisks));
-            assertNothingLost(simulation, lostDisks, "after " + poweredOff + " was dark");
+            assertNothingLost(simulation, lostDisks, "after node " + poweredOff + " lost power");
         }
     }
 
-    /** Everything loses its power twice within the time that a return takes, with the same disks lost the second time. */
+    /** All nodes lose power again before they have recovered; the second time a pair of disks is lost as well. */
     @Test
     void powerLostAgainDuringRecovery() {
         long seed = 900;
@@ -94,11 +94,11 @@
             long secondMs = FAULT_MS + 400 + seed % 7 * 150;
             simulation.scriptOnAcknowledgement(FAULT_MS, () -> simulation.loseDisksAndPower(Set.of()));
             simulation.script(secondMs, () -> simulation.loseDisksAndPower(lostDisks));
-            assertNothingLost(simulation, lostDisks, "during the return");
+            assertNothingLost(simulation, lostDisks, "during recovery");
         }
     }
 
-    /** The check is able to fail: with every disk gone nothing can be read back. */
+    /** Verifies that the check can fail: with all disks lost, nothing can be read back. */
     @Test
     void lossOfAllDisksIsDetected() {
         ChainSimulation simulation = simulation(7);
--- a/src/test/java/ringspindle/replication/ExperimentCommandsTest.java
+++ b/src/test/java/ringspindle/replication/ExperimentCommandsTest.java
@@ -17,7 +17,7 @@
 import ringspindle.protocol.Message.Mark;
 import ringspindle.protocol.Message.State;
 
-/** Orders on experiments at the head of the chain: operators', and those of the judge in charge. */
+/** Tests the commands on experiments at the head of the chain, from operators and from the current judge. */
 class ExperimentCommandsTest {
     private static final String DOCUMENT = """
             {"name": "near", "routes": ["scrip"], "salt": "one", "ramp": 0.5,
@@ -75,19 +75,24 @@
         assertEquals(6, nearExperiment().id());
         long sequence = state.seq();
         assertEquals(Outcome.TAKEN, submit("near", startCommand(DOCUMENT)));
-        assertEquals(sequence, state.seq(), "sent again it changes nothing");
+        assertEquals(sequence, state.seq(), "a repeated command changes nothing");
         assertEquals(Outcome.CLASH, submit("near", startCommand(DOCUMENT.replace("0.5,", "0.7,"))));
     }
 
     @Test
     void unknownNamesAndConflictsAreRejected() {
         assertEquals(Outcome.INVALID, submit("near", startCommand(DOCUMENT.replace("scrip", "scrap"))));
-        assertEquals(Outcome.INVALID, submit("far", startCommand(DOCUMENT)), "another name in the path");
+        assertEquals(
+                Outcome.INVALID,
+                submit("far", startCommand(DOCUMENT)),
+                "the name in the path differs from the document");
         assertEquals(Outcome.TAKEN, submit("near", startCommand(DOCUMENT)));
         String second = DOCUMENT.replace("\"name\": \"near\", \"routes\"", "\"name\": \"two\", \"routes\"");
-        assertEquals(Outcome.INVALID, submit("two", startCommand(second)), "the salt was used");
+        assertEquals(Outcome.INVALID, submit("two", startCommand(second)), "the salt was used before");
         assertEquals(
-                Outcome.INVALID, submit("two", startCommand(second.replace("one", "other"))), "the route is taken");
+                Outcome.INVALID,
+                submit("two", startCommand(second.replace("one", "other"))),
+                "the route belongs to another experiment");
         String digests = second.replace("one", "other").replace("scrip", "digest");
         assertEquals(Outcome.TAKEN, submit("two", startCommand(digests)));
         assertEquals(Outcome.NO_SUCH, submit("none", "{\"order\":\"pause\"}"));
@@ -113,7 +118,7 @@
         assertEquals(Outcome.TAKEN, submitJudgeOrder(worse, epoch, id));
         assertEquals(Standing.HALTED, nearExperiment().state());
         assertEquals("as-is", nearExperiment().survivor());
-        assertEquals(Outcome.CLASH, submitJudgeOrder(worse, epoch, id), "it halts once");
+        assertEquals(Outcome.CLASH, submitJudgeOrder(worse, epoch, id), "an experiment halts only once");
         assertEquals(Outcome.CLASH, submitJudgeOrder(new JudgeOrder.Over("late"), epoch, id));
     }
 
--- a/src/test/java/ringspindle/replication/FleetCommandsTest.java
+++ b/src/test/java/ringspindle/replication/FleetCommandsTest.java
@@ -16,7 +16,7 @@
 import ringspindle.shard.ShardAssignment;
 import ringspindle.shard.ShardMember;
 
-/** Orders of the head of the view on shards, usage and versions: decided once, and by the head in charge alone. */
+/** Tests commands on shards, metering and version rollouts: committed once, and only from the current head. */
 class FleetCommandsTest {
     private static final ShardMember MEMBER = new ShardMember(NodeId.of("10.0.0.1:7002"), -7);
 
@@ -54,7 +54,7 @@
         assertEquals(Outcome.CLASH, assign(2, epoch));
         assertEquals(Outcome.TAKEN, assign(1, epoch));
         assertEquals(Outcome.CLASH, assign(1, epoch));
-        assertEquals(Outcome.CLASH, assign(2, epoch + 1), "another head's");
+        assertEquals(Outcome.CLASH, assign(2, epoch + 1), "sent by the head of another view");
         assertEquals(Outcome.TAKEN, assign(2, epoch));
         ShardAssignment kept = ShardAssignment.read(mark(MarkKind.SHARD, "2").value());
         assertEquals(2, kept.epoch());
@@ -81,7 +81,7 @@
         assertEquals(Outcome.NO_SUCH, submit(CallKind.VERSION, "x", start));
         assertEquals(Outcome.INVALID, submit(CallKind.VERSION, "s", "{\"durationS\":3}".getBytes(UTF_8)));
         assertEquals(Outcome.TAKEN, submit(CallKind.VERSION, "s", start));
-        assertEquals(Outcome.TAKEN, submit(CallKind.VERSION, "s", start), "sent again");
+        assertEquals(Outcome.TAKEN, submit(CallKind.VERSION, "s", start), "a repeated command is accepted");
         assertEquals(Outcome.CLASH, submit(CallKind.VERSION, "s", other));
         assertEquals(
                 Outcome.CLASH, submit(CallKind.VERSION, "s", VersionRollout.endCommand(Status.REVERTED, epoch + 1)));
@@ -89,7 +89,10 @@
         assertEquals(
                 new VersionRollout("s", "v2", 12, Status.REVERTED),
                 VersionRollout.read(mark(MarkKind.VERSION, "s").value()));
-        assertEquals(Outcome.TAKEN, submit(CallKind.VERSION, "s", other), "the next one");
+        assertEquals(
+                Outcome.TAKEN,
+                submit(CallKind.VERSION, "s", other),
+                "another rollout may start once the first has ended");
     }
 
     @Test
--- a/src/test/java/ringspindle/replication/SuccessorLinkTest.java
+++ b/src/test/java/ringspindle/replication/SuccessorLinkTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When a successor in the chain is sent a snapshot again. */
+/** Tests when a snapshot is sent again to the successor in the chain. */
 class SuccessorLinkTest {
     private final SuccessorLink link = new SuccessorLink();
 
@@ -63,6 +63,6 @@
         assertTrue(link.snapshotDue());
         link.sent(7, 0);
         link.tick(7, 401);
-        assertTrue(link.snapshotDue(), "what was confirmed in the view before counts no more");
+        assertTrue(link.snapshotDue(), "acknowledgements from the previous view do not count");
     }
 }
