--- a/src/test/java/ringspindle/replication/CorrelatedFailureTest.java
+++ b/src/test/java/ringspindle/replication/CorrelatedFailureTest.java
@@ -72,7 +72,7 @@
         }
     }
 
-    /** A member has no power while the chain is reconfigured; the fault occurs when the new chain acknowledges. */
+    /** The chain is reconfigured without a member that lost power; the fault follows its next acknowledgement. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5})
     void disksLostRightAfterTheChainWasReconfigured(int poweredOff) {
--- a/src/test/java/ringspindle/replication/ModelViews.java
+++ b/src/test/java/ringspindle/replication/ModelViews.java
@@ -4,7 +4,7 @@
 import ringspindle.protocol.Message.View;
 import ringspindle.protocol.NodeId;
 
-/** Creates the views that the model checker constructs itself. */
+/** The only place where the model checker creates views. */
 final class ModelViews {
     private ModelViews() {}
 
