--- a/src/test/java/ringspindle/proxy/ActiveRequestsTest.java
+++ b/src/test/java/ringspindle/proxy/ActiveRequestsTest.java
@@ -10,31 +10,31 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** A node ends only when nothing is under way, and nothing begins once it does. */
+/** Guards against a request that starts while the node closes: it must be counted before the close or rejected. */
 class ActiveRequestsTest {
     private static final int ROUNDS = 2000;
 
     private final ActiveRequests active = new ActiveRequests();
 
     @Test
-    void requestUnderWayKeepsItOpenAndNoneBeginsOnceItIsClosed() {
+    void closesOnlyWhenIdleAndRejectsRequestsOnceClosed() {
         assertTrue(active.begin());
-        assertFalse(active.closeIfNone());
+        assertFalse(active.closeIfIdle());
         assertEquals(1, active.count());
         active.end("a");
-        assertTrue(active.closeIfNone());
-        assertTrue(active.closeIfNone(), "it stays closed");
+        assertTrue(active.closeIfIdle());
+        assertTrue(active.closeIfIdle(), "closing again must report that the registry is closed");
         assertFalse(active.begin());
         assertEquals(0, active.count());
     }
 
     @Test
-    void endOfTheNodeReachesEachRequestThatBeganAndNoneBeginsAfterIt() {
+    void closingCancelsEveryActiveRequestAndRejectsNewOnes() {
         List<String> ended = new ArrayList<>();
         assertTrue(active.begin());
         active.track("a", () -> ended.add("a"));
-        assertTrue(active.begin(), "begun, and not yet tracked when the node ends");
-        assertEquals(2, active.closeAndEndAll());
+        assertTrue(active.begin(), "begun, but not yet tracked when the registry closes");
+        assertEquals(2, active.closeAndCancelAll());
         assertEquals(List.of("a"), ended);
         active.track("b", () -> ended.add("b"));
         assertEquals(List.of("a", "b"), ended);
@@ -42,20 +42,20 @@
     }
 
     @Test
-    void ofABeginningAndAClosingAtOnceOneGoesFirst() throws Exception {
+    void concurrentBeginAndCloseAreMutuallyExclusive() throws Exception {
         for (int round = 0; round < ROUNDS; round++) {
-            ActiveRequests raced = new ActiveRequests();
-            CountDownLatch both = new CountDownLatch(2);
-            AtomicInteger begun = new AtomicInteger();
+            ActiveRequests contended = new ActiveRequests();
+            CountDownLatch barrier = new CountDownLatch(2);
+            AtomicInteger begunCount = new AtomicInteger();
             Thread request = new Thread(() -> {
-                both.countDown();
-                begun.addAndGet(raced.begin() ? 1 : 0);
+                barrier.countDown();
+                begunCount.addAndGet(contended.begin() ? 1 : 0);
             });
             request.start();
-            both.countDown();
-            boolean closed = raced.closeIfNone();
+            barrier.countDown();
+            boolean closed = contended.closeIfIdle();
             request.join();
-            assertEquals(closed ? 0 : 1, begun.get(), "round " + round);
+            assertEquals(closed ? 0 : 1, begunCount.get(), "round " + round);
         }
     }
 }
--- a/src/test/java/ringspindle/replication/ModelDisks.java
+++ b/src/test/java/ringspindle/replication/ModelDisks.java
@@ -3,14 +3,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The disks of a {@link ModelWalk}: each syncs one write after the other, with delays drawn from the seed. */
+/** The disks of a {@link ModelWalk}; each syncs its writes in order, with delays drawn from the seed. */
 final class ModelDisks {
     private static final int DISK_DELAY_MS = 8;
 
     private final ModelWalk walk;
     private final long seed;
     private final Map<Integer, ModelRandom> diskRandom = new HashMap<>();
-    private final Map<Integer, Long> diskFreeMs = new HashMap<>();
+    private final Map<Integer, Long> diskIdleAtMs = new HashMap<>();
     private final Map<Integer, Long> diskHangsUntilMs = new HashMap<>();
 
     ModelDisks(ModelWalk walk, long seed) {
@@ -18,24 +18,25 @@
         this.seed = seed;
     }
 
-    /** The disk syncs nothing for that time. */
+    /** Makes the disk sync nothing for the given time. */
     void hang(ModelNode node, long forMs) {
         diskHangsUntilMs.put(node.slot, walk.world.nowMs + forMs);
     }
 
-    /** The process ended, and its writes with it. */
-    void ended(ModelNode node) {
-        diskFreeMs.remove(node.slot);
+    /** Resets the disk when its process ends, because the unsynced writes end with it. */
+    void processEnded(ModelNode node) {
+        diskIdleAtMs.remove(node.slot);
     }
 
-    /** Syncs the write a moment later, or once the disk no longer hangs. */
-    void writing(ModelNode node) {
-        ModelRandom random = diskRandom.computeIfAbsent(node.slot, k -> new ModelRandom(seed, k + 2_000_000));
-        long freeMs = Math.max(diskFreeMs.getOrDefault(node.slot, 0L), diskHangsUntilMs.getOrDefault(node.slot, 0L));
-        long whenMs = Math.max(walk.world.nowMs, freeMs) + 1 + random.below(DISK_DELAY_MS);
-        diskFreeMs.put(node.slot, whenMs);
+    /** Schedules the sync of a write after a short delay, or for when the disk no longer hangs. */
+    void scheduleSync(ModelNode node) {
+        ModelRandom random = diskRandom.computeIfAbsent(node.slot, slot -> new ModelRandom(seed, slot + 2_000_000));
+        long idleAtMs =
+                Math.max(diskIdleAtMs.getOrDefault(node.slot, 0L), diskHangsUntilMs.getOrDefault(node.slot, 0L));
+        long syncAtMs = Math.max(walk.world.nowMs, idleAtMs) + 1 + random.below(DISK_DELAY_MS);
+        diskIdleAtMs.put(node.slot, syncAtMs);
         int life = node.life;
-        walk.at(whenMs, () -> sync(node, life));
+        walk.at(syncAtMs, () -> sync(node, life));
     }
 
     private void sync(ModelNode node, int life) {
@@ -43,7 +44,7 @@
             return;
         }
         if (node.frozen) {
-            // the process takes note when it runs again
+            // a frozen process learns of the sync only when it runs again
             walk.in(ModelWalk.TICK_MS, () -> sync(node, life));
             return;
         }
