--- a/src/main/java/ringspindle/controlplane/fleet/FactDissemination.java
+++ b/src/main/java/ringspindle/controlplane/fleet/FactDissemination.java
@@ -21,7 +21,7 @@
  */
 public final class FactDissemination {
     private static final int MAX_BATCH_FACTS = 512;
-    /** A peer with more queued bytes may differ only because of these, so that no repair is sent to it. */
+    /** A peer with more queued bytes may differ only because of these, so no repair is sent to it. */
     private static final int MAX_REPAIR_BACKLOG_BYTES = 64 << 10;
 
     private final Mesh mesh;
@@ -56,7 +56,7 @@
         }
     }
 
-    /** A data node acts on the facts it is sent, so that only a node that is proven to be up to date sends it any. */
+    /** A data node acts on the facts it is sent, so only a node that is proven to be up to date sends it any. */
     private static boolean maySendTo(SessionTable.Peer peer, boolean quorate) {
         return peer.hello().kind() == NodeKind.CONTROL || quorate;
     }
--- a/src/main/java/ringspindle/retry/Action.java
+++ b/src/main/java/ringspindle/retry/Action.java
@@ -11,7 +11,7 @@
  * RetryDecision next = action.endAttempt(attempt, AttemptOutcome.BROKEN, policy, nowMs);
  * }</pre>
  *
- * <p>All times are milliseconds of the steady clock. Thread safe.
+ * <p>All times are milliseconds of the monotonic clock. Thread safe.
  */
 public interface Action {
     /** Lifecycle state. */
--- a/src/main/java/ringspindle/retry/Attempt.java
+++ b/src/main/java/ringspindle/retry/Attempt.java
@@ -5,7 +5,7 @@
     /** Returns the number of the attempt within its action, starting at 1. */
     int number();
 
-    /** Returns the deadline in ms of the steady clock, never later than the action's. */
+    /** Returns the deadline in ms of the monotonic clock, never later than the action's. */
     long deadlineMs();
 
     /** Returns whether the timeout of the attempt expires before the action's deadline. */
